--- a/packages/rollout/include/cw_rollout.h
+++ b/packages/rollout/include/cw_rollout.h
@@ -1,12 +1,14 @@
 /*
- * Moving a service's traffic from one version of its servers' software to another: a small constant
- * share of sessions in the first half of the time ordered, then all in steps, with a trial under
- * load at the first of them; or back at the first proof that the version is bad. Sans-I/O: time,
- * answers and peers' news come in; arms, verdicts and news for peers go out.
+ * Progressive roll-out of a new version of a service's server software, the target. In the first
+ * half of the ordered duration a small constant share of sessions is routed to the target; then all
+ * sessions move in steps, the first of which is a trial under load. As soon as the evidence shows
+ * that the target is bad, the roll-out is rolled back. Sans-I/O: time, answers and announcements
+ * of peers are the input; variants, verdicts and announcements to peers are the output.
  *
- * A session's requests come to many instances, and its version must be the same at each. So it
- * follows from the session, its route, the time since the order and what the instances have agreed
- * on, all of which only ever moves sessions forward; never from how one request looks.
+ * A session's requests arrive at many instances, and every instance must choose the same version.
+ * The version therefore depends only on the session, its route, the time since the order and the
+ * steps that the instances agreed on, all of which move sessions forward only; it never depends on
+ * properties of a single request.
  */
 #ifndef CW_ROLLOUT_H
 #define CW_ROLLOUT_H
@@ -16,112 +18,114 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_ROLLOUT_KINDS    12 /* of one service's answers that are told apart: by route and load */
-#define CW_ROLLOUT_SESSIONS 96 /* sessions told to peers, about 5 s of a share of a tenth */
-#define CW_ROLLOUT_ROUTES   16 /* of one service that are known by kind; others are of none */
+#define CW_ROLLOUT_KINDS    12 /* kinds of answers of one service, by route and server load */
+#define CW_ROLLOUT_SESSIONS 96 /* per announcement: about 5 s of a tenth of all sessions */
+#define CW_ROLLOUT_ROUTES   16 /* routes of one service that are tracked */
 #define CW_ROLLOUT_NEVER    INT64_MAX
 
-/* How the requests of a route usually are; a set of these. */
+/* Load that a route's requests usually cause; bits of a set. */
 enum cw_rollout_kind {
-	CW_ROLLOUT_FILLING = 1, /* they take a server's slots for long, and little else of it */
-	CW_ROLLOUT_LIGHT = 2,	/* little to read: answered at once also by a full server */
+	CW_ROLLOUT_FILLING = 1, /* occupies a server's slot for a long time */
+	CW_ROLLOUT_LIGHT = 2,	/* short prompt: answered at once even by a full server */
 };
 
-/* What the instances agree on, one after the other. */
+/* Steps that the instances agree on during a roll-out. */
 enum cw_rollout_step {
-	CW_ROLLOUT_TRIAL,  /* the routes' kinds, and the share of filling sessions for the trial */
-	CW_ROLLOUT_FULL,   /* one of the target's servers has answered under load */
-	CW_ROLLOUT_MORE,   /* none has in time: more of the filling sessions go there */
-	CW_ROLLOUT_PROVED, /* the target stood the trial under load */
+	CW_ROLLOUT_TRIAL,  /* load kinds of the routes, and the shares for the load trial */
+	CW_ROLLOUT_FULL,   /* a server of the target has answered under load */
+	CW_ROLLOUT_MORE,   /* no answer under load in time: larger trial share */
+	CW_ROLLOUT_PROVED, /* the target passed the trial under load */
 	CW_ROLLOUT_STEPS
 };
 
-/* An operator's order. */
+/* An operator's order to roll out a version. */
 struct cw_rollout_order {
 	char service[CW_NAME_MAX];
-	char target[CW_NAME_MAX]; /* version of the servers' software */
+	char target[CW_NAME_MAX]; /* software version of the servers */
 	int64_t duration_ms;
 };
 
 enum cw_rollout_state {
 	CW_ROLLOUT_RUNNING,
 	CW_ROLLOUT_DONE,
-	CW_ROLLOUT_BACK, /* the version was found bad */
+	CW_ROLLOUT_BACK, /* rolled back: bad target, or no trial under load */
 };
 
-/* What is written down of it. */
+/* Status of a roll-out as it is published in the shared store. */
 struct cw_rollout_status {
 	char service[CW_NAME_MAX];
 	char target[CW_NAME_MAX];
 	enum cw_rollout_state state;
 };
 
-/* How it ended, and by what evidence. */
+/* Outcome of a roll-out, and its evidence. */
 struct cw_rollout_verdict {
 	struct cw_rollout_status status;
 	const char *reason;
-	double answers, bad, doubt; /* of the target, by all instances, older ones count less */
-	double loaded_answers, loaded_bad, loaded_doubt; /* from servers more than half full */
+	/* Answers of the target at all instances, with exponential decay; llr: log likelihood
+	 * ratio. */
+	double answers, bad, llr;
+	double loaded_answers, loaded_bad, loaded_llr; /* from servers more than half full */
 };
 
-/* Which servers a request may go to. */
+/* Variant of a roll-out: the server versions that a request may be sent to. */
 enum cw_rollout_arm {
 	CW_ROLLOUT_ANY,
-	CW_ROLLOUT_OLD, /* not the target */
-	CW_ROLLOUT_NEW, /* only the target */
+	CW_ROLLOUT_OLD, /* any version but the target */
+	CW_ROLLOUT_NEW, /* the target only */
 };
 
-/* One answer, as evidence of the version that gave it. */
+/* One answer, as evidence about the version that produced it. */
 struct cw_rollout_answer {
 	const char *service;
 	const char *software;
 	uint64_t route;
-	int is_loaded; /* more than half of its server's slots were taken when it was sent */
+	int is_loaded; /* over half of the server's slots were in use at dispatch */
 	int is_failure;
-	int is_slow; /* far beyond what was predicted */
+	int is_slow; /* latency far above the prediction */
 };
 
-/* Answers of one kind by the two versions; older ones count less and less. */
+/* Exponentially decayed counts of answers of one kind, by version. */
 struct cw_rollout_evidence {
 	uint64_t route;
 	int is_loaded;
 	float old_answers, old_bad;
-	float old_past_answers, old_past_bad; /* the same over a longer time */
+	float old_past_answers, old_past_bad; /* the same with a longer decay time */
 	float new_answers, new_bad;
 	float new_past_answers, new_past_bad;
 };
 
-/* One route's requests at one instance, and what the instances agreed that they are. */
+/* One route's requests at one instance, and the load kinds and share the instances agreed on. */
 struct cw_rollout_route {
 	uint64_t route;
-	uint32_t came;
-	uint32_t filling;		  /* of them */
-	uint32_t light;			  /* of them */
-	uint32_t old_answers, old_failed; /* by the version before the target, since the order */
-	uint32_t new_answers, new_failed; /* by the target */
-	uint32_t kinds; /* set of enum cw_rollout_kind, empty before the trial is planned */
-	float share;	/* of its sessions on the target during the trial; 0 before */
+	uint32_t came;			  /* requests received */
+	uint32_t filling;		  /* long-running ones among these requests */
+	uint32_t light;			  /* short prompts among these requests */
+	uint32_t old_answers, old_failed; /* by the old version, since the order */
+	uint32_t new_answers, new_failed; /* by the target, since the order */
+	uint32_t kinds; /* set of enum cw_rollout_kind; empty until the trial is planned */
+	float share;	/* of the route's sessions on the target during the trial; 0: no plan */
 };
 
-/* A session that a server of the old version served. */
+/* A session that ran on a server of the old version. */
 struct cw_rollout_session {
 	uint64_t session;
 	uint32_t age_ms;
 };
 
-/* What one instance tells the others of one roll-out. */
+/* State of one roll-out that an instance announces to its peers. */
 struct cw_rollout_news {
 	char service[CW_NAME_MAX];
 	char target[CW_NAME_MAX];
-	uint64_t offset; /* of the order's record */
+	uint64_t offset; /* of the order's record in the shared store */
 	int64_t elapsed_ms;
 	int64_t duration_ms;
 	enum cw_rollout_state state;
-	int is_written;
-	int64_t from_ms[CW_ROLLOUT_STEPS]; /* each in force, since the order; CW_ROLLOUT_NEVER */
-	uint64_t sent, sent_new; /* requests to the service's servers, and to the target's */
-	float trial_share;	 /* of filling sessions on the target for the trial; 0: none yet */
-	uint32_t counted_ms;	 /* the sender has counted the routes' requests for so long */
+	int is_written;			   /* the state is published in the shared store */
+	int64_t from_ms[CW_ROLLOUT_STEPS]; /* when each step takes effect, since the order */
+	uint64_t sent, sent_new;	   /* requests to all servers, and to those of the target */
+	float trial_share;		   /* of long-running sessions on the target; 0: no plan */
+	uint32_t counted_ms; /* how long the sender has counted the routes' requests */
 	size_t route_count;
 	struct cw_rollout_route routes[CW_ROLLOUT_ROUTES];
 	size_t kind_count;
@@ -130,21 +134,21 @@
 	struct cw_rollout_session sessions[CW_ROLLOUT_SESSIONS];
 };
 
-/* A request that is to be sent. */
+/* A request to be dispatched. */
 struct cw_rollout_request {
 	const char *service;
 	uint64_t session;
 	uint64_t route;
 };
 
-/* Which versions a request may be sent to, and what decided it. */
+/* Variant chosen for a request, and the values that decided it. */
 struct cw_rollout_assignment {
 	enum cw_rollout_arm arm;
-	double share; /* of such requests' sessions that the target gets; 1 without a roll-out */
-	double point; /* of this session, 0 to 1: on the target while the share is above */
+	double share; /* of the route's sessions on the target; 1 without a roll-out */
+	double point; /* of the session, 0 to 1: on the target while below the share */
 };
 
-/* A step that an instance learned of, for the log. Times are ms since the order. */
+/* A step newly known to this instance, for the log. Times are ms since the order. */
 struct cw_rollout_progress {
 	const char *service;
 	const char *target;
@@ -155,9 +159,9 @@
 };
 
 struct cw_rollout_options {
-	int64_t session_ms;   /* a session idle for longer has ended */
-	double exposed_share; /* of a service's requests that a bad version may get */
-	double exposed_slack; /* and this many more */
+	int64_t session_ms;   /* idle time after which a session has ended */
+	double exposed_share; /* part of a service's requests that a bad version may receive */
+	double exposed_slack; /* requests that a bad version may receive beyond that part */
 };
 
 struct cw_rollouts;
@@ -165,14 +169,14 @@
 struct cw_rollouts *cw_rollouts_create(const struct cw_rollout_options *options);
 void cw_rollouts_destroy(struct cw_rollouts *rollouts);
 int cw_rollouts_order(struct cw_rollouts *rollouts, const struct cw_rollout_order *order,
-		      uint64_t offset, int64_t now_ms); /* 1: news */
+		      uint64_t offset, int64_t now_ms); /* 1: the order is new */
 int cw_rollouts_told(struct cw_rollouts *rollouts,
-		     const struct cw_rollout_status *status); /* as written down; 1: news */
-int cw_rollouts_any(const struct cw_rollouts *rollouts);      /* 1: an order is known */
+		     const struct cw_rollout_status *status); /* from the store; 1: changed */
+int cw_rollouts_any(const struct cw_rollouts *rollouts);      /* 1: a roll-out is known */
 int cw_rollouts_is_bad(const struct cw_rollouts *rollouts,
-		       const char *service); /* its target was taken back */
+		       const char *service); /* the roll-out was rolled back */
 int cw_rollouts_is_retired(const struct cw_rollouts *rollouts, const char *service,
-			   const char *software); /* servers of this version stop at any moment */
+			   const char *software); /* replaced: its servers may stop at any time */
 const char *cw_rollouts_target(const struct cw_rollouts *rollouts,
 			       const char *service); /* NULL: no roll-out */
 enum cw_rollout_arm cw_rollouts_arm(struct cw_rollouts *rollouts,
@@ -181,34 +185,36 @@
 						    const struct cw_rollout_request *request,
 						    int64_t now_ms);
 int cw_rollouts_progressed(struct cw_rollouts *rollouts, int64_t now_ms,
-			   struct cw_rollout_progress *progress); /* 1: not told of before */
+			   struct cw_rollout_progress *progress); /* 1: a step not yet returned */
 void cw_rollouts_used(struct cw_rollouts *rollouts, const char *service, uint64_t session,
-		      const char *software, int64_t now_ms); /* a request went to this version */
+		      const char *software,
+		      int64_t now_ms); /* a request was sent to this version */
 void cw_rollouts_came(struct cw_rollouts *rollouts, const struct cw_rollout_request *request,
 		      uint32_t kinds,
-		      unsigned int slots); /* it looks like these, to servers of so many slots */
+		      unsigned int slots); /* load kinds of the request; slots per server */
 void cw_rollouts_asked(struct cw_rollouts *rollouts, const char *service, uint64_t session,
 		       int64_t asked_ms,
-		       int64_t now_ms); /* a caller that has waited since asked_ms is here */
+		       int64_t now_ms); /* a caller retries that has waited since asked_ms */
 void cw_rollouts_answered(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
 			  int64_t now_ms);
 void cw_rollouts_spoiled(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
-			 int64_t now_ms); /* one counted as good turned out slow */
+			 int64_t now_ms); /* counted as good before, then slow */
 int cw_rollouts_is_filler(const struct cw_rollouts *rollouts,
 			  const struct cw_rollout_request *request,
-			  int64_t now_ms); /* its session is to fill a server of the target now */
+			  int64_t now_ms); /* its session loads a server of the target */
 int cw_rollouts_wants_load(const struct cw_rollouts *rollouts, const char *service,
-			   int64_t now_ms); /* the target is to be tried on a full server now */
+			   int64_t now_ms); /* the target's trial under load is due */
 size_t cw_rollouts_judge(struct cw_rollouts *rollouts, int64_t now_ms,
 			 struct cw_rollout_verdict *verdicts,
-			 size_t max);	  /* decided, and not known to be written */
-int64_t cw_rollouts_turn_ms(size_t rank); /* from a verdict until this instance writes it, unless
-					   one before it has */
+			 size_t max);	  /* outcomes not known to be published */
+int64_t cw_rollouts_turn_ms(size_t rank); /* wait before publishing; a lower rank
+					   publishes first */
 int cw_rollouts_is_starting(const struct cw_rollouts *rollouts,
-			    int64_t now_ms); /* peers' sessions are needed at once */
+			    int64_t now_ms); /* peers' sessions are due before the first move */
 size_t cw_rollouts_tell(struct cw_rollouts *rollouts, int64_t now_ms, struct cw_rollout_news *news,
 			size_t max);
 int cw_rollouts_hear(struct cw_rollouts *rollouts, uint64_t instance,
-		     const struct cw_rollout_news *news, int64_t now_ms); /* 1: its state changed */
+		     const struct cw_rollout_news *news,
+		     int64_t now_ms); /* 1: the roll-out's state changed */
 
 #endif
--- a/packages/rollout/src/evidence.c
+++ b/packages/rollout/src/evidence.c
@@ -1,43 +1,43 @@
 /*
- * Is the target worse than the version before it? Answers of both are counted by route and by how
- * full their server was, pooled over the instances, and weighed against each other.
+ * Statistical test of the target against the old version. Answers of both versions are counted by
+ * route and by server load, pooled over the instances, and compared by a likelihood ratio.
  */
 #include "rollout_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define DECAY_MS      8000   /* answers count 1/e after it: a version that turns bad late shows */
-#define PAST_MS	      60000  /* the same of what is usual, and of what is rare */
-#define HEARD_MS      4000   /* a round of messages among 66 instances reaches all within it */
-#define TRIP_BAD      2.5    /* decayed bad answers at least */
-#define TRIP_LEVEL    5.0    /* log likelihood ratio: one false alarm in e^5 looks */
-#define PROVED_LEVEL  (-4.5) /* of the same: 13 answers from full servers, none of them bad */
-#define SPENT_PART    0.85   /* of what a bad version may get: a round of messages is under way */
-#define RATE_STEP_MS  500    /* between two looks at how many requests come */
-#define RATE_GAIN     0.3    /* of the newest look: the last 1.5 s */
-#define PRIOR_ANSWERS 10.0   /* of the old version, before any is seen, */
-#define PRIOR_BAD     0.5    /* and failures among them */
-#define OLD_MARGIN    1.5    /* on the old version's rate: it is an estimate too */
-#define USUAL_BAD     0.03   /* failures that any version may have, beyond the other's */
-#define USUAL_MOST    0.97   /* a route that always fails tells nothing of a version */
-#define BAD_MORE      0.30   /* failures among what else succeeds, of a version to take back */
-
-/* Requests of all instances. */
-struct rollout_sent {
+#define DECAY_MS	 8000 /* time constant of recent answers, so that a late regression shows */
+#define PAST_DECAY_MS	 60000	/* time constant for usual failure rates and for rare failures */
+#define PEER_RECENT_MS	 4000	/* a gossip round of 66 instances reaches every peer within it */
+#define BAD_MIN_FAILURES 2.5	/* decayed bad answers */
+#define BAD_LEVEL	 5.0	/* log likelihood ratio: one false alarm per e^5 evaluations */
+#define PASSED_LEVEL	 (-4.5) /* log likelihood ratio: 13 good answers of full servers */
+#define EXPOSURE_LIMIT	 0.85	/* of the allowed exposure; a gossip round is still in flight */
+#define RATE_INTERVAL_MS 500	/* between updates of the request rate */
+#define RATE_GAIN	 0.3	/* weight of the newest interval: averages over 1.5 s */
+#define PRIOR_ANSWERS	 10.0	/* assumed of the old version before the first answer */
+#define PRIOR_BAD	 0.5	/* failures among these answers */
+#define OLD_RATE_FACTOR	 1.5	/* margin for the error of the old version's estimated rate */
+#define FAILURE_MARGIN	 0.03	/* failure rate accepted beyond the old version's */
+#define FAILURE_RATE_MAX 0.97	/* a route that always fails is no evidence about a version */
+#define BAD_EXCESS	 0.30	/* part of otherwise good answers that a bad version fails */
+
+/* Requests sent by all instances. */
+struct rollout_dispatches {
 	double all;
 	double to_new;
 };
 
 enum window {
-	RECENTLY,
-	SINCE_THE_ORDER,
+	WINDOW_RECENT,
+	WINDOW_LONG,
 };
 
-static struct rollout_sent all_sent(const struct rollout *rollout);
-static int tells_slowness(const struct rollout *rollout, int64_t now_ms);
-static struct cw_rollout_evidence *kind_of(struct rollout *rollout,
-					   const struct cw_rollout_answer *answer, int64_t now_ms);
+static struct rollout_dispatches sum_dispatches(const struct rollout *rollout);
+static int is_slowness_counted(const struct rollout *rollout, int64_t now_ms);
+static struct cw_rollout_evidence *
+find_own_kind(struct rollout *rollout, const struct cw_rollout_answer *answer, int64_t now_ms);
 static struct cw_rollout_evidence *find_kind(struct cw_rollout_evidence *kinds, size_t *count,
 					     uint64_t route, int is_loaded);
 static size_t pool_evidence(struct rollout *rollout, int64_t now_ms,
@@ -47,8 +47,8 @@
 static void add_sum(struct rollout_sum *to, const struct rollout_sum *from);
 static int is_bad(const struct rollout_sum *sum);
 static double old_rate(const struct cw_rollout_evidence *kinds, size_t count, uint64_t route);
-static int weigh(const struct cw_rollout_evidence *kinds, size_t count, enum window window,
-		 struct rollout_sum *all, struct rollout_sum *loaded);
+static int evaluate_kinds(const struct cw_rollout_evidence *kinds, size_t count, enum window window,
+			  struct rollout_sum *all, struct rollout_sum *loaded);
 static struct rollout_sum count_kind(const struct cw_rollout_evidence *kind, enum window window);
 
 void cw_rollouts_answered(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
@@ -60,15 +60,15 @@
 
 	if (!rollout)
 		return;
-	is_bad = answer->is_failure || (answer->is_slow && tells_slowness(rollout, now_ms));
-	rollout_match_answer(rollout, answer);
-	kind = kind_of(rollout, answer, now_ms);
+	is_bad = answer->is_failure || (answer->is_slow && is_slowness_counted(rollout, now_ms));
+	rollout_compare_answer(rollout, answer);
+	kind = find_own_kind(rollout, answer, now_ms);
 	if (!strcmp(rollout->target, answer->software)) {
 		kind->new_answers += 1;
 		kind->new_bad += (float)is_bad;
 		kind->new_past_answers += 1;
 		kind->new_past_bad += (float)is_bad;
-		rollout->is_full |= answer->is_loaded;
+		rollout->has_loaded_answer |= answer->is_loaded;
 	} else {
 		kind->old_answers += 1;
 		kind->old_bad += (float)is_bad;
@@ -83,20 +83,20 @@
 	struct rollout *rollout = rollout_find(rollouts, answer->service);
 	struct cw_rollout_evidence *kind;
 
-	if (!rollout || !tells_slowness(rollout, now_ms))
+	if (!rollout || !is_slowness_counted(rollout, now_ms))
 		return;
-	kind = kind_of(rollout, answer, now_ms);
+	kind = find_own_kind(rollout, answer, now_ms);
 	if (!strcmp(rollout->target, answer->software))
 		kind->new_bad = MIN(kind->new_bad + 1, kind->new_answers);
 	else
 		kind->old_bad = MIN(kind->old_bad + 1, kind->old_answers);
 }
 
-void rollout_fade(struct rollout *rollout, int64_t now_ms)
+void rollout_decay_evidence(struct rollout *rollout, int64_t now_ms)
 {
-	float elapsed_ms = (float)(now_ms - rollout->counted_ms);
+	float elapsed_ms = (float)(now_ms - rollout->decayed_ms);
 	float factor = expf(-elapsed_ms / DECAY_MS);
-	float past_factor = expf(-elapsed_ms / PAST_MS);
+	float past_factor = expf(-elapsed_ms / PAST_DECAY_MS);
 
 	for (size_t i = 0; i < rollout->kind_count; i++) {
 		rollout->kinds[i].old_answers *= factor;
@@ -108,11 +108,11 @@
 		rollout->kinds[i].new_past_answers *= past_factor;
 		rollout->kinds[i].new_past_bad *= past_factor;
 	}
-	rollout->counted_ms = now_ms;
+	rollout->decayed_ms = now_ms;
 }
 
-void rollout_hear_evidence(struct rollout *rollout, uint64_t instance,
-			   const struct cw_rollout_news *news, int64_t now_ms)
+void rollout_merge_evidence(struct rollout *rollout, uint64_t instance,
+			    const struct cw_rollout_news *update, int64_t now_ms)
 {
 	struct rollout_peer *peer = g_hash_table_lookup(rollout->peers, &instance);
 
@@ -121,62 +121,63 @@
 		peer->instance = instance;
 		g_hash_table_insert(rollout->peers, &peer->instance, peer);
 	} else {
-		rollout_match_peer(rollout, peer, news);
+		rollout_compare_peer(rollout, peer, update);
 	}
-	peer->heard_ms = now_ms;
-	peer->sent = news->sent;
-	peer->sent_new = news->sent_new;
-	peer->counted_ms = news->counted_ms;
-	peer->route_count = MIN(news->route_count, CW_ROLLOUT_ROUTES);
-	memcpy(peer->routes, news->routes, sizeof(peer->routes));
-	peer->kind_count = MIN(news->kind_count, CW_ROLLOUT_KINDS);
-	memcpy(peer->kinds, news->kinds, sizeof(peer->kinds));
+	peer->last_seen_ms = now_ms;
+	peer->sent = update->sent;
+	peer->sent_new = update->sent_new;
+	peer->counted_ms = update->counted_ms;
+	peer->route_count = MIN(update->route_count, CW_ROLLOUT_ROUTES);
+	memcpy(peer->routes, update->routes, sizeof(peer->routes));
+	peer->kind_count = MIN(update->kind_count, CW_ROLLOUT_KINDS);
+	memcpy(peer->kinds, update->kinds, sizeof(peer->kinds));
 }
 
-void rollout_count(struct rollout *rollout, int is_new)
+void rollout_count_dispatch(struct rollout *rollout, int is_new)
 {
 	rollout->sent++;
 	rollout->sent_new += (uint64_t)is_new;
 }
 
 /*
- * The requests of all instances so far, carried on to the end of the time ordered: at the mean rate
- * or at that of the last seconds, whichever is lower. After a burst of twice the usual the mean
- * promised 1,300 requests in all and 1,017 came, so that a bad version got 189 where 183 may go.
+ * The allowed exposure depends on the requests of the whole roll-out, which are extrapolated from
+ * those of all instances so far at the mean rate or at the recent rate, whichever is lower. With
+ * the mean rate alone, a burst of twice the usual load predicted 1,300 requests where 1,017 were
+ * sent, and a bad version received 189 requests where 183 are allowed.
  */
-int rollout_is_spent(const struct cw_rollouts *rollouts, const struct rollout *rollout,
-		     int64_t now_ms)
+int rollout_is_exposure_spent(const struct cw_rollouts *rollouts, const struct rollout *rollout,
+			      int64_t now_ms)
 {
-	double elapsed_ms = (double)MAX(now_ms - rollout->begun_ms, 1);
+	double elapsed_ms = (double)MAX(now_ms - rollout->started_ms, 1);
 	double left_ms = MAX((double)rollout->duration_ms - elapsed_ms, 0);
-	struct rollout_sent sent = all_sent(rollout);
-	double rate = MIN(sent.all / elapsed_ms, rollout->sent_a_ms);
+	struct rollout_dispatches sent = sum_dispatches(rollout);
+	double rate = MIN(sent.all / elapsed_ms, rollout->sent_per_ms);
 	double expected = sent.all + rate * left_ms;
 
-	return sent.to_new >= SPENT_PART * (rollouts->options.exposed_share * expected +
-					    rollouts->options.exposed_slack);
+	return sent.to_new >= EXPOSURE_LIMIT * (rollouts->options.exposed_share * expected +
+						rollouts->options.exposed_slack);
 }
 
-void rollout_follow_rate(struct rollout *rollout, int64_t now_ms)
+void rollout_update_rate(struct rollout *rollout, int64_t now_ms)
 {
-	double elapsed_ms = (double)(now_ms - rollout->rated_ms);
-	double sent = all_sent(rollout).all;
+	double elapsed_ms = (double)(now_ms - rollout->rate_updated_ms);
+	double sent = sum_dispatches(rollout).all;
 	double rate;
 
-	if (elapsed_ms < RATE_STEP_MS)
+	if (elapsed_ms < RATE_INTERVAL_MS)
 		return;
-	/* An instance that starts again counts anew: the sum may fall. */
-	rate = MAX(sent - rollout->rated_sent, 0) / elapsed_ms;
-	if (rollout->sent_a_ms <= 0)
-		rollout->sent_a_ms = rate;
-	rollout->sent_a_ms += RATE_GAIN * (rate - rollout->sent_a_ms);
-	rollout->rated_sent = sent;
-	rollout->rated_ms = now_ms;
+	/* A restarted instance counts from zero, so the sum may decrease. */
+	rate = MAX(sent - rollout->rate_sent, 0) / elapsed_ms;
+	if (rollout->sent_per_ms <= 0)
+		rollout->sent_per_ms = rate;
+	rollout->sent_per_ms += RATE_GAIN * (rate - rollout->sent_per_ms);
+	rollout->rate_sent = sent;
+	rollout->rate_updated_ms = now_ms;
 }
 
-static struct rollout_sent all_sent(const struct rollout *rollout)
+static struct rollout_dispatches sum_dispatches(const struct rollout *rollout)
 {
-	struct rollout_sent sent = {(double)rollout->sent, (double)rollout->sent_new};
+	struct rollout_dispatches sent = {(double)rollout->sent, (double)rollout->sent_new};
 	GHashTableIter iter;
 	gpointer value;
 
@@ -190,7 +191,7 @@
 	return sent;
 }
 
-int rollout_hears_peers(const struct rollout *rollout, int64_t now_ms)
+int rollout_has_recent_peers(const struct rollout *rollout, int64_t now_ms)
 {
 	guint heard = 0;
 	GHashTableIter iter;
@@ -198,36 +199,37 @@
 
 	g_hash_table_iter_init(&iter, rollout->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &peer))
-		if (now_ms - ((struct rollout_peer *)peer)->heard_ms <= HEARD_MS)
+		if (now_ms - ((struct rollout_peer *)peer)->last_seen_ms <= PEER_RECENT_MS)
 			heard++;
 	return 2 * heard >= g_hash_table_size(rollout->peers);
 }
 
 /*
- * In the last seconds, where a version shows that turned bad late; and since the order, where one
- * shows that fails on a route with an answer a second: 10 of its 17 were failures, and the last
- * seconds never held more than four.
+ * Evaluates two windows. The recent one detects a version that turns bad late. The long one detects
+ * failures on a route with one answer per second: 10 of 17 answers of such a route failed, and the
+ * recent window never contained more than four of these failures.
  */
-int rollout_is_bad(struct rollout *rollout, int64_t now_ms)
+int rollout_is_target_bad(struct rollout *rollout, int64_t now_ms)
 {
 	struct cw_rollout_evidence kinds[CW_ROLLOUT_KINDS];
 	size_t count = pool_evidence(rollout, now_ms, kinds);
 	struct rollout_sum all;
 	struct rollout_sum loaded;
-	int is_bad = weigh(kinds, count, RECENTLY, &rollout->all, &rollout->loaded);
+	int is_bad = evaluate_kinds(kinds, count, WINDOW_RECENT, &rollout->all, &rollout->loaded);
 
-	is_bad |= weigh(kinds, count, SINCE_THE_ORDER, &all, &loaded);
-	is_bad |= rollout_match_is_bad(rollout, now_ms);
-	rollout->is_proved |= loaded.doubt < PROVED_LEVEL && rollout->loaded.doubt < 0;
+	is_bad |= evaluate_kinds(kinds, count, WINDOW_LONG, &all, &loaded);
+	is_bad |= rollout_comparison_is_bad(rollout, now_ms);
+	rollout->has_passed_trial |= loaded.llr < PASSED_LEVEL && rollout->loaded.llr < 0;
 	return is_bad;
 }
 
 /*
- * By each kind of answer, by those from full servers, by all. Doubts add up over kinds, each
- * against the old version's failures on the same route: routes differ, and one may always fail.
+ * Tests each kind of answer, the answers of loaded servers, and all answers. Log likelihood ratios
+ * are summed over the kinds, each relative to the old version's failure rate on the same route,
+ * because routes differ and one of them may always fail.
  */
-static int weigh(const struct cw_rollout_evidence *kinds, size_t count, enum window window,
-		 struct rollout_sum *all, struct rollout_sum *loaded)
+static int evaluate_kinds(const struct cw_rollout_evidence *kinds, size_t count, enum window window,
+			  struct rollout_sum *all, struct rollout_sum *loaded)
 {
 	int is_any_bad = 0;
 
@@ -237,7 +239,7 @@
 		double usual = old_rate(kinds, count, kinds[i].route);
 		struct rollout_sum kind = count_kind(&kinds[i], window);
 
-		kind.doubt = rollout_doubt(kind.answers, kind.bad, usual);
+		kind.llr = rollout_log_likelihood_ratio(kind.answers, kind.bad, usual);
 		is_any_bad |= is_bad(&kind);
 		add_sum(all, &kind);
 		if (kinds[i].is_loaded)
@@ -248,29 +250,30 @@
 
 static struct rollout_sum count_kind(const struct cw_rollout_evidence *kind, enum window window)
 {
-	if (window == RECENTLY)
+	if (window == WINDOW_RECENT)
 		return (struct rollout_sum){.answers = kind->new_answers, .bad = kind->new_bad};
 	return (struct rollout_sum){.answers = kind->new_past_answers, .bad = kind->new_past_bad};
 }
 
 /*
- * Once most sessions move, slow answers tell of prompts that the new servers have to read anew, and
- * of servers that are gone: good versions were taken back for 13 slow answers of 145, and for 84 of
- * 458 while half of the servers were down. What is slow by itself shows in the first half.
+ * Slow answers count in the first half only. Once most sessions move, slow answers are caused by
+ * prompts missing from the new servers' caches and by servers that are down: good versions were
+ * rolled back for 13 slow answers of 145, and for 84 of 458 while half of the servers were down. A
+ * version that is itself slow shows in the first half.
  */
-static int tells_slowness(const struct rollout *rollout, int64_t now_ms)
+static int is_slowness_counted(const struct rollout *rollout, int64_t now_ms)
 {
-	return rollout_part(rollout, now_ms) < ROLLOUT_FIRST_UNTIL;
+	return rollout_elapsed_fraction(rollout, now_ms) < ROLLOUT_FIRST_END;
 }
 
-static struct cw_rollout_evidence *kind_of(struct rollout *rollout,
-					   const struct cw_rollout_answer *answer, int64_t now_ms)
+static struct cw_rollout_evidence *
+find_own_kind(struct rollout *rollout, const struct cw_rollout_answer *answer, int64_t now_ms)
 {
-	rollout_fade(rollout, now_ms);
+	rollout_decay_evidence(rollout, now_ms);
 	return find_kind(rollout->kinds, &rollout->kind_count, answer->route, answer->is_loaded);
 }
 
-/* Kinds beyond the room share the last entry. */
+/* When the table is full, all further kinds share the last entry. */
 static struct cw_rollout_evidence *find_kind(struct cw_rollout_evidence *kinds, size_t *count,
 					     uint64_t route, int is_loaded)
 {
@@ -292,12 +295,12 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	rollout_fade(rollout, now_ms);
+	rollout_decay_evidence(rollout, now_ms);
 	memcpy(kinds, rollout->kinds, sizeof(rollout->kinds));
 	g_hash_table_iter_init(&iter, rollout->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct rollout_peer *peer = value;
-		float factor = expf(-(float)(now_ms - peer->heard_ms) / DECAY_MS);
+		float factor = expf(-(float)(now_ms - peer->last_seen_ms) / DECAY_MS);
 
 		for (size_t i = 0; i < peer->kind_count; i++) {
 			const struct cw_rollout_evidence *from = &peer->kinds[i];
@@ -326,18 +329,20 @@
 {
 	to->answers += from->answers;
 	to->bad += from->bad;
-	to->doubt += from->doubt;
+	to->llr += from->llr;
 }
 
 static int is_bad(const struct rollout_sum *sum)
 {
-	return sum->bad >= TRIP_BAD && sum->doubt > TRIP_LEVEL;
+	return sum->bad >= BAD_MIN_FAILURES && sum->llr > BAD_LEVEL;
 }
 
 /*
- * How often the old version fails on a route. In the same seconds, so that a fault that strikes
- * both, such as crashing servers, condemns neither; or over a minute, as it answers hardly anything
- * towards the end. On servers full or not: its own are seldom full.
+ * Failure rate of the old version on a route, as the higher one of two windows. The recent window
+ * makes a fault that affects both versions, such as crashing servers, count against neither. The
+ * window of a minute covers the end of a roll-out, when the old version answers few requests.
+ * Answers from loaded and unloaded servers are pooled, because servers of the old version are
+ * seldom loaded.
  */
 static double old_rate(const struct cw_rollout_evidence *kinds, size_t count, uint64_t route)
 {
@@ -351,13 +356,13 @@
 }
 
 /*
- * Logarithm of the likelihood ratio of "fails in three of ten cases more than the old version" to
- * "fails about as often".
+ * Log likelihood ratio of the hypothesis that the target fails 30 % of the answers that the old
+ * version would give, to the hypothesis that both fail about equally often.
  */
-double rollout_doubt(double answers, double bad_answers, double old_rate)
+double rollout_log_likelihood_ratio(double answers, double bad_answers, double old_rate)
 {
-	double usual = MIN(OLD_MARGIN * old_rate + USUAL_BAD, USUAL_MOST);
-	double bad = usual + (1 - usual) * BAD_MORE;
+	double usual = MIN(OLD_RATE_FACTOR * old_rate + FAILURE_MARGIN, FAILURE_RATE_MAX);
+	double bad = usual + (1 - usual) * BAD_EXCESS;
 
 	return bad_answers * log(bad / usual) +
 	       (answers - bad_answers) * log((1 - bad) / (1 - usual));
--- a/packages/rollout/src/match.c
+++ b/packages/rollout/src/match.c
@@ -1,121 +1,135 @@
 /*
- * Does a route fail on the target only? Second by second, the target's failures are held against
- * the other version's in the same second and the one before, and the doubt adds up. A fault that
- * strikes both for a moment, such as crashing servers, then hides nothing of what comes after it:
- * over the time since the order it would raise the old version's failures, and a failing target
- * would get more requests than a trial may.
+ * Detects routes that fail on the target only. The target's failures of each second are compared
+ * with the old version's failures in the same second and the one before, and the log likelihood
+ * ratios are summed. A fault that briefly affects both versions, such as crashing servers, then
+ * does not mask later failures. Over the whole time since the order such a fault would raise the
+ * old version's failure rate, and a failing target would receive more requests than a trial allows.
  */
 #include "rollout_internal.h"
 
 #include <string.h>
 
-#define SECOND_MS   1000
-#define USUAL_WORTH 3.0 /* answers: what the rate since the order weighs beside a second's own */
-#define MATCH_LEVEL 6.0 /* log likelihood ratio: 19 answers of which three in ten fail */
-#define MATCH_BAD   3	/* failures at least */
+#define SECOND_MS 1000
+#define PRIOR_WEIGHT                                                                               \
+	3.0 /* answers: weight of the rate since the order, added to a second's answers */
+#define COMPARISON_LEVEL	6.0 /* log likelihood ratio: 19 answers, of which 30 % fail */
+#define COMPARISON_MIN_FAILURES 3   /* failures */
 
-static struct rollout_match *find_match(struct rollout *rollout, uint64_t route);
-static double since(uint32_t before, uint32_t now);
-static void end_second(struct rollout_match *match);
-static double rate_in(const struct rollout_match *match, const struct rollout_second *second);
+static struct rollout_comparison *find_comparison(struct rollout *rollout, uint64_t route);
+static double count_since(uint32_t before, uint32_t now);
+static void close_second(struct rollout_comparison *comparison);
+static double old_failure_rate(const struct rollout_comparison *comparison,
+			       const struct rollout_second *second);
 
-void rollout_match_answer(struct rollout *rollout, const struct cw_rollout_answer *answer)
+void rollout_compare_answer(struct rollout *rollout, const struct cw_rollout_answer *answer)
 {
 	struct cw_rollout_route *route =
-		rollout_find_route(rollout->routes, &rollout->route_count, answer->route);
-	struct rollout_match *match = find_match(rollout, answer->route);
-	/* A slow answer tells of a server's queue as well: it is judged over a longer time. */
+		rollout_find_or_add_route(rollout->routes, &rollout->route_count, answer->route);
+	struct rollout_comparison *comparison = find_comparison(rollout, answer->route);
+	/* Slowness may come from a server's queue and is evaluated over a longer window. */
 	int is_failed = answer->is_failure && !answer->is_slow;
 
-	if (!route || !match)
+	if (!route || !comparison)
 		return;
 	if (!strcmp(rollout->target, answer->software)) {
 		route->new_answers++;
 		route->new_failed += (uint32_t)is_failed;
-		match->now.new_answers++;
-		match->now.new_failed += is_failed;
+		comparison->current.new_answers++;
+		comparison->current.new_failed += is_failed;
 	} else {
 		route->old_answers++;
 		route->old_failed += (uint32_t)is_failed;
-		match->now.old_answers++;
-		match->now.old_failed += is_failed;
+		comparison->current.old_answers++;
+		comparison->current.old_failed += is_failed;
 	}
 }
 
-/* What a peer counted since its last message; one that started again counts anew. */
-void rollout_match_peer(struct rollout *rollout, const struct rollout_peer *known,
-			const struct cw_rollout_news *news)
+/*
+ * Adds the peer's answers since its last announcement. A restarted peer counts from zero, and its
+ * first announcement is only stored.
+ */
+void rollout_compare_peer(struct rollout *rollout, const struct rollout_peer *known,
+			  const struct cw_rollout_news *update)
 {
 	static const struct cw_rollout_route none = {0};
 
-	for (size_t i = 0; i < MIN(news->route_count, CW_ROLLOUT_ROUTES); i++) {
-		const struct cw_rollout_route *told = &news->routes[i];
-		struct rollout_match *match = find_match(rollout, told->route);
+	for (size_t i = 0; i < MIN(update->route_count, CW_ROLLOUT_ROUTES); i++) {
+		const struct cw_rollout_route *announced = &update->routes[i];
+		struct rollout_comparison *comparison = find_comparison(rollout, announced->route);
 		const struct cw_rollout_route *before =
-			rollout_known_route(known->routes, known->route_count, told->route);
+			rollout_lookup_route(known->routes, known->route_count, announced->route);
 
 		if (!before)
 			before = &none;
-		if (!match || news->counted_ms < known->counted_ms)
+		if (!comparison || update->counted_ms < known->counted_ms)
 			continue;
-		match->now.old_answers += since(before->old_answers, told->old_answers);
-		match->now.old_failed += since(before->old_failed, told->old_failed);
-		match->now.new_answers += since(before->new_answers, told->new_answers);
-		match->now.new_failed += since(before->new_failed, told->new_failed);
+		comparison->current.old_answers +=
+			count_since(before->old_answers, announced->old_answers);
+		comparison->current.old_failed +=
+			count_since(before->old_failed, announced->old_failed);
+		comparison->current.new_answers +=
+			count_since(before->new_answers, announced->new_answers);
+		comparison->current.new_failed +=
+			count_since(before->new_failed, announced->new_failed);
 	}
 }
 
-int rollout_match_is_bad(struct rollout *rollout, int64_t now_ms)
+int rollout_comparison_is_bad(struct rollout *rollout, int64_t now_ms)
 {
 	int is_bad = 0;
 
-	if (now_ms - rollout->matched_ms < SECOND_MS)
+	if (now_ms - rollout->compared_ms < SECOND_MS)
 		return 0;
-	rollout->matched_ms = now_ms;
-	for (size_t i = 0; i < rollout->match_count; i++) {
-		struct rollout_match *match = &rollout->matches[i];
+	rollout->compared_ms = now_ms;
+	for (size_t i = 0; i < rollout->comparison_count; i++) {
+		struct rollout_comparison *comparison = &rollout->comparisons[i];
 
-		end_second(match);
-		is_bad |= match->doubt > MATCH_LEVEL && match->failed >= MATCH_BAD;
+		close_second(comparison);
+		is_bad |= comparison->llr > COMPARISON_LEVEL &&
+			  comparison->failed >= COMPARISON_MIN_FAILURES;
 	}
 	return is_bad;
 }
 
-static struct rollout_match *find_match(struct rollout *rollout, uint64_t route)
+static struct rollout_comparison *find_comparison(struct rollout *rollout, uint64_t route)
 {
-	for (size_t i = 0; i < rollout->match_count; i++)
-		if (rollout->matches[i].route == route)
-			return &rollout->matches[i];
-	if (rollout->match_count == CW_ROLLOUT_ROUTES)
+	for (size_t i = 0; i < rollout->comparison_count; i++)
+		if (rollout->comparisons[i].route == route)
+			return &rollout->comparisons[i];
+	if (rollout->comparison_count == CW_ROLLOUT_ROUTES)
 		return NULL;
-	rollout->matches[rollout->match_count] = (struct rollout_match){.route = route};
-	return &rollout->matches[rollout->match_count++];
+	rollout->comparisons[rollout->comparison_count] =
+		(struct rollout_comparison){.route = route};
+	return &rollout->comparisons[rollout->comparison_count++];
 }
 
-/* Messages may overtake each other: what an older one tells is known. */
-static double since(uint32_t before, uint32_t now)
+/* Announcements may be reordered: an older one contributes nothing. */
+static double count_since(uint32_t before, uint32_t now)
 {
 	return now > before ? (double)(now - before) : 0;
 }
 
-/* The doubt starts anew when it falls to zero: a version may turn bad late. */
-static void end_second(struct rollout_match *match)
+/* The ratio restarts at zero when it becomes negative, so that a late regression is detected. */
+static void close_second(struct rollout_comparison *comparison)
 {
-	double usual = MAX(rate_in(match, &match->now), rate_in(match, &match->before));
-
-	match->doubt += rollout_doubt(match->now.new_answers, match->now.new_failed, usual);
-	match->failed += match->now.new_failed;
-	if (match->doubt <= 0)
-		match->doubt = match->failed = 0;
-	match->old_answers += match->now.old_answers;
-	match->old_failed += match->now.old_failed;
-	match->before = match->now;
-	match->now = (struct rollout_second){0};
+	double usual = MAX(old_failure_rate(comparison, &comparison->current),
+			   old_failure_rate(comparison, &comparison->previous));
+
+	comparison->llr += rollout_log_likelihood_ratio(comparison->current.new_answers,
+							comparison->current.new_failed, usual);
+	comparison->failed += comparison->current.new_failed;
+	if (comparison->llr <= 0)
+		comparison->llr = comparison->failed = 0;
+	comparison->old_answers += comparison->current.old_answers;
+	comparison->old_failed += comparison->current.old_failed;
+	comparison->previous = comparison->current;
+	comparison->current = (struct rollout_second){0};
 }
 
-static double rate_in(const struct rollout_match *match, const struct rollout_second *second)
+static double old_failure_rate(const struct rollout_comparison *comparison,
+			       const struct rollout_second *second)
 {
-	double usual = (match->old_failed + 0.5) / (match->old_answers + 10);
+	double usual = (comparison->old_failed + 0.5) / (comparison->old_answers + 10);
 
-	return (second->old_failed + USUAL_WORTH * usual) / (second->old_answers + USUAL_WORTH);
+	return (second->old_failed + PRIOR_WEIGHT * usual) / (second->old_answers + PRIOR_WEIGHT);
 }
--- a/packages/rollout/src/plan.c
+++ b/packages/rollout/src/plan.c
@@ -1,7 +1,7 @@
 /*
- * Which sessions are on the target: what the instances agreed on. One notices a step and tells the
- * others when it will be in force, late enough for all to have heard of it by then; the earliest
- * time told counts, and nothing agreed on is taken back.
+ * Agreement of the instances on the sessions that are on the target. The instance that detects a
+ * step announces when the step takes effect, late enough for all peers to learn of it in time. The
+ * earliest announced time wins, and a step that was agreed on is never revoked.
  */
 #include "cw_hash.h"
 #include "rollout_internal.h"
@@ -9,91 +9,100 @@
 #include <string.h>
 
 /*
- * From a step's notice until it is in force. A session's next request came to an instance that
- * learned of the step later, and went back to the old version. A part of the time is for messages
- * that are lost. Up to a dozen peers are all told in each round and need less; a longer wait makes
- * good versions late.
+ * Delay from the detection of a step until the step takes effect. Without the delay, a session's
+ * next request could arrive at an instance that did not know the step yet, and return to the old
+ * version. The delay includes a margin for lost messages. Up to a dozen peers are all contacted in
+ * every gossip round and need less; a longer delay would make good versions late.
  */
-#define AGREE_MS       1000
-#define AGREE_FEW_MS   400
-#define FEW_PEERS      12
-#define PLANNER_MS     3000 /* of listening: by then peers have told what their requests are */
-#define TRIAL_UNTIL    0.67 /* of the time ordered, as the next ones */
-#define MORE_AT	       0.62 /* a server isn't full by then: more go there that can fill one */
-#define ROUTE_A_SECOND 3.0  /* requests on the target: a rare route's failures show in 10 s */
-#define FILL_A_SECOND  0.25 /* of a server's slots are taken for the trial */
-#define MORE_FACTOR    3    /* of the sessions that were planned to fill one */
-#define ASK_SHARE      0.30 /* of light sessions, to ask a full server: more find it overfull */
-#define SECOND_SHARE   0.40 /* after the trial: what fails on one route shows before all move */
-#define SECOND_PART    0.06 /* for so long */
-#define ALL_AT_LAST    0.86 /* even so, of a target proved by then: old runs have time to end */
-
-/* A route's requests at all instances, in a ms. */
-struct flow {
+#define STEP_DELAY_MS		1000
+#define STEP_DELAY_FEW_PEERS_MS 400
+#define FEW_PEERS		12
+#define PLAN_MIN_COUNTED_MS	3000 /* until then peers have announced their routes' requests */
+#define TRIAL_END		0.67 /* of the duration, as the following fractions */
+#define MORE_START		0.62 /* without a full server by then, the trial share is increased */
+#define ROUTE_TARGET_PER_S	3.0 /* requests to the target: failures of a rare route show in 10 s */
+#define SLOT_FILL_PER_S		0.25 /* part of a server's slots that the trial fills per second */
+#define MORE_FACTOR		3    /* times the planned trial share */
+#define SHORT_PROMPT_SHARE                                                                         \
+	0.30		   /* of short-prompt sessions, to probe a full server; more overload it */
+#define SECOND_SHARE 0.40  /* after the trial: failures on one route show before all sessions move \
+			    */
+#define SECOND_LENGTH 0.06 /* duration of the second share */
+#define FULL_SHARE_LATEST                                                                          \
+	0.86 /* latest full share of a target that passed: lets old requests finish */
+
+/* Requests per ms of one route, summed over all instances. */
+struct route_rate {
 	uint64_t route;
 	double came, filling, light;
 };
 
-static int is_in_force(const struct rollout *rollout, enum cw_rollout_step step, int64_t now_ms);
-static void notice(struct rollout *rollout, enum cw_rollout_step step, int64_t now_ms);
-static double merge_share(const struct rollout *rollout, double known, double told, int64_t now_ms);
-static double filling_share(const struct rollout *rollout, uint64_t route, int64_t now_ms);
-static int64_t agree_ms(const struct rollout *rollout);
+static int is_step_in_force(const struct rollout *rollout, enum cw_rollout_step step,
+			    int64_t now_ms);
+static void schedule_step(struct rollout *rollout, enum cw_rollout_step step, int64_t now_ms);
+static double merge_share(const struct rollout *rollout, double known, double announced,
+			  int64_t now_ms);
+static double load_trial_share(const struct rollout *rollout, uint64_t route, int64_t now_ms);
+static int64_t step_delay_ms(const struct rollout *rollout);
 static int may_plan(const struct rollout *rollout, int64_t now_ms);
-static int had_request(const struct rollout *rollout);
+static int has_own_request(const struct rollout *rollout);
 static void plan_trial(struct rollout *rollout, int64_t now_ms);
-static size_t pool_flows(const struct rollout *rollout, int64_t now_ms, struct flow *flows);
-static size_t add_flows(struct flow *flows, size_t count, const struct cw_rollout_route *routes,
-			size_t route_count, double counted_ms);
-static uint32_t usual_kinds(const struct flow *flow);
-
-/* Grows only, with the time and with each step, so that a session moves forward once at most. */
+static size_t sum_route_rates(const struct rollout *rollout, int64_t now_ms,
+			      struct route_rate *rates);
+static size_t add_route_rates(struct route_rate *rates, size_t count,
+			      const struct cw_rollout_route *routes, size_t route_count,
+			      double counted_ms);
+static uint32_t majority_kinds(const struct route_rate *route_rate);
+
+/* Never decreases over time or with a step, so that a session changes its version at most once. */
 double rollout_share(const struct rollout *rollout, uint64_t route, int64_t now_ms)
 {
-	double part = rollout_part(rollout, now_ms);
+	double fraction = rollout_elapsed_fraction(rollout, now_ms);
 	double share = ROLLOUT_FIRST_SHARE;
 	const struct cw_rollout_route *planned;
 
-	if (now_ms - rollout->begun_ms < ROLLOUT_START_MS)
+	if (now_ms - rollout->started_ms < ROLLOUT_SESSION_SYNC_MS)
 		return 0;
-	if (part < ROLLOUT_FIRST_UNTIL)
+	if (fraction < ROLLOUT_FIRST_END)
 		return share;
-	if (now_ms - rollout->begun_ms >= rollout_all_from_ms(rollout))
+	if (now_ms - rollout->started_ms >= rollout_full_share_ms(rollout))
 		return 1;
-	if (part >= TRIAL_UNTIL && is_in_force(rollout, CW_ROLLOUT_PROVED, now_ms))
+	if (fraction >= TRIAL_END && is_step_in_force(rollout, CW_ROLLOUT_PROVED, now_ms))
 		share = SECOND_SHARE;
-	if (!is_in_force(rollout, CW_ROLLOUT_TRIAL, now_ms))
-		return share; /* the routes' kinds are not agreed on yet */
-	share = MAX(share, filling_share(rollout, route, now_ms));
-	planned = rollout_known_route(rollout->routes, rollout->route_count, route);
+	if (!is_step_in_force(rollout, CW_ROLLOUT_TRIAL, now_ms))
+		return share; /* the load kinds of the routes are not agreed on yet */
+	share = MAX(share, load_trial_share(rollout, route, now_ms));
+	planned = rollout_lookup_route(rollout->routes, rollout->route_count, route);
 	if (!planned)
 		return share;
 	share = MAX(share, (double)planned->share);
-	/* A full server answers long prompts late; short ones tell at once what it does. */
-	if ((planned->kinds & CW_ROLLOUT_LIGHT) && is_in_force(rollout, CW_ROLLOUT_FULL, now_ms))
-		share = MAX(share, ASK_SHARE);
+	/* A full server answers long prompts late; short prompts show its behaviour at once. */
+	if ((planned->kinds & CW_ROLLOUT_LIGHT) &&
+	    is_step_in_force(rollout, CW_ROLLOUT_FULL, now_ms))
+		share = MAX(share, SHORT_PROMPT_SHARE);
 	return share;
 }
 
 /*
- * A target proved late must not go from the first share to all at once: what fails on one route
- * only would have got more requests than a trial may when it is found.
+ * A target that passes its trial late must not go from the first share to all sessions at once:
+ * before failures on a single route show, the target would receive more requests than a trial
+ * allows.
  */
-int64_t rollout_all_from_ms(const struct rollout *rollout)
+int64_t rollout_full_share_ms(const struct rollout *rollout)
 {
 	int64_t proved_ms = rollout->from_ms[CW_ROLLOUT_PROVED];
 	double duration_ms = (double)rollout->duration_ms;
-	double second_ms = MAX(TRIAL_UNTIL * duration_ms, (double)proved_ms);
-	double last_ms = MAX(ALL_AT_LAST * duration_ms, (double)proved_ms);
+	double second_ms = MAX(TRIAL_END * duration_ms, (double)proved_ms);
+	double last_ms = MAX(FULL_SHARE_LATEST * duration_ms, (double)proved_ms);
 
 	if (proved_ms == CW_ROLLOUT_NEVER)
 		return CW_ROLLOUT_NEVER;
-	return (int64_t)MIN(second_ms + SECOND_PART * duration_ms, last_ms);
+	return (int64_t)MIN(second_ms + SECOND_LENGTH * duration_ms, last_ms);
 }
 
 /*
- * Sessions that only ask a full server must not fill it as well: with too many sessions filling
- * engines, each rejects what it is asked, and good versions cannot be tried.
+ * Sessions that only probe a full server must not add to its load: when too many sessions fill the
+ * engines, each engine rejects the probes, and a good version cannot be tested.
  */
 int cw_rollouts_is_filler(const struct cw_rollouts *rollouts,
 			  const struct cw_rollout_request *request, int64_t now_ms)
@@ -101,7 +110,7 @@
 	const struct rollout *rollout = rollout_find(rollouts, request->service);
 
 	return rollout && cw_rollouts_wants_load(rollouts, request->service, now_ms) &&
-	       cw_hash_part(request->session) < filling_share(rollout, request->route, now_ms);
+	       cw_hash_part(request->session) < load_trial_share(rollout, request->route, now_ms);
 }
 
 void cw_rollouts_came(struct cw_rollouts *rollouts, const struct cw_rollout_request *request,
@@ -113,7 +122,7 @@
 	if (!rollout)
 		return;
 	rollout->slots = slots;
-	route = rollout_find_route(rollout->routes, &rollout->route_count, request->route);
+	route = rollout_find_or_add_route(rollout->routes, &rollout->route_count, request->route);
 	if (!route)
 		return;
 	route->came++;
@@ -135,15 +144,15 @@
 	TAILQ_FOREACH(rollout, &rollouts->list, link) {
 		for (unsigned int step = 0; step < CW_ROLLOUT_STEPS; step++) {
 			if (rollout->from_ms[step] == CW_ROLLOUT_NEVER ||
-			    (rollout->told_steps & (1U << step)))
+			    (rollout->logged_steps & (1U << step)))
 				continue;
-			rollout->told_steps |= 1U << step;
+			rollout->logged_steps |= 1U << step;
 			*progress = (struct cw_rollout_progress){
 				.service = rollout->service,
 				.target = rollout->target,
 				.step = names[step],
 				.from_ms = rollout->from_ms[step],
-				.elapsed_ms = now_ms - rollout->begun_ms,
+				.elapsed_ms = now_ms - rollout->started_ms,
 				.trial_share = rollout->trial_share,
 			};
 			return 1;
@@ -152,123 +161,132 @@
 	return 0;
 }
 
-void rollout_forget_plan(struct rollout *rollout)
+void rollout_reset_plan(struct rollout *rollout)
 {
 	for (size_t i = 0; i < CW_ROLLOUT_STEPS; i++)
 		rollout->from_ms[i] = CW_ROLLOUT_NEVER;
-	rollout->told_steps = 0;
-	rollout->is_full = 0;
-	rollout->is_proved = 0;
+	rollout->logged_steps = 0;
+	rollout->has_loaded_answer = 0;
+	rollout->has_passed_trial = 0;
 	rollout->trial_share = 0;
 	rollout->route_count = 0;
-	rollout->match_count = 0;
-	rollout->matched_ms = rollout->begun_ms;
+	rollout->comparison_count = 0;
+	rollout->compared_ms = rollout->started_ms;
 }
 
-void rollout_follow_plan(struct rollout *rollout, int64_t now_ms)
+void rollout_update_plan(struct rollout *rollout, int64_t now_ms)
 {
-	double part = rollout_part(rollout, now_ms + agree_ms(rollout));
+	double fraction = rollout_elapsed_fraction(rollout, now_ms + step_delay_ms(rollout));
 
 	if (may_plan(rollout, now_ms))
 		plan_trial(rollout, now_ms);
-	if (rollout->is_full)
-		notice(rollout, CW_ROLLOUT_FULL, now_ms);
-	if (rollout->is_proved)
-		notice(rollout, CW_ROLLOUT_PROVED, now_ms);
-	if (part >= MORE_AT && !rollout->is_full && !rollout->is_proved)
-		notice(rollout, CW_ROLLOUT_MORE, now_ms);
+	if (rollout->has_loaded_answer)
+		schedule_step(rollout, CW_ROLLOUT_FULL, now_ms);
+	if (rollout->has_passed_trial)
+		schedule_step(rollout, CW_ROLLOUT_PROVED, now_ms);
+	if (fraction >= MORE_START && !rollout->has_loaded_answer && !rollout->has_passed_trial)
+		schedule_step(rollout, CW_ROLLOUT_MORE, now_ms);
 }
 
-void rollout_tell_plan(const struct rollout *rollout, int64_t now_ms, struct cw_rollout_news *out)
+void rollout_announce_plan(const struct rollout *rollout, int64_t now_ms,
+			   struct cw_rollout_news *out)
 {
 	memcpy(out->from_ms, rollout->from_ms, sizeof(out->from_ms));
 	out->trial_share = (float)rollout->trial_share;
-	out->counted_ms = (uint32_t)(now_ms - rollout->known_ms);
+	out->counted_ms = (uint32_t)(now_ms - rollout->learned_ms);
 	out->route_count = rollout->route_count;
 	memcpy(out->routes, rollout->routes, sizeof(out->routes));
 }
 
-void rollout_hear_plan(struct rollout *rollout, const struct cw_rollout_news *news, int64_t now_ms)
+void rollout_merge_plan(struct rollout *rollout, const struct cw_rollout_news *update,
+			int64_t now_ms)
 {
 	rollout->trial_share =
-		merge_share(rollout, rollout->trial_share, (double)news->trial_share, now_ms);
+		merge_share(rollout, rollout->trial_share, (double)update->trial_share, now_ms);
 	for (size_t i = 0; i < CW_ROLLOUT_STEPS; i++)
-		rollout->from_ms[i] = MIN(rollout->from_ms[i], news->from_ms[i]);
-	rollout->is_full |= news->from_ms[CW_ROLLOUT_FULL] != CW_ROLLOUT_NEVER;
-	rollout->is_proved |= news->from_ms[CW_ROLLOUT_PROVED] != CW_ROLLOUT_NEVER;
-	for (size_t i = 0; i < MIN(news->route_count, CW_ROLLOUT_ROUTES); i++) {
+		rollout->from_ms[i] = MIN(rollout->from_ms[i], update->from_ms[i]);
+	rollout->has_loaded_answer |= update->from_ms[CW_ROLLOUT_FULL] != CW_ROLLOUT_NEVER;
+	rollout->has_passed_trial |= update->from_ms[CW_ROLLOUT_PROVED] != CW_ROLLOUT_NEVER;
+	for (size_t i = 0; i < MIN(update->route_count, CW_ROLLOUT_ROUTES); i++) {
 		struct cw_rollout_route *route;
 
-		if (news->routes[i].share <= 0)
+		if (update->routes[i].share <= 0)
 			continue;
-		route = rollout_find_route(rollout->routes, &rollout->route_count,
-					   news->routes[i].route);
+		route = rollout_find_or_add_route(rollout->routes, &rollout->route_count,
+						  update->routes[i].route);
 		if (!route)
 			continue;
-		route->kinds |= news->routes[i].kinds;
+		route->kinds |= update->routes[i].kinds;
 		route->share = (float)merge_share(rollout, (double)route->share,
-						  (double)news->routes[i].share, now_ms);
+						  (double)update->routes[i].share, now_ms);
 	}
 }
 
 /*
- * The trial takes the routes that fill a server: a share of all requests leaves slots of its
- * engines free, these routes alone fill them, and the target gets half of the requests meanwhile.
+ * The trial under load moves the long-running routes. A share of all requests leaves slots of the
+ * engines free; the long-running routes alone fill them, while the target receives half of all
+ * requests.
  */
-static double filling_share(const struct rollout *rollout, uint64_t route, int64_t now_ms)
+static double load_trial_share(const struct rollout *rollout, uint64_t route, int64_t now_ms)
 {
 	double share = MAX(rollout->trial_share, ROLLOUT_FIRST_SHARE);
 	const struct cw_rollout_route *planned =
-		rollout_known_route(rollout->routes, rollout->route_count, route);
+		rollout_lookup_route(rollout->routes, rollout->route_count, route);
 
-	if (!is_in_force(rollout, CW_ROLLOUT_TRIAL, now_ms) || !planned ||
+	if (!is_step_in_force(rollout, CW_ROLLOUT_TRIAL, now_ms) || !planned ||
 	    !(planned->kinds & CW_ROLLOUT_FILLING))
 		return 0;
-	if (is_in_force(rollout, CW_ROLLOUT_MORE, now_ms))
+	if (is_step_in_force(rollout, CW_ROLLOUT_MORE, now_ms))
 		return MIN(MORE_FACTOR * share, 1);
 	return share;
 }
 
 /*
- * Who knows of fewer requests plans a larger share: until it is in force the least one told counts.
- * After it none may shrink; shares that were planned apart, behind a cut, become the larger one.
+ * An instance that knows of fewer requests plans a larger share, so until the trial takes effect
+ * the smallest announced share wins. Afterwards no share may decrease: shares that were planned
+ * independently, during a network partition, are merged to the larger one.
  */
-static double merge_share(const struct rollout *rollout, double known, double told, int64_t now_ms)
+static double merge_share(const struct rollout *rollout, double known, double announced,
+			  int64_t now_ms)
 {
-	if (known <= 0 || told <= 0 || is_in_force(rollout, CW_ROLLOUT_TRIAL, now_ms))
-		return MAX(known, told);
-	return MIN(known, told);
+	if (known <= 0 || announced <= 0 || is_step_in_force(rollout, CW_ROLLOUT_TRIAL, now_ms))
+		return MAX(known, announced);
+	return MIN(known, announced);
 }
 
-static int is_in_force(const struct rollout *rollout, enum cw_rollout_step step, int64_t now_ms)
+static int is_step_in_force(const struct rollout *rollout, enum cw_rollout_step step,
+			    int64_t now_ms)
 {
-	return now_ms - rollout->begun_ms >= rollout->from_ms[step];
+	return now_ms - rollout->started_ms >= rollout->from_ms[step];
 }
 
-static void notice(struct rollout *rollout, enum cw_rollout_step step, int64_t now_ms)
+static void schedule_step(struct rollout *rollout, enum cw_rollout_step step, int64_t now_ms)
 {
 	if (rollout->from_ms[step] == CW_ROLLOUT_NEVER)
-		rollout->from_ms[step] = now_ms - rollout->begun_ms + agree_ms(rollout);
+		rollout->from_ms[step] = now_ms - rollout->started_ms + step_delay_ms(rollout);
 }
 
-static int64_t agree_ms(const struct rollout *rollout)
+static int64_t step_delay_ms(const struct rollout *rollout)
 {
-	return g_hash_table_size(rollout->peers) > FEW_PEERS ? AGREE_MS : AGREE_FEW_MS;
+	return g_hash_table_size(rollout->peers) > FEW_PEERS ? STEP_DELAY_MS
+							     : STEP_DELAY_FEW_PEERS_MS;
 }
 
 /*
- * An instance that had no request since the order, or that has just started, knows neither what a
- * server holds nor what the others' requests are. Of 195 one such instance planned that all filling
- * sessions move, where 0.1 of them fill a server, and all others heard it.
+ * An instance that received no request since the order, or that has just started, knows neither the
+ * slots of a server nor the requests of its peers. Among 195 instances, one such instance planned
+ * to move all long-running sessions, where 0.1 of these sessions fill a server, and all peers
+ * merged its plan.
  */
 static int may_plan(const struct rollout *rollout, int64_t now_ms)
 {
 	return rollout->from_ms[CW_ROLLOUT_TRIAL] == CW_ROLLOUT_NEVER &&
-	       rollout_part(rollout, now_ms + agree_ms(rollout)) >= ROLLOUT_FIRST_UNTIL &&
-	       now_ms - rollout->known_ms >= PLANNER_MS && had_request(rollout);
+	       rollout_elapsed_fraction(rollout, now_ms + step_delay_ms(rollout)) >=
+		       ROLLOUT_FIRST_END &&
+	       now_ms - rollout->learned_ms >= PLAN_MIN_COUNTED_MS && has_own_request(rollout);
 }
 
-static int had_request(const struct rollout *rollout)
+static int has_own_request(const struct rollout *rollout)
 {
 	for (size_t i = 0; i < rollout->route_count; i++)
 		if (rollout->routes[i].came > 0)
@@ -277,40 +295,42 @@
 }
 
 /*
- * Load pattern: 36 requests a second that each take a slot for 2 s, all of them sent to the target
- * for its trial. One server was full after a second, the others got the rest, idle ones that tell
- * nothing, and what a bad version may get was spent before anything was proved. So as many go
- * there as fill a server in two or three seconds; three times as many, if by then it isn't full.
+ * Plans shares that fill one server of the target within two or three seconds, and three times the
+ * share if no server is full by then. When all of 36 requests per second that occupy a slot for 2 s
+ * each were sent to the target, one server was full after a second. The other requests reached idle
+ * servers, which give no evidence under load, and spent the allowed exposure before the end of the
+ * trial.
  */
 static void plan_trial(struct rollout *rollout, int64_t now_ms)
 {
-	struct flow flows[CW_ROLLOUT_ROUTES];
-	size_t count = pool_flows(rollout, now_ms, flows);
+	struct route_rate rates[CW_ROLLOUT_ROUTES];
+	size_t count = sum_route_rates(rollout, now_ms, rates);
 	double filling = 0;
 
 	for (size_t i = 0; i < count; i++) {
-		struct cw_rollout_route *route =
-			rollout_find_route(rollout->routes, &rollout->route_count, flows[i].route);
-		double a_second = flows[i].came * 1000;
+		struct cw_rollout_route *route = rollout_find_or_add_route(
+			rollout->routes, &rollout->route_count, rates[i].route);
+		double a_second = rates[i].came * 1000;
 
-		filling += flows[i].filling * 1000;
+		filling += rates[i].filling * 1000;
 		if (!route || a_second <= 0)
 			continue;
-		route->kinds |= usual_kinds(&flows[i]);
-		route->share =
-			(float)CLAMP(ROUTE_A_SECOND / a_second, ROLLOUT_FIRST_SHARE, SECOND_SHARE);
+		route->kinds |= majority_kinds(&rates[i]);
+		route->share = (float)CLAMP(ROUTE_TARGET_PER_S / a_second, ROLLOUT_FIRST_SHARE,
+					    SECOND_SHARE);
 	}
 	rollout->trial_share = rollout->slots && filling > 0
-				       ? MIN(FILL_A_SECOND * rollout->slots / filling, 1)
+				       ? MIN(SLOT_FILL_PER_S * rollout->slots / filling, 1)
 				       : 1;
-	notice(rollout, CW_ROLLOUT_TRIAL, now_ms);
+	schedule_step(rollout, CW_ROLLOUT_TRIAL, now_ms);
 }
 
-/* All instances' requests, by route; each has counted its own since it last started. */
-static size_t pool_flows(const struct rollout *rollout, int64_t now_ms, struct flow *flows)
+/* Sums the request rates by route; each instance has counted since its last start. */
+static size_t sum_route_rates(const struct rollout *rollout, int64_t now_ms,
+			      struct route_rate *rates)
 {
-	size_t count = add_flows(flows, 0, rollout->routes, rollout->route_count,
-				 (double)(now_ms - rollout->known_ms));
+	size_t count = add_route_rates(rates, 0, rollout->routes, rollout->route_count,
+				       (double)(now_ms - rollout->learned_ms));
 	GHashTableIter iter;
 	gpointer value;
 
@@ -318,32 +338,34 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct rollout_peer *peer = value;
 
-		count = add_flows(flows, count, peer->routes, peer->route_count, peer->counted_ms);
+		count = add_route_rates(rates, count, peer->routes, peer->route_count,
+					peer->counted_ms);
 	}
 	return count;
 }
 
-static size_t add_flows(struct flow *flows, size_t count, const struct cw_rollout_route *routes,
-			size_t route_count, double counted_ms)
+static size_t add_route_rates(struct route_rate *rates, size_t count,
+			      const struct cw_rollout_route *routes, size_t route_count,
+			      double counted_ms)
 {
 	for (size_t i = 0; i < route_count; i++) {
 		size_t j = 0;
 
-		while (j < count && flows[j].route != routes[i].route)
+		while (j < count && rates[j].route != routes[i].route)
 			j++;
 		if (j == CW_ROLLOUT_ROUTES)
 			continue;
 		if (j == count)
-			flows[count++] = (struct flow){.route = routes[i].route};
-		flows[j].came += routes[i].came / MAX(counted_ms, 1);
-		flows[j].filling += routes[i].filling / MAX(counted_ms, 1);
-		flows[j].light += routes[i].light / MAX(counted_ms, 1);
+			rates[count++] = (struct route_rate){.route = routes[i].route};
+		rates[j].came += routes[i].came / MAX(counted_ms, 1);
+		rates[j].filling += routes[i].filling / MAX(counted_ms, 1);
+		rates[j].light += routes[i].light / MAX(counted_ms, 1);
 	}
 	return count;
 }
 
-const struct cw_rollout_route *rollout_known_route(const struct cw_rollout_route *routes,
-						   size_t count, uint64_t route)
+const struct cw_rollout_route *rollout_lookup_route(const struct cw_rollout_route *routes,
+						    size_t count, uint64_t route)
 {
 	for (size_t i = 0; i < count; i++)
 		if (routes[i].route == route)
@@ -351,10 +373,10 @@
 	return NULL;
 }
 
-struct cw_rollout_route *rollout_find_route(struct cw_rollout_route *routes, size_t *count,
-					    uint64_t route)
+struct cw_rollout_route *rollout_find_or_add_route(struct cw_rollout_route *routes, size_t *count,
+						   uint64_t route)
 {
-	const struct cw_rollout_route *known = rollout_known_route(routes, *count, route);
+	const struct cw_rollout_route *known = rollout_lookup_route(routes, *count, route);
 
 	if (known)
 		return &routes[known - routes];
@@ -364,13 +386,13 @@
 	return &routes[(*count)++];
 }
 
-static uint32_t usual_kinds(const struct flow *flow)
+static uint32_t majority_kinds(const struct route_rate *route_rate)
 {
 	uint32_t kinds = 0;
 
-	if (2 * flow->filling > flow->came)
+	if (2 * route_rate->filling > route_rate->came)
 		kinds |= CW_ROLLOUT_FILLING;
-	if (2 * flow->light > flow->came)
+	if (2 * route_rate->light > route_rate->came)
 		kinds |= CW_ROLLOUT_LIGHT;
 	return kinds;
 }
--- a/packages/rollout/src/rollout.c
+++ b/packages/rollout/src/rollout.c
@@ -3,21 +3,22 @@
 
 #include <string.h>
 
-#define GIVE_UP_AT 0.86 /* not proved by then: time is left for those that moved to move back */
-#define DONE_FIRST 0.90 /* runs on the old version have ended by then */
-/* Time to write it down is left: the first instances to do so may be turned away by the store. */
-#define DONE_LAST 0.955
-#define TURN_MS	  250 /* a write is answered after 4 ms, and told to all within 150 */
+#define TRIAL_LATEST_END                                                                           \
+	0.86 /* without a passed trial by then: leaves time to move sessions back */
+#define COMPLETION_EARLIEST 0.90 /* requests on the old version have finished by then */
+/* Leaves time to publish, as the store may reject the first instances that try. */
+#define COMPLETION_LATEST 0.955
+#define WRITE_TURN_MS	  250 /* a write takes 4 ms, and its announcement 150 ms at most */
 
 static struct rollout *add(struct cw_rollouts *rollouts, const char *service);
-static void begin(struct rollout *rollout, const struct cw_rollout_order *order, uint64_t offset,
-		  int64_t begun_ms, int64_t now_ms);
+static void start(struct rollout *rollout, const struct cw_rollout_order *order, uint64_t offset,
+		  int64_t started_ms, int64_t now_ms);
 static void set_target(struct rollout *rollout, const char *target);
-static int64_t done_after_ms(const struct cw_rollouts *rollouts, const struct rollout *rollout);
-static enum cw_rollout_state judge(const struct cw_rollouts *rollouts, struct rollout *rollout,
-				   int64_t now_ms);
-static int is_tried_enough(const struct cw_rollouts *rollouts, const struct rollout *rollout,
-			   int64_t now_ms);
+static int64_t completion_ms(const struct cw_rollouts *rollouts, const struct rollout *rollout);
+static enum cw_rollout_state evaluate(const struct cw_rollouts *rollouts, struct rollout *rollout,
+				      int64_t now_ms);
+static int is_trial_over(const struct cw_rollouts *rollouts, const struct rollout *rollout,
+			 int64_t now_ms);
 static void fill_verdict(const struct rollout *rollout, struct cw_rollout_verdict *verdict);
 
 struct cw_rollouts *cw_rollouts_create(const struct cw_rollout_options *options)
@@ -38,7 +39,7 @@
 	while ((rollout = TAILQ_FIRST(&rollouts->list))) {
 		TAILQ_REMOVE(&rollouts->list, rollout, link);
 		g_hash_table_destroy(rollout->peers);
-		g_hash_table_destroy(rollout->old);
+		g_hash_table_destroy(rollout->old_sessions);
 		g_free(rollout);
 	}
 	g_free(rollouts);
@@ -52,21 +53,21 @@
 	if (rollout && rollout->is_ordered && offset <= rollout->offset)
 		return 0;
 	if (rollout && !rollout->is_ordered && !strcmp(rollout->target, order->target)) {
-		/* A starting instance reads what became of an order before the order itself. */
+		/* A starting instance may read the status of an order before the order. */
 		rollout->offset = offset;
 		rollout->is_ordered = 1;
 		return 1;
 	}
 	if (!rollout)
 		rollout = add(rollouts, order->service);
-	begin(rollout, order, offset, now_ms, now_ms);
+	start(rollout, order, offset, now_ms, now_ms);
 	return 1;
 }
 
 int cw_rollouts_told(struct cw_rollouts *rollouts, const struct cw_rollout_status *status)
 {
 	struct rollout *rollout = rollout_find(rollouts, status->service);
-	int is_news;
+	int is_changed;
 
 	if (status->state == CW_ROLLOUT_RUNNING)
 		return 0;
@@ -76,10 +77,10 @@
 	}
 	if (strcmp(rollout->target, status->target) != 0)
 		return 0;
-	is_news = rollout->state != status->state || !rollout->is_written;
+	is_changed = rollout->state != status->state || !rollout->is_written;
 	rollout->state = status->state;
 	rollout->is_written = 1;
-	return is_news;
+	return is_changed;
 }
 
 int cw_rollouts_any(const struct cw_rollouts *rollouts)
@@ -95,12 +96,13 @@
 }
 
 /*
- * Symptom this prevents: a good version was decided 1 s before its time was over and written down
- * too late, as the two instances whose turn came first could not reach the store.
+ * Delay before an instance of this rank publishes a verdict. Short, because a good version that was
+ * completed 1 s before its duration ended was published too late when the first two instances could
+ * not reach the store.
  */
 int64_t cw_rollouts_turn_ms(size_t rank)
 {
-	return TURN_MS * (int64_t)rank;
+	return WRITE_TURN_MS * (int64_t)rank;
 }
 
 int cw_rollouts_is_retired(const struct cw_rollouts *rollouts, const char *service,
@@ -132,8 +134,8 @@
 		return CW_ROLLOUT_OLD;
 	if (cw_hash_part(request->session) >= rollout_share(rollout, request->route, now_ms))
 		return CW_ROLLOUT_OLD;
-	if (rollout_part(rollout, now_ms) < ROLLOUT_FIRST_UNTIL &&
-	    rollout_was_on_old(rollouts, rollout, request->session, now_ms))
+	if (rollout_elapsed_fraction(rollout, now_ms) < ROLLOUT_FIRST_END &&
+	    rollout_was_on_old_version(rollouts, rollout, request->session, now_ms))
 		return CW_ROLLOUT_OLD;
 	return CW_ROLLOUT_NEW;
 }
@@ -156,8 +158,8 @@
 {
 	const struct rollout *rollout = rollout_find(rollouts, service);
 
-	return rollout && rollout->state == CW_ROLLOUT_RUNNING && !rollout->is_proved &&
-	       rollout_part(rollout, now_ms) >= ROLLOUT_FIRST_UNTIL;
+	return rollout && rollout->state == CW_ROLLOUT_RUNNING && !rollout->has_passed_trial &&
+	       rollout_elapsed_fraction(rollout, now_ms) >= ROLLOUT_FIRST_END;
 }
 
 size_t cw_rollouts_judge(struct cw_rollouts *rollouts, int64_t now_ms,
@@ -168,9 +170,9 @@
 
 	TAILQ_FOREACH(rollout, &rollouts->list, link) {
 		if (rollout->state == CW_ROLLOUT_RUNNING) {
-			rollout_follow_rate(rollout, now_ms);
-			rollout->state = judge(rollouts, rollout, now_ms);
-			rollout_follow_plan(rollout, now_ms);
+			rollout_update_rate(rollout, now_ms);
+			rollout->state = evaluate(rollouts, rollout, now_ms);
+			rollout_update_plan(rollout, now_ms);
 		}
 		if (rollout->state == CW_ROLLOUT_RUNNING || rollout->is_written || count == max)
 			continue;
@@ -187,61 +189,64 @@
 	verdict->reason = rollout->reason ? rollout->reason : "heard";
 	verdict->answers = rollout->all.answers;
 	verdict->bad = rollout->all.bad;
-	verdict->doubt = rollout->all.doubt;
+	verdict->llr = rollout->all.llr;
 	verdict->loaded_answers = rollout->loaded.answers;
 	verdict->loaded_bad = rollout->loaded.bad;
-	verdict->loaded_doubt = rollout->loaded.doubt;
+	verdict->loaded_llr = rollout->loaded.llr;
 }
 
 /*
- * A version may fail only on a server that is more than half full, and at a quiet hour none ever
- * is: it would be completed and fail at the next busy one. So most sessions move for a trial on a
- * full server first, and what could not be tried is taken back: the operator may order it again. An
- * instance that hears few peers lacks their evidence and leaves this to the others.
+ * A version may fail only on servers that are more than half full. In a quiet hour no server is, so
+ * such a version would be completed and fail under the next load peak. A part of the sessions is
+ * therefore moved first for a trial on a full server, and a target that could not be tried is
+ * rolled back; the operator may order it again. An instance that receives messages of less than
+ * half of its peers lacks their evidence and leaves this decision to the others.
  */
-static enum cw_rollout_state judge(const struct cw_rollouts *rollouts, struct rollout *rollout,
-				   int64_t now_ms)
+static enum cw_rollout_state evaluate(const struct cw_rollouts *rollouts, struct rollout *rollout,
+				      int64_t now_ms)
 {
-	int64_t elapsed_ms = now_ms - rollout->begun_ms;
+	int64_t elapsed_ms = now_ms - rollout->started_ms;
 
-	if (rollout_is_bad(rollout, now_ms)) {
+	if (rollout_is_target_bad(rollout, now_ms)) {
 		rollout->reason = "bad_answers";
 		return CW_ROLLOUT_BACK;
 	}
-	if (rollout->is_proved && elapsed_ms >= done_after_ms(rollouts, rollout)) {
+	if (rollout->has_passed_trial && elapsed_ms >= completion_ms(rollouts, rollout)) {
 		rollout->reason = "proved";
 		return CW_ROLLOUT_DONE;
 	}
-	if (!rollout->is_proved && is_tried_enough(rollouts, rollout, now_ms) &&
-	    rollout_hears_peers(rollout, now_ms)) {
+	if (!rollout->has_passed_trial && is_trial_over(rollouts, rollout, now_ms) &&
+	    rollout_has_recent_peers(rollout, now_ms)) {
 		rollout->reason = "not_tried_under_load";
 		return CW_ROLLOUT_BACK;
 	}
 	return CW_ROLLOUT_RUNNING;
 }
 
-static int is_tried_enough(const struct cw_rollouts *rollouts, const struct rollout *rollout,
-			   int64_t now_ms)
+static int is_trial_over(const struct cw_rollouts *rollouts, const struct rollout *rollout,
+			 int64_t now_ms)
 {
-	double part = rollout_part(rollout, now_ms);
+	double fraction = rollout_elapsed_fraction(rollout, now_ms);
 
-	return part >= GIVE_UP_AT ||
-	       (part >= ROLLOUT_FIRST_UNTIL && rollout_is_spent(rollouts, rollout, now_ms));
+	return fraction >= TRIAL_LATEST_END ||
+	       (fraction >= ROLLOUT_FIRST_END &&
+		rollout_is_exposure_spent(rollouts, rollout, now_ms));
 }
 
 /*
- * The old servers stop at once when the version is completed, and the next order may follow at
- * once. A session idle since before all went to the new version would then come back to another
- * version in the next roll-out's first half; so completion waits until it has ended, if there is
- * time.
+ * On completion the servers of the old version stop, and the next order may follow immediately. A
+ * session that has been idle since before the full share would then return to a different version
+ * in the first half of the next roll-out. Completion therefore waits, where the duration allows,
+ * until such a session has expired.
  */
-static int64_t done_after_ms(const struct cw_rollouts *rollouts, const struct rollout *rollout)
+static int64_t completion_ms(const struct cw_rollouts *rollouts, const struct rollout *rollout)
 {
 	double duration_ms = (double)rollout->duration_ms;
 	double idle_ms =
-		(double)rollout_all_from_ms(rollout) + (double)rollouts->options.session_ms;
+		(double)rollout_full_share_ms(rollout) + (double)rollouts->options.session_ms;
 
-	return (int64_t)CLAMP(idle_ms, DONE_FIRST * duration_ms, DONE_LAST * duration_ms);
+	return (int64_t)CLAMP(idle_ms, COMPLETION_EARLIEST * duration_ms,
+			      COMPLETION_LATEST * duration_ms);
 }
 
 int cw_rollouts_is_starting(const struct cw_rollouts *rollouts, int64_t now_ms)
@@ -249,23 +254,24 @@
 	const struct rollout *rollout;
 
 	TAILQ_FOREACH(rollout, &rollouts->list, link) {
-		int64_t elapsed_ms = now_ms - rollout->begun_ms;
+		int64_t elapsed_ms = now_ms - rollout->started_ms;
 
-		if (rollout->state == CW_ROLLOUT_RUNNING && elapsed_ms >= ROLLOUT_START_MS / 2 &&
-		    elapsed_ms < ROLLOUT_START_MS)
+		if (rollout->state == CW_ROLLOUT_RUNNING &&
+		    elapsed_ms >= ROLLOUT_SESSION_SYNC_MS / 2 &&
+		    elapsed_ms < ROLLOUT_SESSION_SYNC_MS)
 			return 1;
 	}
 	return 0;
 }
 
-size_t cw_rollouts_tell(struct cw_rollouts *rollouts, int64_t now_ms, struct cw_rollout_news *news,
-			size_t max)
+size_t cw_rollouts_tell(struct cw_rollouts *rollouts, int64_t now_ms,
+			struct cw_rollout_news *update, size_t max)
 {
 	struct rollout *rollout;
 	size_t count = 0;
 
 	TAILQ_FOREACH(rollout, &rollouts->list, link) {
-		struct cw_rollout_news *out = &news[count];
+		struct cw_rollout_news *out = &update[count];
 
 		if (count++ == max)
 			return max;
@@ -273,50 +279,51 @@
 		g_strlcpy(out->service, rollout->service, CW_NAME_MAX);
 		g_strlcpy(out->target, rollout->target, CW_NAME_MAX);
 		out->offset = rollout->offset;
-		out->elapsed_ms = now_ms - rollout->begun_ms;
+		out->elapsed_ms = now_ms - rollout->started_ms;
 		out->duration_ms = rollout->duration_ms;
 		out->state = rollout->state;
 		out->is_written = rollout->is_written;
 		out->sent = rollout->sent;
 		out->sent_new = rollout->sent_new;
-		rollout_tell_plan(rollout, now_ms, out);
+		rollout_announce_plan(rollout, now_ms, out);
 		if (rollout->state != CW_ROLLOUT_RUNNING)
 			continue;
-		rollout_fade(rollout, now_ms);
+		rollout_decay_evidence(rollout, now_ms);
 		out->kind_count = rollout->kind_count;
 		memcpy(out->kinds, rollout->kinds, sizeof(out->kinds));
-		rollout_tell_sessions(rollouts, rollout, now_ms, out);
+		rollout_announce_sessions(rollouts, rollout, now_ms, out);
 	}
 	return count;
 }
 
 int cw_rollouts_hear(struct cw_rollouts *rollouts, uint64_t instance,
-		     const struct cw_rollout_news *news, int64_t now_ms)
+		     const struct cw_rollout_news *update, int64_t now_ms)
 {
-	struct rollout *rollout = rollout_find(rollouts, news->service);
+	struct rollout *rollout = rollout_find(rollouts, update->service);
 	enum cw_rollout_state before;
 
-	if (rollout && rollout->is_ordered && news->offset < rollout->offset)
+	if (rollout && rollout->is_ordered && update->offset < rollout->offset)
 		return 0;
 	if (!rollout)
-		rollout = add(rollouts, news->service);
-	if (!rollout->is_ordered || news->offset > rollout->offset) {
-		struct cw_rollout_order order = {.duration_ms = news->duration_ms};
+		rollout = add(rollouts, update->service);
+	if (!rollout->is_ordered || update->offset > rollout->offset) {
+		struct cw_rollout_order order = {.duration_ms = update->duration_ms};
 
-		g_strlcpy(order.service, news->service, CW_NAME_MAX);
-		g_strlcpy(order.target, news->target, CW_NAME_MAX);
-		begin(rollout, &order, news->offset, now_ms - news->elapsed_ms, now_ms);
+		g_strlcpy(order.service, update->service, CW_NAME_MAX);
+		g_strlcpy(order.target, update->target, CW_NAME_MAX);
+		start(rollout, &order, update->offset, now_ms - update->elapsed_ms, now_ms);
 	}
-	/* The one that heard of the order first counts best: a restarted instance knows less. */
-	rollout->begun_ms = MIN(rollout->begun_ms, now_ms - news->elapsed_ms);
+	/* The earliest start is the most accurate: a restarted instance learned of the order later.
+	 */
+	rollout->started_ms = MIN(rollout->started_ms, now_ms - update->elapsed_ms);
 	before = rollout->state;
-	if (news->is_written || (news->state != CW_ROLLOUT_RUNNING && !rollout->is_written &&
-				 rollout->state == CW_ROLLOUT_RUNNING))
-		rollout->state = news->state;
-	rollout->is_written |= news->is_written;
-	rollout_hear_plan(rollout, news, now_ms);
-	rollout_hear_evidence(rollout, instance, news, now_ms);
-	rollout_hear_sessions(rollout, news, now_ms);
+	if (update->is_written || (update->state != CW_ROLLOUT_RUNNING && !rollout->is_written &&
+				   rollout->state == CW_ROLLOUT_RUNNING))
+		rollout->state = update->state;
+	rollout->is_written |= update->is_written;
+	rollout_merge_plan(rollout, update, now_ms);
+	rollout_merge_evidence(rollout, instance, update, now_ms);
+	rollout_merge_sessions(rollout, update, now_ms);
 	return rollout->state != before;
 }
 
@@ -337,33 +344,33 @@
 	g_strlcpy(rollout->service, service, CW_NAME_MAX);
 	rollout->service_hash = cw_hash_text(service, 0);
 	rollout->peers = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
-	rollout->old = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	rollout_forget_plan(rollout);
+	rollout->old_sessions = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+	rollout_reset_plan(rollout);
 	TAILQ_INSERT_TAIL(&rollouts->list, rollout, link);
 	return rollout;
 }
 
-static void begin(struct rollout *rollout, const struct cw_rollout_order *order, uint64_t offset,
-		  int64_t begun_ms, int64_t now_ms)
+static void start(struct rollout *rollout, const struct cw_rollout_order *order, uint64_t offset,
+		  int64_t started_ms, int64_t now_ms)
 {
 	set_target(rollout, order->target);
 	rollout->offset = offset;
-	rollout->begun_ms = begun_ms;
-	rollout->known_ms = now_ms;
+	rollout->started_ms = started_ms;
+	rollout->learned_ms = now_ms;
 	rollout->duration_ms = order->duration_ms;
 	rollout->state = CW_ROLLOUT_RUNNING;
 	rollout->is_written = 0;
 	rollout->is_ordered = 1;
 	rollout->kind_count = 0;
-	rollout_forget_plan(rollout);
+	rollout_reset_plan(rollout);
 	rollout->sent = rollout->sent_new = 0;
-	rollout->sent_a_ms = rollout->rated_sent = 0;
-	rollout->rated_ms = begun_ms;
+	rollout->sent_per_ms = rollout->rate_sent = 0;
+	rollout->rate_updated_ms = started_ms;
 	rollout->reason = NULL;
-	rollout->counted_ms = begun_ms;
+	rollout->decayed_ms = started_ms;
 	memset(rollout->kinds, 0, sizeof(rollout->kinds));
 	g_hash_table_remove_all(rollout->peers);
-	g_hash_table_remove_all(rollout->old);
+	g_hash_table_remove_all(rollout->old_sessions);
 }
 
 static void set_target(struct rollout *rollout, const char *target)
@@ -372,8 +379,8 @@
 	rollout->target_hash = cw_hash_text(target, 0);
 }
 
-/* Of the time ordered, that has passed. */
-double rollout_part(const struct rollout *rollout, int64_t now_ms)
+/* Elapsed fraction of the ordered duration. */
+double rollout_elapsed_fraction(const struct rollout *rollout, int64_t now_ms)
 {
-	return (double)(now_ms - rollout->begun_ms) / (double)MAX(rollout->duration_ms, 1);
+	return (double)(now_ms - rollout->started_ms) / (double)MAX(rollout->duration_ms, 1);
 }
--- a/packages/rollout/src/rollout_internal.h
+++ b/packages/rollout/src/rollout_internal.h
@@ -6,12 +6,15 @@
 #include <glib.h>
 #include <sys/queue.h>
 
-#define ROLLOUT_RECENT	    512	 /* requests remembered: 5 s of an instance at 100 a second */
-#define ROLLOUT_FIRST_SHARE 0.08 /* of sessions: a third of what a bad version may get */
-#define ROLLOUT_FIRST_UNTIL 0.52 /* of the time ordered: no session moves in the first half */
-#define ROLLOUT_START_MS    1200 /* peers' sessions are heard before the first is on the target */
-
-/* A request that went to a server. Of any version: this roll-out's target is the next one's old. */
+#define ROLLOUT_RECENT		512 /* recent requests kept: 5 s of an instance at 100 requests/s */
+#define ROLLOUT_FIRST_SHARE	0.08 /* of sessions: a third of what a bad version may receive */
+#define ROLLOUT_FIRST_END	0.52 /* of the duration: no session moves in the first half */
+#define ROLLOUT_SESSION_SYNC_MS 1200 /* peers' sessions are received before the first one moves */
+
+/*
+ * A request that was sent to a server. Requests to the target are kept as well, as the target is
+ * the old version of the next roll-out.
+ */
 struct rollout_recent {
 	uint64_t service;
 	uint64_t session;
@@ -19,9 +22,10 @@
 	int64_t at_ms;
 };
 
+/* Last state received from a peer instance. */
 struct rollout_peer {
 	uint64_t instance;
-	int64_t heard_ms;
+	int64_t last_seen_ms;
 	uint64_t sent, sent_new;
 	uint32_t counted_ms;
 	size_t route_count;
@@ -30,27 +34,28 @@
 	struct cw_rollout_evidence kinds[CW_ROLLOUT_KINDS];
 };
 
-/* One route's answers within a second, of all instances. */
+/* One route's answers at all instances within one second. */
 struct rollout_second {
 	double old_answers, old_failed;
 	double new_answers, new_failed;
 };
 
-/* The target's failures on one route, held against the other version's in the same seconds. */
-struct rollout_match {
+/* Sequential comparison of the versions' failures on one route, second by second. */
+struct rollout_comparison {
 	uint64_t route;
-	struct rollout_second now;	/* what came since the last second ended */
-	struct rollout_second before;	/* the second before it */
+	struct rollout_second current;	/* since the last second was closed */
+	struct rollout_second previous; /* the second before */
 	double old_answers, old_failed; /* since the order */
-	double failed;			/* of the target, since the doubt was last zero */
-	double doubt;
+	double failed;			/* of the target, since the ratio was last zero */
+	double llr;			/* accumulated log likelihood ratio */
 };
 
-/* Answers of the target; the doubt is above zero where they speak against it. */
+/* Answers of the target and their log likelihood ratio, above 0 where they indicate a bad target.
+ */
 struct rollout_sum {
 	double answers;
 	double bad;
-	double doubt;
+	double llr;
 };
 
 struct rollout {
@@ -59,37 +64,37 @@
 	char target[CW_NAME_MAX];
 	uint64_t service_hash;
 	uint64_t target_hash;
-	uint64_t offset; /* of the order */
-	int64_t begun_ms;
-	int64_t known_ms; /* to this instance, since it last started */
+	uint64_t offset; /* of the order's record in the shared store */
+	int64_t started_ms;
+	int64_t learned_ms; /* when this process learned of the order */
 	int64_t duration_ms;
 	enum cw_rollout_state state;
-	int is_written;
-	int is_ordered; /* 0: only what was written of it is known */
+	int is_written; /* the state is published in the shared store */
+	int is_ordered; /* 0: only the published status is known */
 	size_t kind_count;
 	struct cw_rollout_evidence kinds[CW_ROLLOUT_KINDS];
-	int is_full;   /* seen here or heard: a target's server answered under load */
-	int is_proved; /* the same: the target stood the trial under load */
-	int64_t from_ms[CW_ROLLOUT_STEPS]; /* in force, ms since the order; CW_ROLLOUT_NEVER */
-	unsigned int told_steps;	   /* bit i: step i was logged */
-	const char *reason;		   /* of the state, for the log */
-	struct rollout_sum all;		   /* of all instances and kinds, at the last look */
-	struct rollout_sum loaded;	   /* those of them from servers more than half full */
-	uint64_t sent;			   /* by this instance, to any of the service's servers */
-	uint64_t sent_new;		   /* to the target's */
-	double sent_a_ms;		   /* by all, lately */
-	double rated_sent;		   /* by all, at the last look, */
-	int64_t rated_ms;		   /* which was then */
+	int has_loaded_answer; /* here or at a peer: a server of the target answered under load */
+	int has_passed_trial;  /* here or at a peer: the target passed the trial under load */
+	int64_t from_ms[CW_ROLLOUT_STEPS]; /* when each step takes effect, since the order */
+	unsigned int logged_steps;	   /* bit i: step i was logged */
+	const char *reason;		   /* why the state was chosen, for the log */
+	struct rollout_sum all;		   /* all instances and kinds, at the last evaluation */
+	struct rollout_sum loaded;	   /* the part from servers more than half full */
+	uint64_t sent;			   /* requests of this instance to all servers */
+	uint64_t sent_new;		   /* requests of this instance to the target */
+	double sent_per_ms;		   /* recent rate of all instances */
+	double rate_sent;		   /* requests of all instances at the last rate update */
+	int64_t rate_updated_ms;	   /* time of the last rate update */
 	size_t route_count;
 	struct cw_rollout_route routes[CW_ROLLOUT_ROUTES]; /* this instance's requests */
-	size_t match_count;
-	struct rollout_match matches[CW_ROLLOUT_ROUTES];
-	int64_t matched_ms; /* the last second ended then */
-	unsigned int slots; /* of a server; 0: not known */
-	double trial_share; /* of filling sessions; grows only; 0: not planned yet */
-	int64_t counted_ms; /* the kinds' figures are true then */
-	GHashTable *peers;  /* instance -> struct rollout_peer */
-	GHashTable *old;    /* sessions that peers saw on the old version: hash -> time */
+	size_t comparison_count;
+	struct rollout_comparison comparisons[CW_ROLLOUT_ROUTES];
+	int64_t compared_ms;	  /* when the last second was closed */
+	unsigned int slots;	  /* per server; 0: unknown */
+	double trial_share;	  /* of long-running sessions; 0: no plan */
+	int64_t decayed_ms;	  /* time to which the kinds' counts are decayed */
+	GHashTable *peers;	  /* instance -> struct rollout_peer */
+	GHashTable *old_sessions; /* on the old version by peers' account: hash -> time */
 };
 
 struct cw_rollouts {
@@ -100,48 +105,54 @@
 };
 
 struct rollout *rollout_find(const struct cw_rollouts *rollouts,
-			     const char *service);		    /* NULL: none */
-double rollout_part(const struct rollout *rollout, int64_t now_ms); /* of the time ordered */
+			     const char *service); /* NULL: none */
+double rollout_elapsed_fraction(const struct rollout *rollout,
+				int64_t now_ms); /* of the duration */
 
-/* plan.c: which sessions are on the target, as all instances agreed */
+/* plan.c: agreement on the sessions that are on the target */
 double rollout_share(const struct rollout *rollout, uint64_t route, int64_t now_ms);
-int64_t rollout_all_from_ms(const struct rollout *rollout); /* since the order; or NEVER */
-void rollout_forget_plan(struct rollout *rollout);
-void rollout_follow_plan(struct rollout *rollout, int64_t now_ms); /* several times a second */
-void rollout_tell_plan(const struct rollout *rollout, int64_t now_ms, struct cw_rollout_news *out);
-void rollout_hear_plan(struct rollout *rollout, const struct cw_rollout_news *news, int64_t now_ms);
-const struct cw_rollout_route *rollout_known_route(const struct cw_rollout_route *routes,
-						   size_t count,
-						   uint64_t route); /* NULL: it is not there */
-struct cw_rollout_route *rollout_find_route(struct cw_rollout_route *routes, size_t *count,
-					    uint64_t route); /* adds it; NULL: no room */
-
-/* evidence.c: is the target worse than the version before it? */
-void rollout_fade(struct rollout *rollout, int64_t now_ms); /* the own answers, to this time */
-void rollout_hear_evidence(struct rollout *rollout, uint64_t instance,
-			   const struct cw_rollout_news *news, int64_t now_ms);
-int rollout_is_bad(struct rollout *rollout, int64_t now_ms);	   /* also sets is_proved */
-void rollout_count(struct rollout *rollout, int is_new);	   /* a request that was sent */
-void rollout_follow_rate(struct rollout *rollout, int64_t now_ms); /* several times a second */
-int rollout_is_spent(const struct cw_rollouts *rollouts, const struct rollout *rollout,
-		     int64_t now_ms); /* the target got what a bad version may get */
-double rollout_doubt(double answers, double bad_answers,
-		     double old_rate); /* of answers of the target; above 0: against it */
-int rollout_hears_peers(const struct rollout *rollout,
-			int64_t now_ms); /* 0: most evidence may be missing here */
-
-/* match.c: does a route fail on the target only, second by second? */
-void rollout_match_answer(struct rollout *rollout, const struct cw_rollout_answer *answer);
-void rollout_match_peer(struct rollout *rollout, const struct rollout_peer *known,
-			const struct cw_rollout_news *news);
-int rollout_match_is_bad(struct rollout *rollout, int64_t now_ms);
-
-/* sessions.c: which sessions ran on the old version a moment ago? */
-int rollout_was_on_old(const struct cw_rollouts *rollouts, const struct rollout *rollout,
-		       uint64_t session, int64_t now_ms);
-void rollout_tell_sessions(const struct cw_rollouts *rollouts, const struct rollout *rollout,
-			   int64_t now_ms, struct cw_rollout_news *out);
-void rollout_hear_sessions(struct rollout *rollout, const struct cw_rollout_news *news,
-			   int64_t now_ms);
+int64_t
+rollout_full_share_ms(const struct rollout *rollout); /* when all sessions move, since the order */
+void rollout_reset_plan(struct rollout *rollout);
+void rollout_update_plan(struct rollout *rollout, int64_t now_ms); /* periodic */
+void rollout_announce_plan(const struct rollout *rollout, int64_t now_ms,
+			   struct cw_rollout_news *out);
+void rollout_merge_plan(struct rollout *rollout, const struct cw_rollout_news *update,
+			int64_t now_ms);
+const struct cw_rollout_route *rollout_lookup_route(const struct cw_rollout_route *routes,
+						    size_t count,
+						    uint64_t route); /* NULL: unknown */
+struct cw_rollout_route *rollout_find_or_add_route(struct cw_rollout_route *routes, size_t *count,
+						   uint64_t route); /* NULL: table full */
+
+/* evidence.c: test whether the target is worse than the old version */
+void rollout_decay_evidence(struct rollout *rollout,
+			    int64_t now_ms); /* of this instance's answers */
+void rollout_merge_evidence(struct rollout *rollout, uint64_t instance,
+			    const struct cw_rollout_news *update, int64_t now_ms);
+int rollout_is_target_bad(struct rollout *rollout, int64_t now_ms); /* also sets has_passed_trial */
+void rollout_count_dispatch(struct rollout *rollout, int is_new);   /* a request was sent */
+void rollout_update_rate(struct rollout *rollout, int64_t now_ms);  /* periodic */
+int rollout_is_exposure_spent(
+	const struct cw_rollouts *rollouts, const struct rollout *rollout,
+	int64_t now_ms); /* the target received what a bad version may receive */
+double rollout_log_likelihood_ratio(double answers, double bad_answers,
+				    double old_rate); /* above 0: the target is rather bad */
+int rollout_has_recent_peers(const struct rollout *rollout,
+			     int64_t now_ms); /* 0: most evidence may be missing */
+
+/* match.c: per-second comparison of the versions' failures on each route */
+void rollout_compare_answer(struct rollout *rollout, const struct cw_rollout_answer *answer);
+void rollout_compare_peer(struct rollout *rollout, const struct rollout_peer *known,
+			  const struct cw_rollout_news *update);
+int rollout_comparison_is_bad(struct rollout *rollout, int64_t now_ms);
+
+/* sessions.c: sessions that recently ran on the old version */
+int rollout_was_on_old_version(const struct cw_rollouts *rollouts, const struct rollout *rollout,
+			       uint64_t session, int64_t now_ms);
+void rollout_announce_sessions(const struct cw_rollouts *rollouts, const struct rollout *rollout,
+			       int64_t now_ms, struct cw_rollout_news *out);
+void rollout_merge_sessions(struct rollout *rollout, const struct cw_rollout_news *update,
+			    int64_t now_ms);
 
 #endif
--- a/packages/route/src/route.c
+++ b/packages/route/src/route.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <strings.h>
 
-#define HASH_SPAN 1000003 /* steps in which weights are told apart */
+#define WEIGHT_STEPS 1000003 /* resolution of the weights */
 
 struct cw_config {
 	int references;
@@ -186,7 +186,7 @@
 
 	for (size_t i = 0; i < route->share_count; i++)
 		total += route->shares[i].weight;
-	point = (double)(hash % HASH_SPAN) / HASH_SPAN * total;
+	point = (double)(hash % WEIGHT_STEPS) / WEIGHT_STEPS * total;
 	for (size_t i = 0; i < route->share_count; i++) {
 		if (point < route->shares[i].weight)
 			return route->shares[i].service;
--- a/packages/session/include/cw_session.h
+++ b/packages/session/include/cw_session.h
@@ -1,7 +1,7 @@
 /*
- * Which version a session holds. A binding is (session key, table offset at its start, version);
- * of two bindings the one with the smaller offset stands, so merging is commutative and idempotent
- * and instances agree in whatever order they learn of them.
+ * Bindings of sessions to model versions. A binding is (session key, table offset at its start,
+ * version). Of two bindings for one key the one with the smaller offset wins, so merging is
+ * commutative and idempotent, and instances converge in whatever order they receive bindings.
  */
 #ifndef CW_SESSION_H
 #define CW_SESSION_H
@@ -13,12 +13,12 @@
 #include <stdint.h>
 
 struct cw_binding {
-	uint64_t key; /* hash of organisation, session id and model asked for */
-	uint64_t bound_at;
-	uint64_t row; /* cw_row.id of the version: tells whether the binding still holds */
+	uint64_t key;	   /* hash of organisation, session id and requested model */
+	uint64_t bound_at; /* table offset at the session's start */
+	uint64_t row;	   /* cw_row.id of the version, to check that the binding is still valid */
 	char model[CW_NAME_MAX];
 	char version[CW_NAME_MAX];
-	int64_t pushed_ms; /* when its homes were last told, 0 never */
+	int64_t pushed_ms; /* last announcement to the replicas of the binding; 0: never */
 };
 
 struct cw_session_store;
@@ -27,17 +27,19 @@
 struct cw_session_store *cw_session_create(size_t max_sessions);
 void cw_session_destroy(struct cw_session_store *store);
 int cw_session_merge(struct cw_session_store *store, const struct cw_binding *binding,
-		     int64_t now_ms); /* 1: the store's binding changed */
+		     int64_t now_ms); /* 1: the stored binding changed */
 const struct cw_binding *cw_session_find(struct cw_session_store *store, uint64_t key,
-					 int64_t now_ms); /* NULL: none; keeps it fresh */
+					 int64_t now_ms); /* NULL: none; renews the idle time */
 void cw_session_pushed(struct cw_session_store *store, uint64_t key, int64_t now_ms);
-void cw_session_end(struct cw_session_store *store, uint64_t key); /* its version was withdrawn */
+void cw_session_end(struct cw_session_store *store,
+		    uint64_t key); /* e.g. its version was withdrawn */
 void cw_session_expire(struct cw_session_store *store, int64_t now_ms, int64_t idle_ms);
 size_t cw_session_count(const struct cw_session_store *store);
 
 void cw_token_make(const uint8_t key[CW_KEY_BYTES], const struct cw_binding *binding,
 		   char token[CW_TOKEN_MAX]);
-enum cw_status cw_token_read(const uint8_t key[CW_KEY_BYTES], const char *token,
-			     struct cw_binding *binding); /* CW_INVALID: not ours */
+enum cw_status
+cw_token_read(const uint8_t key[CW_KEY_BYTES], const char *token,
+	      struct cw_binding *binding); /* CW_INVALID: malformed or not signed with the key */
 
 #endif
