--- a/packages/rollout/include/cw_rollout.h
+++ b/packages/rollout/include/cw_rollout.h
@@ -25,7 +25,7 @@
 
 /* Load that a route's requests usually cause; bits of a set. */
 enum cw_rollout_kind {
-	CW_ROLLOUT_FILLING = 1, /* occupies a server's slot for a long time */
+	CW_ROLLOUT_FILLING = 1, /* occupies a server's slot for long, but little else */
 	CW_ROLLOUT_LIGHT = 2,	/* short prompt: answered at once even by a full server */
 };
 
@@ -62,8 +62,7 @@
 struct cw_rollout_verdict {
 	struct cw_rollout_status status;
 	const char *reason;
-	/* Answers of the target at all instances, with exponential decay; llr: log likelihood
-	 * ratio. */
+	/* Answers of the target at all instances, decayed; llr: log likelihood ratio. */
 	double answers, bad, llr;
 	double loaded_answers, loaded_bad, loaded_llr; /* from servers more than half full */
 };
@@ -207,8 +206,7 @@
 size_t cw_rollouts_judge(struct cw_rollouts *rollouts, int64_t now_ms,
 			 struct cw_rollout_verdict *verdicts,
 			 size_t max);	  /* outcomes not known to be published */
-int64_t cw_rollouts_turn_ms(size_t rank); /* wait before publishing; a lower rank
-					   publishes first */
+int64_t cw_rollouts_turn_ms(size_t rank); /* wait before publishing, by rank */
 int cw_rollouts_is_starting(const struct cw_rollouts *rollouts,
 			    int64_t now_ms); /* peers' sessions are due before the first move */
 size_t cw_rollouts_tell(struct cw_rollouts *rollouts, int64_t now_ms, struct cw_rollout_news *news,
--- a/packages/rollout/src/match.c
+++ b/packages/rollout/src/match.c
@@ -9,9 +9,8 @@
 
 #include <string.h>
 
-#define SECOND_MS 1000
-#define PRIOR_WEIGHT                                                                               \
-	3.0 /* answers: weight of the rate since the order, added to a second's answers */
+#define SECOND_MS		1000
+#define PRIOR_WEIGHT		3.0 /* answers: weight of the rate since the order */
 #define COMPARISON_LEVEL	6.0 /* log likelihood ratio: 19 answers, of which 30 % fail */
 #define COMPARISON_MIN_FAILURES 3   /* failures */
 
--- a/packages/rollout/src/plan.c
+++ b/packages/rollout/src/plan.c
@@ -19,17 +19,14 @@
 #define FEW_PEERS		12
 #define PLAN_MIN_COUNTED_MS	3000 /* until then peers have announced their routes' requests */
 #define TRIAL_END		0.67 /* of the duration, as the following fractions */
-#define MORE_START		0.62 /* without a full server by then, the trial share is increased */
-#define ROUTE_TARGET_PER_S	3.0 /* requests to the target: failures of a rare route show in 10 s */
+#define MORE_START		0.62 /* no full server by then: larger trial share */
+#define ROUTE_TARGET_PER_S	3.0 /* requests to the target: failures of rare routes show in 10 s */
 #define SLOT_FILL_PER_S		0.25 /* part of a server's slots that the trial fills per second */
 #define MORE_FACTOR		3    /* times the planned trial share */
-#define SHORT_PROMPT_SHARE                                                                         \
-	0.30		   /* of short-prompt sessions, to probe a full server; more overload it */
-#define SECOND_SHARE 0.40  /* after the trial: failures on one route show before all sessions move \
-			    */
-#define SECOND_LENGTH 0.06 /* duration of the second share */
-#define FULL_SHARE_LATEST                                                                          \
-	0.86 /* latest full share of a target that passed: lets old requests finish */
+#define SHORT_PROMPT_SHARE	0.30 /* of sessions that probe a full server: more overload it */
+#define SECOND_SHARE		0.40 /* after the trial: failures of one route show before all move */
+#define SECOND_LENGTH		0.06 /* duration of the second share */
+#define FULL_SHARE_LATEST	0.86 /* of a target that passed by then: lets old requests finish */
 
 /* Requests per ms of one route, summed over all instances. */
 struct route_rate {
--- a/packages/rollout/src/rollout.c
+++ b/packages/rollout/src/rollout.c
@@ -3,8 +3,7 @@
 
 #include <string.h>
 
-#define TRIAL_LATEST_END                                                                           \
-	0.86 /* without a passed trial by then: leaves time to move sessions back */
+#define TRIAL_LATEST_END    0.86 /* leaves time to move sessions back */
 #define COMPLETION_EARLIEST 0.90 /* requests on the old version have finished by then */
 /* Leaves time to publish, as the store may reject the first instances that try. */
 #define COMPLETION_LATEST 0.955
--- a/packages/rollout/src/sessions.c
+++ b/packages/rollout/src/sessions.c
@@ -5,11 +5,9 @@
 #include "cw_hash.h"
 #include "rollout_internal.h"
 
-#define SESSION_SLACK_MS 500 /* beyond the session's idle time, for clock differences and gossip   \
-			      */
-#define SESSION_FORWARD_MS 2000 /* how long peers' sessions are forwarded: a dozen gossip rounds   \
-				 */
-#define SOFTWARE_UNKNOWN 0	/* a version other than the target */
+#define SESSION_SLACK_MS   500	/* beyond the idle time, for clock differences and gossip */
+#define SESSION_FORWARD_MS 2000 /* forwarding of peers' sessions: a dozen gossip rounds */
+#define SOFTWARE_UNKNOWN   0	/* a version other than the target */
 
 static void record_recent(struct cw_rollouts *rollouts, const char *service, uint64_t session,
 			  uint64_t software, int64_t now_ms);
--- a/packages/route/include/cw_route.h
+++ b/packages/route/include/cw_route.h
@@ -41,7 +41,7 @@
 	int max_attempts;     /* backend servers one request may be sent to */
 	int is_public;	      /* no key required */
 	int is_resumable;
-	struct cw_homes homes; /* regions that may serve the route */
+	struct cw_homes homes; /* regions that may serve the route; none: any */
 	size_t share_count;
 	struct cw_share shares[CW_ROUTE_SERVICES];
 	size_t model_count;			   /* 0: the caller names the model */
@@ -87,17 +87,14 @@
 struct cw_config *cw_config_ref(struct cw_config *config);
 void cw_config_unref(struct cw_config *config);
 uint64_t cw_config_version(const struct cw_config *config);
-struct cw_route *
-cw_config_add_route(struct cw_config *config); /* zeroed; filled in by the caller */
+struct cw_route *cw_config_add_route(struct cw_config *config); /* zeroed */
 struct cw_service *cw_config_add_service(struct cw_config *config);
 struct cw_organisation *cw_config_add_organisation(struct cw_config *config);
 void cw_config_add_key(struct cw_config *config, const char *key,
 		       const struct cw_organisation *organisation);
-void cw_config_require_keys(
-	struct cw_config *config); /* each request must carry an organisation's key */
+void cw_config_require_keys(struct cw_config *config); /* for each request */
 struct cw_caller_limits *cw_config_limits(struct cw_config *config);
-void cw_config_seal(
-	struct cw_config *config); /* after the last addition: builds the lookup tables */
+void cw_config_seal(struct cw_config *config); /* after the last addition */
 
 const struct cw_route *cw_config_route(const struct cw_config *config, const char *host,
 				       const char *path); /* longest prefix; NULL: none */
--- a/tests/unit/rollout_bed.c
+++ b/tests/unit/rollout_bed.c
@@ -1,54 +1,55 @@
 #include "rollout_bed.h"
 #include "cw_hash.h"
 
-#define SLOTS	 64 /* of a server */
+#define SLOTS	 64 /* per server */
 #define SESSIONS 10000
 
-const struct cw_rollout_options bed_options = {
+const struct cw_rollout_options rollout_bed_options = {
 	.session_ms = BED_SESSION_MS,
 	.exposed_share = 0.15,
 	.exposed_slack = 30,
 };
-const struct cw_rollout_order bed_order = {"llm", "v2", BED_DURATION_MS};
+const struct cw_rollout_order rollout_bed_order = {"llm", "v2", BED_DURATION_MS};
 
-struct cw_rollouts *bed_begun(int64_t now_ms)
+struct cw_rollouts *rollout_bed_start(int64_t now_ms)
 {
-	struct cw_rollouts *rollouts = cw_rollouts_create(&bed_options);
+	struct cw_rollouts *rollouts = cw_rollouts_create(&rollout_bed_options);
 
-	assert_int_equal(cw_rollouts_order(rollouts, &bed_order, 7, now_ms), 1);
+	assert_int_equal(cw_rollouts_order(rollouts, &rollout_bed_order, 7, now_ms), 1);
 	return rollouts;
 }
 
-uint64_t bed_session(int number)
+uint64_t rollout_bed_session(int number)
 {
 	return cw_hash(&number, sizeof(number), 0);
 }
 
-enum cw_rollout_arm bed_arm(struct cw_rollouts *rollouts, uint64_t session, int64_t now_ms)
+enum cw_rollout_arm rollout_bed_variant(struct cw_rollouts *rollouts, uint64_t session,
+					int64_t now_ms)
 {
 	struct cw_rollout_request request = {.service = "llm", .session = session};
 
 	return cw_rollouts_arm(rollouts, &request, now_ms);
 }
 
-double bed_share_of(struct cw_rollouts *rollouts, uint64_t route, int64_t now_ms)
+double rollout_bed_share_of(struct cw_rollouts *rollouts, uint64_t route, int64_t now_ms)
 {
 	struct cw_rollout_request request = {.service = "llm", .route = route};
 	int count = 0;
 
 	for (int i = 0; i < SESSIONS; i++) {
-		request.session = bed_session(i);
+		request.session = rollout_bed_session(i);
 		count += cw_rollouts_arm(rollouts, &request, now_ms) == CW_ROLLOUT_NEW;
 	}
 	return (double)count / SESSIONS;
 }
 
-double bed_share(struct cw_rollouts *rollouts, int64_t now_ms)
+double rollout_bed_share(struct cw_rollouts *rollouts, int64_t now_ms)
 {
-	return bed_share_of(rollouts, 0, now_ms);
+	return rollout_bed_share_of(rollouts, 0, now_ms);
 }
 
-void bed_come(struct cw_rollouts *rollouts, uint64_t route, uint32_t kinds, int count)
+void rollout_bed_receive(struct cw_rollouts *rollouts, uint64_t route, uint32_t kinds, int count)
 {
 	struct cw_rollout_request request = {.service = "llm", .route = route};
 
@@ -56,8 +57,8 @@
 		cw_rollouts_came(rollouts, &request, kinds, SLOTS);
 }
 
-void bed_answer_of(struct cw_rollouts *rollouts, struct cw_rollout_answer kind, int good, int bad,
-		   int64_t now_ms)
+void rollout_bed_answer_kind(struct cw_rollouts *rollouts, struct cw_rollout_answer kind, int good,
+			     int bad, int64_t now_ms)
 {
 	kind.service = "llm";
 	for (int i = 0; i < good + bad; i++) {
@@ -66,24 +67,25 @@
 	}
 }
 
-void bed_answers(struct cw_rollouts *rollouts, const char *software, int good, int bad,
-		 int64_t now_ms)
+void rollout_bed_answer(struct cw_rollouts *rollouts, const char *software, int good, int bad,
+			int64_t now_ms)
 {
 	struct cw_rollout_answer kind = {.software = software, .route = 1};
 
-	bed_answer_of(rollouts, kind, good, bad, now_ms);
+	rollout_bed_answer_kind(rollouts, kind, good, bad, now_ms);
 }
 
-void bed_prove(struct cw_rollouts *rollouts, int64_t now_ms)
+void rollout_bed_pass_trial(struct cw_rollouts *rollouts, int64_t now_ms)
 {
 	struct cw_rollout_answer full = {.software = "v2", .is_loaded = 1, .route = 1};
 	struct cw_rollout_verdict verdict;
 
-	bed_answer_of(rollouts, full, 20, 0, now_ms);
+	rollout_bed_answer_kind(rollouts, full, 20, 0, now_ms);
 	cw_rollouts_judge(rollouts, now_ms, &verdict, 1);
 }
 
-size_t bed_judge(struct cw_rollouts *rollouts, int64_t now_ms, enum cw_rollout_state *state)
+size_t rollout_bed_evaluate(struct cw_rollouts *rollouts, int64_t now_ms,
+			    enum cw_rollout_state *state)
 {
 	struct cw_rollout_verdict verdict = {0};
 	size_t count = cw_rollouts_judge(rollouts, now_ms, &verdict, 1);
--- a/tests/unit/test_session.c
+++ b/tests/unit/test_session.c
@@ -16,7 +16,7 @@
 	return binding;
 }
 
-static void merging_is_the_same_in_any_order(void **state)
+static void merging_is_independent_of_the_order(void **state)
 {
 	const struct cw_binding bindings[] = {binding_of(1, 5, "a"), binding_of(1, 3, "b"),
 					      binding_of(1, 9, "c")};
@@ -35,7 +35,7 @@
 	}
 }
 
-static void the_store_is_bounded_and_forgets_the_idle(void **state)
+static void the_store_is_bounded_and_idle_bindings_expire(void **state)
 {
 	struct cw_session_store *store = cw_session_create(3);
 
@@ -52,7 +52,7 @@
 	cw_session_destroy(store);
 }
 
-static void a_token_tells_what_was_bound(void **state)
+static void a_decoded_token_has_the_encoded_binding(void **state)
 {
 	struct cw_binding bound = binding_of(77, 12, "v-1");
 	struct cw_binding read;
@@ -67,32 +67,32 @@
 	assert_string_equal(read.version, "v-1");
 }
 
-static void a_forged_token_is_none(void **state)
+static void a_forged_token_is_rejected(void **state)
 {
-	static const char *const rubbish[] = {"", ".", "a.b", "0000.1.m/v", "...", "x.y.z.zz"};
+	static const char *const malformed[] = {"", ".", "a.b", "0000.1.m/v", "...", "x.y.z.zz"};
 	struct cw_binding bound = binding_of(77, 12, "v1");
 	struct cw_binding read;
 	char token[CW_TOKEN_MAX];
 
 	cw_token_make(key, &bound, token);
 	for (size_t i = 0; i < strlen(token); i++) {
-		char kept = token[i];
+		char original = token[i];
 
-		token[i] = kept == '1' ? '2' : '1';
+		token[i] = original == '1' ? '2' : '1';
 		assert_int_equal(cw_token_read(key, token, &read), CW_INVALID);
-		token[i] = kept;
+		token[i] = original;
 	}
-	for (size_t i = 0; i < sizeof(rubbish) / sizeof(rubbish[0]); i++)
-		assert_int_equal(cw_token_read(key, rubbish[i], &read), CW_INVALID);
+	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++)
+		assert_int_equal(cw_token_read(key, malformed[i], &read), CW_INVALID);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(merging_is_the_same_in_any_order),
-		cmocka_unit_test(the_store_is_bounded_and_forgets_the_idle),
-		cmocka_unit_test(a_token_tells_what_was_bound),
-		cmocka_unit_test(a_forged_token_is_none),
+		cmocka_unit_test(merging_is_independent_of_the_order),
+		cmocka_unit_test(the_store_is_bounded_and_idle_bindings_expire),
+		cmocka_unit_test(a_decoded_token_has_the_encoded_binding),
+		cmocka_unit_test(a_forged_token_is_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
