--- a/packages/rollout/include/cw_rollout.h
+++ b/packages/rollout/include/cw_rollout.h
@@ -209,10 +209,10 @@
 int64_t cw_rollouts_turn_ms(size_t rank); /* wait before publishing, by rank */
 int cw_rollouts_is_starting(const struct cw_rollouts *rollouts,
 			    int64_t now_ms); /* peers' sessions are due before the first move */
-size_t cw_rollouts_tell(struct cw_rollouts *rollouts, int64_t now_ms, struct cw_rollout_news *news,
-			size_t max);
+size_t cw_rollouts_tell(struct cw_rollouts *rollouts, int64_t now_ms,
+			struct cw_rollout_news *update, size_t max);
 int cw_rollouts_hear(struct cw_rollouts *rollouts, uint64_t instance,
-		     const struct cw_rollout_news *news,
+		     const struct cw_rollout_news *update,
 		     int64_t now_ms); /* 1: the roll-out's state changed */
 
 #endif
--- a/packages/rollout/src/evidence.c
+++ b/packages/rollout/src/evidence.c
@@ -193,15 +193,15 @@
 
 int rollout_has_recent_peers(const struct rollout *rollout, int64_t now_ms)
 {
-	guint heard = 0;
+	guint recent = 0;
 	GHashTableIter iter;
 	gpointer peer;
 
 	g_hash_table_iter_init(&iter, rollout->peers);
 	while (g_hash_table_iter_next(&iter, NULL, &peer))
 		if (now_ms - ((struct rollout_peer *)peer)->last_seen_ms <= PEER_RECENT_MS)
-			heard++;
-	return 2 * heard >= g_hash_table_size(rollout->peers);
+			recent++;
+	return 2 * recent >= g_hash_table_size(rollout->peers);
 }
 
 /*
--- a/packages/rollout/src/sessions.c
+++ b/packages/rollout/src/sessions.c
@@ -43,9 +43,9 @@
 			       uint64_t session, int64_t now_ms)
 {
 	int64_t since_ms = now_ms - rollouts->options.session_ms - SESSION_SLACK_MS;
-	const int64_t *heard = g_hash_table_lookup(rollout->old_sessions, &session);
+	const int64_t *seen_ms = g_hash_table_lookup(rollout->old_sessions, &session);
 
-	if (heard && *heard > since_ms)
+	if (seen_ms && *seen_ms > since_ms)
 		return 1;
 	for (size_t i = 0; i < ROLLOUT_RECENT; i++)
 		if (rollouts->recent[i].session == session &&
--- a/tests/unit/test_session_version.c
+++ b/tests/unit/test_session_version.c
@@ -216,7 +216,7 @@
 {
 	struct request_kind talk = {.path = "/chat/x", .read_tokens = SHORT, .made_tokens = 2000};
 	struct bed beds[2];
-	int asked = 0;
+	int largest = 0;
 
 	open_both(beds);
 	cw_rollouts_answered(rollouts(&beds[0]), &under_load, BED_NOW);
@@ -232,9 +232,9 @@
 		if (strcmp(beds[0].step.dispatch.model, "large") != 0)
 			continue;
 		assert_string_equal(software, "v2");
-		asked++;
+		largest++;
 	}
-	assert_true(asked > 0);
+	assert_true(largest > 0);
 	close_both(beds);
 }
 
