--- a/packages/rollout/include/cw_rollout.h
+++ b/packages/rollout/include/cw_rollout.h
@@ -1,14 +1,15 @@
 /*
  * Progressive roll-out of a new version of a service's server software, the target. In the first
- * half of the ordered duration a small constant share of sessions is routed to the target; then all
- * sessions move in steps, the first of which is a trial under load. As soon as the evidence shows
- * that the target is bad, the roll-out is rolled back. Sans-I/O: time, answers and announcements
- * of peers are the input; variants, verdicts and announcements to peers are the output.
+ * half of the ordered duration a small constant share of sessions is routed to the target; then
+ * all sessions move in steps, the first of which is a trial under load. As soon as the evidence
+ * shows that the target is bad, the roll-out is rolled back. Sans-I/O: time, answers and
+ * announcements of peers are the input; variants, verdicts and announcements to peers are the
+ * output.
  *
- * A session's requests arrive at many instances, and every instance must choose the same version.
- * The version therefore depends only on the session, its route, the time since the order and the
- * steps that the instances agreed on, all of which move sessions forward only; it never depends on
- * properties of a single request.
+ * A session's requests arrive at many instances, and every instance must choose the same
+ * version. The version therefore depends only on the session, its route, the time since the
+ * order and the steps that the instances agreed on, all of which move sessions forward only; it
+ * never depends on properties of a single request.
  */
 #ifndef CW_ROLLOUT_H
 #define CW_ROLLOUT_H
@@ -121,7 +122,7 @@
 	int64_t duration_ms;
 	enum cw_rollout_state state;
 	int is_written;			   /* the state is published in the shared store */
-	int64_t from_ms[CW_ROLLOUT_STEPS]; /* when each step takes effect, since the order */
+	int64_t from_ms[CW_ROLLOUT_STEPS]; /* start of each step, since the order */
 	uint64_t sent, sent_new;	   /* requests to all servers, and to those of the target */
 	float trial_share;		   /* of long-running sessions on the target; 0: no plan */
 	uint32_t counted_ms; /* how long the sender has counted the routes' requests */
--- a/packages/rollout/src/evidence.c
+++ b/packages/rollout/src/evidence.c
@@ -1,6 +1,6 @@
 /*
- * Statistical test of the target against the old version. Answers of both versions are counted by
- * route and by server load, pooled over the instances, and compared by a likelihood ratio.
+ * Statistical test of the target against the old version. Answers of both versions are counted
+ * by route and by server load, pooled over the instances, and compared by a likelihood ratio.
  */
 #include "rollout_internal.h"
 
@@ -140,10 +140,10 @@
 }
 
 /*
- * The allowed exposure depends on the requests of the whole roll-out, which are extrapolated from
- * those of all instances so far at the mean rate or at the recent rate, whichever is lower. With
- * the mean rate alone, a burst of twice the usual load predicted 1,300 requests where 1,017 were
- * sent, and a bad version received 189 requests where 183 are allowed.
+ * The allowed exposure depends on the requests of the whole roll-out, which are extrapolated
+ * from those of all instances so far at the mean rate or at the recent rate, whichever is lower.
+ * With the mean rate alone, a burst of twice the usual load predicted 1,300 requests where 1,017
+ * were sent, and a bad version received 189 requests where 183 are allowed.
  */
 int rollout_is_exposure_spent(const struct cw_rollouts *rollouts, const struct rollout *rollout,
 			      int64_t now_ms)
@@ -205,9 +205,9 @@
 }
 
 /*
- * Evaluates two windows. The recent one detects a version that turns bad late. The long one detects
- * failures on a route with one answer per second: 10 of 17 answers of such a route failed, and the
- * recent window never contained more than four of these failures.
+ * Evaluates two windows. The recent one detects a version that turns bad late. The long one
+ * detects failures on a route with one answer per second: 10 of 17 answers of such a route
+ * failed, and the recent window never contained more than four of these failures.
  */
 int rollout_is_target_bad(struct rollout *rollout, int64_t now_ms)
 {
@@ -224,9 +224,9 @@
 }
 
 /*
- * Tests each kind of answer, the answers of loaded servers, and all answers. Log likelihood ratios
- * are summed over the kinds, each relative to the old version's failure rate on the same route,
- * because routes differ and one of them may always fail.
+ * Tests each kind of answer, the answers of loaded servers, and all answers. Log likelihood
+ * ratios are summed over the kinds, each relative to the old version's failure rate on the same
+ * route, because routes differ and one of them may always fail.
  */
 static int evaluate_kinds(const struct cw_rollout_evidence *kinds, size_t count, enum window window,
 			  struct rollout_sum *all, struct rollout_sum *loaded)
@@ -258,8 +258,8 @@
 /*
  * Slow answers count in the first half only. Once most sessions move, slow answers are caused by
  * prompts missing from the new servers' caches and by servers that are down: good versions were
- * rolled back for 13 slow answers of 145, and for 84 of 458 while half of the servers were down. A
- * version that is itself slow shows in the first half.
+ * rolled back for 13 slow answers of 145, and for 84 of 458 while half of the servers were down.
+ * A version that is itself slow shows in the first half.
  */
 static int is_slowness_counted(const struct rollout *rollout, int64_t now_ms)
 {
@@ -338,11 +338,11 @@
 }
 
 /*
- * Failure rate of the old version on a route, as the higher one of two windows. The recent window
- * makes a fault that affects both versions, such as crashing servers, count against neither. The
- * window of a minute covers the end of a roll-out, when the old version answers few requests.
- * Answers from loaded and unloaded servers are pooled, because servers of the old version are
- * seldom loaded.
+ * Failure rate of the old version on a route, as the higher one of two windows. The recent
+ * window makes a fault that affects both versions, such as crashing servers, count against
+ * neither. The window of a minute covers the end of a roll-out, when the old version answers few
+ * requests. Answers from loaded and unloaded servers are pooled, because servers of the old
+ * version are seldom loaded.
  */
 static double old_rate(const struct cw_rollout_evidence *kinds, size_t count, uint64_t route)
 {
--- a/packages/rollout/src/match.c
+++ b/packages/rollout/src/match.c
@@ -3,7 +3,8 @@
  * with the old version's failures in the same second and the one before, and the log likelihood
  * ratios are summed. A fault that briefly affects both versions, such as crashing servers, then
  * does not mask later failures. Over the whole time since the order such a fault would raise the
- * old version's failure rate, and a failing target would receive more requests than a trial allows.
+ * old version's failure rate, and a failing target would receive more requests than a trial
+ * allows.
  */
 #include "rollout_internal.h"
 
@@ -44,8 +45,8 @@
 }
 
 /*
- * Adds the peer's answers since its last announcement. A restarted peer counts from zero, and its
- * first announcement is only stored.
+ * Adds the peer's answers since its last announcement. A restarted peer counts from zero, and
+ * its first announcement is only stored.
  */
 void rollout_compare_peer(struct rollout *rollout, const struct rollout_peer *known,
 			  const struct cw_rollout_news *update)
--- a/packages/rollout/src/plan.c
+++ b/packages/rollout/src/plan.c
@@ -1,7 +1,7 @@
 /*
  * Agreement of the instances on the sessions that are on the target. The instance that detects a
- * step announces when the step takes effect, late enough for all peers to learn of it in time. The
- * earliest announced time wins, and a step that was agreed on is never revoked.
+ * step announces when the step takes effect, late enough for all peers to learn of it in time.
+ * The earliest announced time wins, and a step that was agreed on is never revoked.
  */
 #include "cw_hash.h"
 #include "rollout_internal.h"
@@ -11,22 +11,22 @@
 /*
  * Delay from the detection of a step until the step takes effect. Without the delay, a session's
  * next request could arrive at an instance that did not know the step yet, and return to the old
- * version. The delay includes a margin for lost messages. Up to a dozen peers are all contacted in
- * every gossip round and need less; a longer delay would make good versions late.
+ * version. The delay includes a margin for lost messages. Up to a dozen peers are all contacted
+ * in every gossip round and need less; a longer delay would make good versions late.
  */
 #define STEP_DELAY_MS		1000
 #define STEP_DELAY_FEW_PEERS_MS 400
 #define FEW_PEERS		12
 #define PLAN_MIN_COUNTED_MS	3000 /* until then peers have announced their routes' requests */
-#define TRIAL_END		0.67 /* of the duration, as the following fractions */
-#define MORE_START		0.62 /* no full server by then: larger trial share */
+#define TRIAL_END		0.67 /* of the duration */
+#define MORE_START		0.62 /* of the duration; no full server by then: larger trial share */
 #define ROUTE_TARGET_PER_S	3.0 /* requests to the target: failures of rare routes show in 10 s */
 #define SLOT_FILL_PER_S		0.25 /* part of a server's slots that the trial fills per second */
-#define MORE_FACTOR		3    /* times the planned trial share */
+#define MORE_FACTOR		3    /* on the planned trial share */
 #define SHORT_PROMPT_SHARE	0.30 /* of sessions that probe a full server: more overload it */
 #define SECOND_SHARE		0.40 /* after the trial: failures of one route show before all move */
-#define SECOND_LENGTH		0.06 /* duration of the second share */
-#define FULL_SHARE_LATEST	0.86 /* of a target that passed by then: lets old requests finish */
+#define SECOND_LENGTH		0.06 /* of the duration, for which the second share applies */
+#define FULL_SHARE_LATEST	0.86 /* of the duration, if passed by then: old requests finish */
 
 /* Requests per ms of one route, summed over all instances. */
 struct route_rate {
@@ -87,19 +87,19 @@
  */
 int64_t rollout_full_share_ms(const struct rollout *rollout)
 {
-	int64_t proved_ms = rollout->from_ms[CW_ROLLOUT_PROVED];
+	int64_t passed_ms = rollout->from_ms[CW_ROLLOUT_PROVED];
 	double duration_ms = (double)rollout->duration_ms;
-	double second_ms = MAX(TRIAL_END * duration_ms, (double)proved_ms);
-	double last_ms = MAX(FULL_SHARE_LATEST * duration_ms, (double)proved_ms);
+	double second_ms = MAX(TRIAL_END * duration_ms, (double)passed_ms);
+	double last_ms = MAX(FULL_SHARE_LATEST * duration_ms, (double)passed_ms);
 
-	if (proved_ms == CW_ROLLOUT_NEVER)
+	if (passed_ms == CW_ROLLOUT_NEVER)
 		return CW_ROLLOUT_NEVER;
 	return (int64_t)MIN(second_ms + SECOND_LENGTH * duration_ms, last_ms);
 }
 
 /*
- * Sessions that only probe a full server must not add to its load: when too many sessions fill the
- * engines, each engine rejects the probes, and a good version cannot be tested.
+ * Sessions that only probe a full server must not add to its load: when too many sessions fill
+ * the engines, each engine rejects the probes, and a good version cannot be tested.
  */
 int cw_rollouts_is_filler(const struct cw_rollouts *rollouts,
 			  const struct cw_rollout_request *request, int64_t now_ms)
@@ -220,9 +220,9 @@
 }
 
 /*
- * The trial under load moves the long-running routes. A share of all requests leaves slots of the
- * engines free; the long-running routes alone fill them, while the target receives half of all
- * requests.
+ * The trial under load moves the long-running routes. A share of all requests leaves slots of
+ * the engines free; the long-running routes alone fill them, while the target receives half of
+ * all requests.
  */
 static double load_trial_share(const struct rollout *rollout, uint64_t route, int64_t now_ms)
 {
@@ -270,10 +270,10 @@
 }
 
 /*
- * An instance that received no request since the order, or that has just started, knows neither the
- * slots of a server nor the requests of its peers. Among 195 instances, one such instance planned
- * to move all long-running sessions, where 0.1 of these sessions fill a server, and all peers
- * merged its plan.
+ * An instance that received no request since the order, or that has just started, knows neither
+ * the slots of a server nor the requests of its peers. Among 195 instances, one such instance
+ * planned to move all long-running sessions, where 0.1 of these sessions fill a server, and all
+ * peers merged its plan.
  */
 static int may_plan(const struct rollout *rollout, int64_t now_ms)
 {
@@ -292,11 +292,11 @@
 }
 
 /*
- * Plans shares that fill one server of the target within two or three seconds, and three times the
- * share if no server is full by then. When all of 36 requests per second that occupy a slot for 2 s
- * each were sent to the target, one server was full after a second. The other requests reached idle
- * servers, which give no evidence under load, and spent the allowed exposure before the end of the
- * trial.
+ * Plans shares that fill one server of the target within two or three seconds, and three times
+ * the share if no server is full by then. When all of 36 requests per second that occupy a slot
+ * for 2 s each were sent to the target, one server was full after a second. The other requests
+ * reached idle servers, which give no evidence under load, and spent the allowed exposure before
+ * the end of the trial.
  */
 static void plan_trial(struct rollout *rollout, int64_t now_ms)
 {
@@ -307,14 +307,14 @@
 	for (size_t i = 0; i < count; i++) {
 		struct cw_rollout_route *route = rollout_find_or_add_route(
 			rollout->routes, &rollout->route_count, rates[i].route);
-		double a_second = rates[i].came * 1000;
+		double requests_per_s = rates[i].came * 1000;
 
 		filling += rates[i].filling * 1000;
-		if (!route || a_second <= 0)
+		if (!route || requests_per_s <= 0)
 			continue;
 		route->kinds |= majority_kinds(&rates[i]);
-		route->share = (float)CLAMP(ROUTE_TARGET_PER_S / a_second, ROLLOUT_FIRST_SHARE,
-					    SECOND_SHARE);
+		route->share = (float)CLAMP(ROUTE_TARGET_PER_S / requests_per_s,
+					    ROLLOUT_FIRST_SHARE, SECOND_SHARE);
 	}
 	rollout->trial_share = rollout->slots && filling > 0
 				       ? MIN(SLOT_FILL_PER_S * rollout->slots / filling, 1)
--- a/packages/rollout/src/rollout.c
+++ b/packages/rollout/src/rollout.c
@@ -3,9 +3,9 @@
 
 #include <string.h>
 
-#define TRIAL_LATEST_END    0.86 /* leaves time to move sessions back */
-#define COMPLETION_EARLIEST 0.90 /* requests on the old version have finished by then */
-/* Leaves time to publish, as the store may reject the first instances that try. */
+#define TRIAL_LATEST_END    0.86 /* of the duration: leaves time to move sessions back */
+#define COMPLETION_EARLIEST 0.90 /* of the duration: old requests have finished by then */
+/* Of the duration: leaves time to publish, as the store may reject the first instances. */
 #define COMPLETION_LATEST 0.955
 #define WRITE_TURN_MS	  250 /* a write takes 4 ms, and its announcement 150 ms at most */
 
@@ -95,9 +95,9 @@
 }
 
 /*
- * Delay before an instance of this rank publishes a verdict. Short, because a good version that was
- * completed 1 s before its duration ended was published too late when the first two instances could
- * not reach the store.
+ * Delay before an instance of this rank publishes a verdict. Short, because a good version that
+ * was completed 1 s before its duration ended was published too late when the first two
+ * instances could not reach the store.
  */
 int64_t cw_rollouts_turn_ms(size_t rank)
 {
@@ -195,9 +195,9 @@
 }
 
 /*
- * A version may fail only on servers that are more than half full. In a quiet hour no server is, so
- * such a version would be completed and fail under the next load peak. A part of the sessions is
- * therefore moved first for a trial on a full server, and a target that could not be tried is
+ * A version may fail only on servers that are more than half full. In a quiet hour no server is,
+ * so such a version would be completed and fail under the next load peak. A part of the sessions
+ * is therefore moved first for a trial on a full server, and a target that could not be tried is
  * rolled back; the operator may order it again. An instance that receives messages of less than
  * half of its peers lacks their evidence and leaves this decision to the others.
  */
@@ -233,10 +233,10 @@
 }
 
 /*
- * On completion the servers of the old version stop, and the next order may follow immediately. A
- * session that has been idle since before the full share would then return to a different version
- * in the first half of the next roll-out. Completion therefore waits, where the duration allows,
- * until such a session has expired.
+ * On completion the servers of the old version stop, and the next order may follow immediately.
+ * A session that has been idle since before the full share would then return to a different
+ * version in the first half of the next roll-out. Completion therefore waits, where the duration
+ * allows, until such a session has expired.
  */
 static int64_t completion_ms(const struct cw_rollouts *rollouts, const struct rollout *rollout)
 {
@@ -312,8 +312,7 @@
 		g_strlcpy(order.target, update->target, CW_NAME_MAX);
 		start(rollout, &order, update->offset, now_ms - update->elapsed_ms, now_ms);
 	}
-	/* The earliest start is the most accurate: a restarted instance learned of the order later.
-	 */
+	/* The earliest start is the most accurate: a restarted instance learned of it later. */
 	rollout->started_ms = MIN(rollout->started_ms, now_ms - update->elapsed_ms);
 	before = rollout->state;
 	if (update->is_written || (update->state != CW_ROLLOUT_RUNNING && !rollout->is_written &&
--- a/packages/rollout/src/rollout_internal.h
+++ b/packages/rollout/src/rollout_internal.h
@@ -75,7 +75,7 @@
 	struct cw_rollout_evidence kinds[CW_ROLLOUT_KINDS];
 	int has_loaded_answer; /* here or at a peer: a server of the target answered under load */
 	int has_passed_trial;  /* here or at a peer: the target passed the trial under load */
-	int64_t from_ms[CW_ROLLOUT_STEPS]; /* when each step takes effect, since the order */
+	int64_t from_ms[CW_ROLLOUT_STEPS]; /* start of each step, since the order */
 	unsigned int logged_steps;	   /* bit i: step i was logged */
 	const char *reason;		   /* why the state was chosen, for the log */
 	struct rollout_sum all;		   /* all instances and kinds, at the last evaluation */
--- a/packages/rollout/src/sessions.c
+++ b/packages/rollout/src/sessions.c
@@ -1,6 +1,6 @@
 /*
- * Session affinity to a version. A session that recently ran on the old version stays there in the
- * first half of a roll-out. Instances announce such sessions to each other.
+ * Session affinity to a version. A session that recently ran on the old version stays there in
+ * the first half of a roll-out. Instances announce such sessions to each other.
  */
 #include "cw_hash.h"
 #include "rollout_internal.h"
@@ -56,9 +56,9 @@
 }
 
 /*
- * Announces this instance's sessions and, for a limited time, those received from peers. In a large
- * system a single message reaches few instances, and a session that stays on the old version would
- * be unknown where its next request arrives.
+ * Announces this instance's sessions and, for a limited time, those received from peers. In a
+ * large system a single message reaches few instances, and a session that stays on the old
+ * version would be unknown where its next request arrives.
  */
 void rollout_announce_sessions(const struct cw_rollouts *rollouts, const struct rollout *rollout,
 			       int64_t now_ms, struct cw_rollout_news *out)
--- a/packages/route/include/cw_route.h
+++ b/packages/route/include/cw_route.h
@@ -1,6 +1,6 @@
 /*
- * One version of the operators' configuration: routes, services, organisations and their keys.
- * A configuration is built once and immutable afterwards. Each request holds a reference until its
+ * One version of the operators' configuration: routes, services, organisations and their keys. A
+ * configuration is built once and immutable afterwards. Each request holds a reference until its
  * end, so a newer version never invalidates the one in use.
  */
 #ifndef CW_ROUTE_H
--- a/tests/unit/test_rollout.c
+++ b/tests/unit/test_rollout.c
@@ -6,8 +6,8 @@
 
 /*
  * Guards against: a session changed to the new version between two requests.
- * Sequence: the session sends a request on the old version just before the order. Its next request
- * arrives at another instance and falls into the share of the new version.
+ * Sequence: the session sends a request on the old version just before the order. Its next
+ * request arrives at another instance and falls into the share of the new version.
  * Cause: the share was decided by the session's hash alone.
  */
 static void a_session_on_the_old_version_stays_there_until_it_expires(void **state)
@@ -41,8 +41,9 @@
 /*
  * Guards against: sessions changed their version when a second roll-out followed immediately.
  * Sequence: a session is among the first on v2. v2 is completed and v3 is ordered, and the
- * session's next request goes to v3 in the first half of that roll-out. Cause: requests to the
- * target were not recorded, although v2 is the old version of the second roll-out.
+ * session's next request goes to v3 in the first half of that roll-out.
+ * Cause: requests to the target were not recorded, although v2 is the old version of the second
+ * roll-out.
  */
 static void a_session_on_the_last_target_stays_there_in_the_next_roll_out(void **state)
 {
@@ -74,8 +75,9 @@
 /*
  * Guards against: sessions changed their version after machines lost power.
  * Sequence: a session's machine loses power, and v2 is ordered. Nine seconds later the caller
- * retries and is among the first on v2. Cause: no remaining instance knew that the session ran on
- * v1. That the caller has waited since before the order is evidence of the old version.
+ * retries and is among the first on v2.
+ * Cause: no remaining instance knew that the session ran on v1. That the caller has waited since
+ * before the order is evidence of the old version.
  */
 static void a_caller_waiting_since_before_the_order_stays_on_the_old_version(void **state)
 {
@@ -94,9 +96,9 @@
 
 /*
  * Guards against: sessions that were idle while the share grew to all changed their version.
- * Sequence: all sessions moved to v2 only a sixth of the duration before its completion, at which
- * the old servers stop. A session that was idle in between returns from v1 to v2 while v3 is rolled
- * out.
+ * Sequence: all sessions moved to v2 only a sixth of the duration before its completion, at
+ * which the old servers stop. A session that was idle in between returns from v1 to v2 while v3
+ * is rolled out.
  */
 static void idle_sessions_expire_before_the_old_version_stops(void **state)
 {
@@ -228,7 +230,8 @@
 /*
  * Guards against: a version that fails only on servers more than half full received 634 of 1,495
  * requests and was completed.
- * Sequence: in a quiet hour a tenth of the sessions, and later all, leave each server nearly empty.
+ * Sequence: in a quiet hour a tenth of the sessions, and later all, leave each server nearly
+ * empty.
  * Cause: the version was never tried under load, and its many good answers hid the few bad ones.
  */
 static void a_version_that_is_bad_only_on_full_servers_is_rolled_back(void **state)
@@ -273,9 +276,10 @@
 
 /*
  * Guards against: a version that fails only under load was completed.
- * Sequence: until the end of the duration too few requests arrive to fill a server of the version.
- * Cause: a version without a trial under load counted as good. Such a version must be rolled back
- * before the allowed exposure is spent.
+ * Sequence: until the end of the duration too few requests arrive to fill a server of the
+ * version.
+ * Cause: a version without a trial under load counted as good. Such a version must be rolled
+ * back before the allowed exposure is spent.
  */
 static void a_version_without_a_trial_under_load_is_rolled_back(void **state)
 {
@@ -341,7 +345,8 @@
 /*
  * Guards against: good versions of the orders service were rolled back in 6 of 8 roll-outs.
  * Sequence: a third of the answers on one route are failures, whatever the version. After all
- * sessions moved, the recent window contains few failures of the old version, and its rate is lost.
+ * sessions moved, the recent window contains few failures of the old version, and its rate is
+ * lost.
  * Cause: the target was compared with the failure rate of another route, or with none.
  */
 static void a_route_that_always_fails_a_third_rolls_back_no_version(void **state)
@@ -362,8 +367,8 @@
 }
 
 /*
- * Once most sessions move, prompts are processed without cached prefixes and queues grow, which is
- * no fault of the version.
+ * Once most sessions move, prompts are processed without cached prefixes and queues grow, which
+ * is no fault of the version.
  */
 static void slow_answers_count_in_the_first_half_only(void **state)
 {
@@ -423,7 +428,8 @@
 }
 
 /*
- * Guards against: after a restart of all instances a quarter of the requests was rejected for 15 s.
+ * Guards against: after a restart of all instances a quarter of the requests was rejected for 15
+ * s.
  * Sequence: the roll-out is published as completed and the old servers are removed. A starting
  * instance reads the status before the order.
  * Cause: a status without a known order was dropped, so the roll-out appeared to start anew.
@@ -446,9 +452,10 @@
 
 /*
  * Guards against: a good version was published too late.
- * Sequence: the version is completed at 0.955 of the duration, when its last sessions have moved,
- * and the first two instances cannot reach the store. Cause: each instance waited 0.4 s for the
- * previous one, and 0.63 s of a duration of 14 s were left.
+ * Sequence: the version is completed at 0.955 of the duration, when its last sessions have
+ * moved, and the first two instances cannot reach the store.
+ * Cause: each instance waited 0.4 s for the previous one, and 0.63 s of a duration of 14 s were
+ * left.
  */
 static void two_instances_without_the_store_leave_time_for_the_third(void **state)
 {
--- a/tests/unit/test_rollout_match.c
+++ b/tests/unit/test_rollout_match.c
@@ -35,13 +35,14 @@
 }
 
 /*
- * Guards against: a version that fails on one route received 621 of 1,486 requests, where 253 are
- * allowed.
- * Sequence: servers of both versions crash, and for two seconds 60 % of the old version's answers
- *on the route fail. From then on one in three answers of the target fails, and none of the old
- *version. Cause: in the recent window and since the order, a tenth of the old version's answers had
- *failed, so the target looked hardly worse. Counts per second on the route in one run: old 15 13 13
- *7 9 9 answers, 8 0 5 0 0 0 failed; target 3 0 1 0 0 0, 2 0 0 0 0 0
+ * Guards against: a version that fails on one route received 621 of 1,486 requests, where 253
+ * are allowed.
+ * Sequence: servers of both versions crash, and for two seconds 60 % of the old version's
+ * answers on the route fail. From then on one in three answers of the target fails, and none of
+ * the old version.
+ * Cause: in the recent window and since the order, a tenth of the old version's answers had
+ * failed, so the target looked hardly worse. Counts per second on the route in one run:
+ *	old 15 13 13 7 9 9 answers, 8 0 5 0 0 0 failed; target 3 0 1 0 0 0, 2 0 0 0 0 0
  */
 static void a_fault_of_both_versions_does_not_mask_later_failures(void **state)
 {
--- a/tests/unit/test_rollout_plan.c
+++ b/tests/unit/test_rollout_plan.c
@@ -36,9 +36,11 @@
 
 /*
  * Guards against: good versions were rolled back as not tried under load, though load was
- * sufficient. Sequence: all of 36 requests per second that occupy a slot for 2 s each go to the
- * target. One server is full after a second, the other requests reach idle servers, and the allowed
- * exposure is spent. Cause: all long-running sessions moved at once, whatever their number.
+ * sufficient.
+ * Sequence: all of 36 requests per second that occupy a slot for 2 s each go to the target. One
+ * server is full after a second, the other requests reach idle servers, and the allowed exposure
+ * is spent.
+ * Cause: all long-running sessions moved at once, whatever their number.
  */
 static void a_trial_moves_as_many_sessions_as_fill_one_server(void **state)
 {
@@ -88,8 +90,8 @@
 /*
  * Guards against: versions that fail on one route were detected too late in 6 of 114 roll-outs.
  * Sequence: the route has 8 requests per second. With a share of 0.08 the target receives 11 of
- * them before all sessions move, too few for a verdict. Cause: every route had the same share,
- * whatever its request rate.
+ * them before all sessions move, too few for a verdict.
+ * Cause: every route had the same share, whatever its request rate.
  */
 static void a_rare_route_has_a_larger_trial_share(void **state)
 {
@@ -109,11 +111,12 @@
 }
 
 /*
- * Guards against: a version that failed on one route received 329 of 1,471 requests, where 251 are
- * allowed.
+ * Guards against: a version that failed on one route received 329 of 1,471 requests, where 251
+ * are allowed.
  * Sequence: the target passes the trial only after the time at which all sessions move. The
- * sessions go from the first share to all at once, and the route's failures show 2 s later. Cause:
- * the intermediate share, at which the failures show, ended at a fixed time and was skipped.
+ * sessions go from the first share to all at once, and the route's failures show 2 s later.
+ * Cause: the intermediate share, at which the failures show, ended at a fixed time and was
+ * skipped.
  */
 static void a_target_that_passes_late_keeps_the_intermediate_share(void **state)
 {
--- a/tests/unit/test_rollout_slow.c
+++ b/tests/unit/test_rollout_slow.c
@@ -2,12 +2,13 @@
 #include "rollout_bed.h"
 
 /*
- * Guards against: a good version was rolled back 4.4 s after its order on a calm day (1 of 4 such
- * days).
- * Sequence: eight instances send one prompt each to the same server of the target within 0.2 s. The
- * server processes the prompts one after the other, and the answers begin after 300 to 580 ms where
- * 27 ms were predicted.
- * Cause: answers that queued behind each other on one server counted as independent evidence. Log:
+ * Guards against: a good version was rolled back 4.4 s after its order on a calm day (1 of 4
+ * such days).
+ * Sequence: eight instances send one prompt each to the same server of the target within 0.2 s.
+ * The server processes the prompts one after the other, and the answers begin after 300 to 580
+ * ms where 27 ms were predicted.
+ * Cause: answers that queued behind each other on one server counted as independent evidence.
+ * Log:
  *	event=rollout_verdict target=v2 state=2 reason=bad_answers answers=26.2 bad=7.5
  */
 static void slow_answers_that_waited_together_condemn_no_version(void **state)
--- a/tests/unit/test_session_version.c
+++ b/tests/unit/test_session_version.c
@@ -1,11 +1,12 @@
 /*
- * Guards against: in the second half of a roll-out of a good version, one request of a session ran
- *on the new version and the next one on the old version. The share of the new version was looked up
- * for each attempt, by its prompt length and its expected time on a server. An answer of the
- *smallest model came from the new version, and the answer of the largest model that replaced it
- *from the old one. A longer prompt of the same session, or the same prompt at an instance that had
- *received other requests, had another share. 98 of 100 subsequent requests of a session arrive at
- *another instance, and instances learn of a step of a trial up to 0.34 s apart.
+ * Guards against: in the second half of a roll-out of a good version, one request of a session
+ * ran on the new version and the next one on the old version. The share of the new version was
+ * looked up for each attempt, by its prompt length and its expected time on a server. An answer
+ * of the smallest model came from the new version, and the answer of the largest model that
+ * replaced it from the old one. A longer prompt of the same session, or the same prompt at an
+ * instance that had received other requests, had another share. 98 of 100 subsequent requests of
+ * a session arrive at another instance, and instances learn of a step of a trial up to 0.34 s
+ * apart.
  *
  * Two log lines of one session, 1.0 s apart:
  *	event=dispatch request=a attempt=1 software=v2 session=4850 arm=new share=0.400 point=0.235
@@ -208,9 +209,9 @@
 }
 
 /*
- * Requests go to the largest model at once only to load a server of the target. The choice of the
- * model once changed the load kind of a request whose session was not on the target, so the old
- * version's servers received the long answers.
+ * Requests go to the largest model at once only to load a server of the target. The choice of
+ * the model once changed the load kind of a request whose session was not on the target, so the
+ * old version's servers received the long answers.
  */
 static void the_largest_model_is_used_at_once_on_the_target_only(void **state)
 {
