--- a/apps/corianderwalk/entry_news.c
+++ b/apps/corianderwalk/entry_news.c
@@ -22,14 +22,14 @@
 		take_config(feed, news);
 		break;
 	case CW_UP_ROLLOUT_ORDER:
-		if (cw_rollouts_order(rollouts, &news->order, news->offset, now_ms))
+		if (cw_rollouts_apply_order(rollouts, &news->order, news->offset, now_ms))
 			cw_event("feed", "rollout_ordered",
 				 "service=%s target=%s duration_ms=%ld offset=%lu",
 				 news->order.service, news->order.target,
 				 (long)news->order.duration_ms, (unsigned long)news->offset);
 		break;
 	case CW_UP_ROLLOUT_STATUS:
-		if (cw_rollouts_told(rollouts, &news->status))
+		if (cw_rollouts_apply_status(rollouts, &news->status))
 			cw_event("feed", "rollout_told", "service=%s target=%s state=%d",
 				 news->status.service, news->status.target, news->status.state);
 		break;
@@ -92,7 +92,7 @@
 		return;
 	cw_event("feed", "configured", "version=%lu offset=%lu routes=%zu",
 		 (unsigned long)cw_config_version(news->config), (unsigned long)news->offset,
-		 cw_config_routes(news->config));
+		 cw_config_route_count(news->config));
 	g_free(feed->config_packed);
 	feed->config_packed = cw_pack(news->text, news->text_size, &feed->config_size);
 	entry_apply_limits(entry);
--- a/apps/corianderwalk/entry_peers.c
+++ b/apps/corianderwalk/entry_peers.c
@@ -264,8 +264,8 @@
 		load->work_ms = (uint32_t)cw_pool_own_work_ms(server, now_ms);
 		gossip->load_count++;
 	}
-	gossip->rollout_count = cw_rollouts_tell(cw_gate_rollouts(entry->gate), now_ms,
-						 gossip->rollouts, CW_GOSSIP_ROLLOUTS);
+	gossip->rollout_count = cw_rollouts_announce(cw_gate_rollouts(entry->gate), now_ms,
+						     gossip->rollouts, CW_GOSSIP_ROLLOUTS);
 	gossip->end_count = cw_quarantine_tell_ends(cw_gate_quarantine(entry->gate), now_ms,
 						    gossip->ends, CW_QUARANTINE_ENDS);
 	gossip->held_count = cw_quarantine_tell_records(cw_gate_quarantine(entry->gate), now_ms,
@@ -328,8 +328,8 @@
 	loads->count = gossip->load_count;
 	memcpy(loads->loads, gossip->loads, gossip->load_count * sizeof(gossip->loads[0]));
 	for (size_t i = 0; i < gossip->rollout_count; i++)
-		if (cw_rollouts_hear(cw_gate_rollouts(entry->gate), member->id,
-				     &gossip->rollouts[i], now_ms))
+		if (cw_rollouts_merge(cw_gate_rollouts(entry->gate), member->id,
+				      &gossip->rollouts[i], now_ms))
 			cw_event("peers", "rollout_heard",
 				 "peer=%s service=%s target=%s state=%d written=%d",
 				 member->instance, gossip->rollouts[i].service,
--- a/apps/corianderwalk/entry_relay.c
+++ b/apps/corianderwalk/entry_relay.c
@@ -237,9 +237,9 @@
 static void send_attempt(struct relay *relay, const struct cw_step *step)
 {
 	static const char *const arms[] = {
-		[CW_ROLLOUT_ANY] = "any",
-		[CW_ROLLOUT_OLD] = "old",
-		[CW_ROLLOUT_NEW] = "new",
+		[CW_ROLLOUT_VARIANT_ANY] = "any",
+		[CW_ROLLOUT_VARIANT_OLD] = "old",
+		[CW_ROLLOUT_VARIANT_NEW] = "new",
 	};
 	GString *bytes = g_string_sized_new(relay->request->body->len + 512);
 	struct cw_exchange_request request = {
@@ -269,7 +269,7 @@
 		 (unsigned long)cw_config_version(cw_gate_config(relay->entry->gate)),
 		 cw_pool_load(step->server, entry_now_ms(relay->entry)),
 		 (long)(entry_now_ms(relay->entry) - relay->opened_ms),
-		 *relay->facts.session ? relay->facts.session : "-", arms[step->assignment.arm],
+		 *relay->facts.session ? relay->facts.session : "-", arms[step->assignment.variant],
 		 step->assignment.share, step->assignment.point,
 		 (unsigned long)cw_call_fingerprint(relay->call));
 	if (relay->events)
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -428,7 +428,7 @@
 		restore_unseen(topic);
 		topic_ask_in(topic, CW_READERS_KNOWN_MS);
 		/* What became of an order is written down; without one there is nothing to read. */
-		if (cw_rollouts_any(cw_gate_rollouts(entry->gate)) && !feed->status.is_complete)
+		if (cw_rollouts_has_any(cw_gate_rollouts(entry->gate)) && !feed->status.is_complete)
 			ask(&feed->status);
 	} else if (topic->topic == CW_UP_STATUS) {
 		feed->verdict.is_status_fresh = 1;
--- a/apps/corianderwalk/entry_verdict.c
+++ b/apps/corianderwalk/entry_verdict.c
@@ -31,8 +31,8 @@
 {
 	struct feed *feed = verdict->feed;
 	struct cw_rollout_verdict verdicts[VERDICTS];
-	size_t count =
-		cw_rollouts_judge(cw_gate_rollouts(feed->entry->gate), now_ms, verdicts, VERDICTS);
+	size_t count = cw_rollouts_evaluate(cw_gate_rollouts(feed->entry->gate), now_ms, verdicts,
+					    VERDICTS);
 
 	log_progress(cw_gate_rollouts(feed->entry->gate), now_ms);
 	if (count == 0) {
@@ -69,11 +69,12 @@
 {
 	struct cw_rollout_progress progress;
 
-	while (cw_rollouts_progressed(rollouts, now_ms, &progress))
+	while (cw_rollouts_next_progress(rollouts, now_ms, &progress))
 		cw_event("feed", "rollout_step",
 			 "service=%s target=%s step=%s from_ms=%ld elapsed_ms=%ld trial_share=%.3f",
-			 progress.service, progress.target, progress.step, (long)progress.from_ms,
-			 (long)progress.elapsed_ms, progress.trial_share);
+			 progress.service, progress.target, progress.step,
+			 (long)progress.effective_ms, (long)progress.elapsed_ms,
+			 progress.trial_share);
 }
 
 static int is_my_turn(const struct verdict *verdict, const char *service, int64_t now_ms)
@@ -81,7 +82,7 @@
 	const struct feed *feed = verdict->feed;
 	size_t rank = peers_rank(feed->entry->peers, cw_hash_text(service, 0), now_ms);
 
-	return now_ms - verdict->decided_ms >= cw_rollouts_turn_ms(rank) &&
+	return now_ms - verdict->decided_ms >= cw_rollouts_write_delay_ms(rank) &&
 	       !verdict->append.exchange && !feed->status.exchange && !feed->status.is_down;
 }
 
@@ -114,6 +115,6 @@
 		 cw_status_name(status));
 	if (status != CW_OK)
 		return;
-	cw_rollouts_told(cw_gate_rollouts(entry->gate), &verdict->status);
+	cw_rollouts_apply_status(cw_gate_rollouts(entry->gate), &verdict->status);
 	peers_tell(entry->peers);
 }
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -130,8 +130,8 @@
 		call->model = small;
 	}
 	step->kind = CW_STEP_SHOW;
-	step->silence_ms =
-		call->route->repeat == CW_REPEAT_STREAM ? pause_ms(call) : silence_ms(call, now_ms);
+	step->silence_ms = call->route->retry_policy == CW_RETRY_STREAM ? pause_ms(call)
+									: silence_ms(call, now_ms);
 }
 
 int cw_call_wants_event(const struct cw_call *call, int64_t event)
@@ -283,8 +283,8 @@
 		return;
 	waited_ms = gate_longest_wait_ms(call->gate, call->route->name, call->facts.allowed_ms) -
 		    call->facts.allowed_ms;
-	cw_rollouts_asked(call->gate->rollouts, call->service_name, call->session,
-			  call->opened_ms - waited_ms, call->opened_ms);
+	cw_rollouts_record_retry(call->gate->rollouts, call->service_name, call->session,
+				 call->opened_ms - waited_ms, call->opened_ms);
 }
 
 /* Route, organisation and service; 0: refused. */
@@ -292,13 +292,13 @@
 {
 	const struct cw_config *config = call->config;
 
-	call->route = cw_config_route(config, call->facts.host, call->facts.path);
+	call->route = cw_config_find_route(config, call->facts.host, call->facts.path);
 	if (!call->route) {
 		call_refuse(step, 404, "no route");
 		return 0;
 	}
-	if (cw_config_needs_key(config) && !call->route->is_public) {
-		call->organisation = cw_config_key(config, call->facts.key);
+	if (cw_config_requires_key(config) && !call->route->is_public) {
+		call->organisation = cw_config_find_organisation(config, call->facts.key);
 		if (!call->organisation) {
 			call_refuse(step, 401, "unknown key");
 			return 0;
@@ -309,10 +309,10 @@
 		call->facts.body);
 	call->session = session_key(call);
 	call->route_hash = cw_hash_text(call->route->name, 0);
-	call->service_name = cw_route_service(
+	call->service_name = cw_route_choose_service(
 		call->route, cw_hash(&call->session, sizeof(call->session), SERVICE_SEED));
 	note_wait(call);
-	call->service = cw_config_service(config, call->service_name);
+	call->service = cw_config_find_service(config, call->service_name);
 	return 1;
 }
 
@@ -345,11 +345,11 @@
 
 	call->is_filling = call_work_is_filling(call);
 	if (call->is_filling)
-		kinds |= CW_ROLLOUT_FILLING;
+		kinds |= CW_ROLLOUT_LONG_RUNNING;
 	if (call_work_is_light(call))
-		kinds |= CW_ROLLOUT_LIGHT;
-	cw_rollouts_came(call->gate->rollouts, &request, kinds,
-			 call->service ? call->service->slots : 0);
+		kinds |= CW_ROLLOUT_SHORT_PROMPT;
+	cw_rollouts_record_arrival(call->gate->rollouts, &request, kinds,
+				   call->service ? call->service->slots : 0);
 }
 
 /* 1: step is SEND. */
@@ -368,15 +368,15 @@
 	call->sent_ms = now_ms;
 	gate_note_sent(call->gate, call->service_name, now_ms);
 	call_work_begin(call, is_home, now_ms);
-	cw_rollouts_used(call->gate->rollouts, call->service_name, call->session, server->software,
-			 now_ms);
+	cw_rollouts_record_dispatch(call->gate->rollouts, call->service_name, call->session,
+				    server->software, now_ms);
 	call->attempts++;
 	call->tried[call->tried_count++ % CW_MAX_ATTEMPTS] = server->id;
 	cw_pool_dispatched(server, now_ms);
 	step->kind = CW_STEP_SEND;
 	step->server = server;
 	step->connect_ms = connect_ms(call);
-	step->reuse_idle_ms = call->route->repeat == CW_REPEAT_NEVER
+	step->reuse_idle_ms = call->route->retry_policy == CW_RETRY_NEVER
 				      ? REUSE_ONCE_MS
 				      : (int64_t)policy->reuse_idle_ms;
 	step->silence_ms = silence_ms(call, now_ms);
@@ -438,7 +438,7 @@
 
 	if (!may_repeat(call) || (int)call->attempts >= call->route->max_attempts)
 		return left_ms;
-	if (call->route->repeat == CW_REPEAT_STREAM)
+	if (call->route->retry_policy == CW_RETRY_STREAM)
 		return MIN(left_ms,
 			   (int64_t)(policy->silence_part * (double)call->route->objective_ms +
 				     policy->silence_factor * call->predicted_ms));
@@ -489,12 +489,12 @@
 /* May it run a second time? Only by its kind, never by its name. */
 static int may_repeat(const struct cw_call *call)
 {
-	switch (call->route->repeat) {
-	case CW_REPEAT_ANY:
+	switch (call->route->retry_policy) {
+	case CW_RETRY_ANY:
 		return !call->is_shown;
-	case CW_REPEAT_STREAM:
+	case CW_RETRY_STREAM:
 		return call->route->is_resumable;
-	case CW_REPEAT_NEVER:
+	case CW_RETRY_NEVER:
 		break;
 	}
 	return 0;
--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -35,20 +35,20 @@
 	choice.is_home = is_home;
 	if (newcomer && (!target || strcmp(newcomer, target) != 0))
 		choice.not_yet = newcomer;
-	call->assignment = cw_rollouts_assignment(gate->rollouts, &request, now_ms);
-	switch (call->assignment.arm) {
-	case CW_ROLLOUT_OLD:
+	call->assignment = cw_rollouts_assign(gate->rollouts, &request, now_ms);
+	switch (call->assignment.variant) {
+	case CW_ROLLOUT_VARIANT_OLD:
 		choice.not_software = target;
 		break;
-	case CW_ROLLOUT_NEW:
+	case CW_ROLLOUT_VARIANT_NEW:
 		choice.only_software = target;
 		choice.spread = call->assignment.share;
-		if (cw_rollouts_wants_load(gate->rollouts, call->service_name, now_ms))
+		if (cw_rollouts_needs_load_trial(gate->rollouts, call->service_name, now_ms))
 			choice.fill_part = call->is_filling	      ? FILL_PART
 					   : call_work_is_light(call) ? ASK_PART
 								      : 0;
 		break;
-	case CW_ROLLOUT_ANY:
+	case CW_ROLLOUT_VARIANT_ANY:
 		break;
 	}
 	server = choose_begun(call, &choice);
@@ -62,7 +62,7 @@
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
 	/* Neither version is barred, unless it was found bad: the other one answers as well. */
-	if (!server && !cw_rollouts_is_bad(gate->rollouts, call->service_name)) {
+	if (!server && !cw_rollouts_is_rolled_back(gate->rollouts, call->service_name)) {
 		choice.only_software = choice.not_software = choice.not_yet = NULL;
 		server = cw_pool_choose(gate->pool, &choice);
 	}
@@ -107,7 +107,7 @@
 {
 	struct cw_choice begun = *choice;
 
-	if (!call->is_shown || cw_rollouts_is_bad(call->gate->rollouts, call->service_name))
+	if (!call->is_shown || cw_rollouts_is_rolled_back(call->gate->rollouts, call->service_name))
 		return NULL;
 	begun.only_software = call->software;
 	begun.not_software = NULL;
--- a/packages/gate/src/call_model.c
+++ b/packages/gate/src/call_model.c
@@ -26,7 +26,7 @@
 	struct cw_rollouts *rollouts = call->gate->rollouts;
 	struct cw_rollout_request request = call_as_request(call);
 
-	return call->is_filling && cw_rollouts_is_filler(rollouts, &request, now_ms);
+	return call->is_filling && cw_rollouts_is_trial_load(rollouts, &request, now_ms);
 }
 
 /* Does the gate say which model answers, and is there a choice? */
--- a/packages/gate/src/call_work.c
+++ b/packages/gate/src/call_work.c
@@ -82,9 +82,9 @@
 	const struct gate_pace *pace = gate_pace(call->gate, largest);
 	double events;
 
-	if (!call->service || call->service->event_tokens <= 0 || pace->event_ms <= 0)
+	if (!call->service || call->service->tokens_per_event <= 0 || pace->event_ms <= 0)
 		return 1;
-	events = call->facts.hint_tokens / call->service->event_tokens;
+	events = call->facts.hint_tokens / call->service->tokens_per_event;
 	return events * pace->event_ms <
 	       call->gate->policy->escalate_whole_part * (double)(call->limit_ms - now_ms);
 }
@@ -184,7 +184,7 @@
 		return;
 	gap_ms = (double)(now_ms - call->head_ms) / call->events;
 	if (pace->event_ms > 0 && gap_ms > SLOW_FACTOR * pace->event_ms)
-		cw_rollouts_spoiled(call->gate->rollouts, &answer, now_ms);
+		cw_rollouts_mark_answer_slow(call->gate->rollouts, &answer, now_ms);
 	if (pace->event_ms <= 0)
 		pace->event_ms = gap_ms;
 	else if (!is_target(call))
@@ -282,7 +282,7 @@
 
 	answer.is_failure = is_failure;
 	answer.is_slow = is_slow;
-	cw_rollouts_answered(call->gate->rollouts, &answer, now_ms);
+	cw_rollouts_record_answer(call->gate->rollouts, &answer, now_ms);
 }
 
 static struct cw_rollout_answer as_evidence(const struct cw_call *call)
--- a/packages/gossip/include/cw_gossip.h
+++ b/packages/gossip/include/cw_gossip.h
@@ -56,7 +56,7 @@
 	size_t load_count;
 	struct cw_gossip_load loads[CW_GOSSIP_SERVERS];
 	size_t rollout_count;
-	struct cw_rollout_news rollouts[CW_GOSSIP_ROLLOUTS];
+	struct cw_rollout_announcement rollouts[CW_GOSSIP_ROLLOUTS];
 	size_t end_count;
 	struct cw_quarantine_end ends[CW_QUARANTINE_ENDS];
 	size_t held_count;
--- a/packages/gossip/src/gossip.c
+++ b/packages/gossip/src/gossip.c
@@ -12,11 +12,11 @@
 static bool_t code_member(XDR *xdr, struct cw_gossip_member *member);
 static bool_t code_address(XDR *xdr, char *address);
 static bool_t code_load(XDR *xdr, struct cw_gossip_load *load);
-static bool_t code_rollout(XDR *xdr, struct cw_rollout_news *news);
+static bool_t code_rollout(XDR *xdr, struct cw_rollout_announcement *news);
 static bool_t code_end(XDR *xdr, struct cw_quarantine_end *end);
 static bool_t code_held(XDR *xdr, struct cw_quarantine_record *record);
 static bool_t code_drain(XDR *xdr, struct cw_drain_order *order);
-static bool_t code_plan(XDR *xdr, struct cw_rollout_news *news);
+static bool_t code_plan(XDR *xdr, struct cw_rollout_announcement *news);
 static bool_t code_evidence(XDR *xdr, struct cw_rollout_evidence *evidence);
 static bool_t code_number(XDR *xdr, float *number);
 
@@ -210,7 +210,7 @@
 	       xdr_u_int(xdr, &load->work_ms);
 }
 
-static bool_t code_rollout(XDR *xdr, struct cw_rollout_news *news)
+static bool_t code_rollout(XDR *xdr, struct cw_rollout_announcement *news)
 {
 	int state = news->state;
 
@@ -219,17 +219,17 @@
 	    !xdr_uint64_t(xdr, &news->offset) || !gossip_code_int64(xdr, &news->elapsed_ms) ||
 	    !gossip_code_int64(xdr, &news->duration_ms) || !xdr_int(xdr, &state) ||
 	    !xdr_int(xdr, &news->is_written) || !xdr_uint64_t(xdr, &news->sent) ||
-	    !xdr_uint64_t(xdr, &news->sent_new) || !code_plan(xdr, news))
+	    !xdr_uint64_t(xdr, &news->sent_target) || !code_plan(xdr, news))
 		return FALSE;
-	if (state < CW_ROLLOUT_RUNNING || state > CW_ROLLOUT_BACK)
+	if (state < CW_ROLLOUT_RUNNING || state > CW_ROLLOUT_ROLLED_BACK)
 		return FALSE;
 	news->state = (enum cw_rollout_state)state;
-	if (!gossip_code_count(xdr, &news->kind_count, CW_ROLLOUT_KINDS))
+	if (!gossip_code_count(xdr, &news->kind_count, CW_ROLLOUT_MAX_KINDS))
 		return FALSE;
 	for (size_t i = 0; i < news->kind_count; i++)
 		if (!code_evidence(xdr, &news->kinds[i]))
 			return FALSE;
-	if (!gossip_code_count(xdr, &news->session_count, CW_ROLLOUT_SESSIONS))
+	if (!gossip_code_count(xdr, &news->session_count, CW_ROLLOUT_MAX_SESSIONS))
 		return FALSE;
 	for (size_t i = 0; i < news->session_count; i++)
 		if (!xdr_uint64_t(xdr, &news->sessions[i].session) ||
@@ -239,19 +239,20 @@
 }
 
 /* A step in force before its order would move sessions at once: no instance tells that. */
-static bool_t code_plan(XDR *xdr, struct cw_rollout_news *news)
+static bool_t code_plan(XDR *xdr, struct cw_rollout_announcement *news)
 {
-	for (size_t i = 0; i < CW_ROLLOUT_STEPS; i++)
-		if (!gossip_code_int64(xdr, &news->from_ms[i]) || news->from_ms[i] < 0)
+	for (size_t i = 0; i < CW_ROLLOUT_STEP_COUNT; i++)
+		if (!gossip_code_int64(xdr, &news->effective_ms[i]) || news->effective_ms[i] < 0)
 			return FALSE;
 	if (!code_number(xdr, &news->trial_share) || !xdr_u_int(xdr, &news->counted_ms) ||
-	    !gossip_code_count(xdr, &news->route_count, CW_ROLLOUT_ROUTES))
+	    !gossip_code_count(xdr, &news->route_count, CW_ROLLOUT_MAX_ROUTES))
 		return FALSE;
 	for (size_t i = 0; i < news->route_count; i++) {
 		struct cw_rollout_route *route = &news->routes[i];
 
-		if (!xdr_uint64_t(xdr, &route->route) || !xdr_u_int(xdr, &route->came) ||
-		    !xdr_u_int(xdr, &route->filling) || !xdr_u_int(xdr, &route->light) ||
+		if (!xdr_uint64_t(xdr, &route->route) || !xdr_u_int(xdr, &route->arrivals) ||
+		    !xdr_u_int(xdr, &route->long_running) ||
+		    !xdr_u_int(xdr, &route->short_prompts) ||
 		    !xdr_u_int(xdr, &route->old_answers) || !xdr_u_int(xdr, &route->old_failed) ||
 		    !xdr_u_int(xdr, &route->new_answers) || !xdr_u_int(xdr, &route->new_failed) ||
 		    !xdr_u_int(xdr, &route->kinds) || !code_number(xdr, &route->share))
@@ -264,11 +265,11 @@
 {
 	return xdr_uint64_t(xdr, &evidence->route) && xdr_int(xdr, &evidence->is_loaded) &&
 	       code_number(xdr, &evidence->old_answers) && code_number(xdr, &evidence->old_bad) &&
-	       code_number(xdr, &evidence->old_past_answers) &&
-	       code_number(xdr, &evidence->old_past_bad) &&
+	       code_number(xdr, &evidence->old_answers_long) &&
+	       code_number(xdr, &evidence->old_bad_long) &&
 	       code_number(xdr, &evidence->new_answers) && code_number(xdr, &evidence->new_bad) &&
-	       code_number(xdr, &evidence->new_past_answers) &&
-	       code_number(xdr, &evidence->new_past_bad);
+	       code_number(xdr, &evidence->new_answers_long) &&
+	       code_number(xdr, &evidence->new_bad_long);
 }
 
 /* A figure that is no finite count would poison every sum it enters. */
--- a/packages/node/src/node_request.c
+++ b/packages/node/src/node_request.c
@@ -248,7 +248,7 @@
 		request->binding.key = cw_session_key(request->organisation, request->in.session_id,
 						      request->in.target);
 	if (*request->in.session_token &&
-	    cw_token_read(node->config.peer_key, request->in.session_token, &carried) == CW_OK &&
+	    cw_token_decode(node->config.peer_key, request->in.session_token, &carried) == CW_OK &&
 	    (!request->binding.key || request->binding.key == carried.key)) {
 		request->binding.key = carried.key;
 		choice_merge_binding(node, &carried);
@@ -298,14 +298,14 @@
 		g_strlcpy(request->binding.version, request->version, CW_NAME_MAX);
 		request->binding.bound_at = cw_table_offset(node->table);
 		request->binding.row = request->row;
-		request->binding.pushed_ms = 0;
+		request->binding.announced_ms = 0;
 	}
 	choice_merge_binding(node, &request->binding);
 	held = cw_session_find(node->sessions, request->binding.key, node->now_ms);
-	if (!held || (held->pushed_ms && node->now_ms - held->pushed_ms < BINDING_FRESH_MS))
+	if (!held || (held->announced_ms && node->now_ms - held->announced_ms < BINDING_FRESH_MS))
 		return;
 	gossip_push_binding(node, held);
-	cw_session_pushed(node->sessions, request->binding.key, node->now_ms);
+	cw_session_mark_announced(node->sessions, request->binding.key, node->now_ms);
 }
 
 static void admit(struct cw_node *node, struct request *request)
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -148,8 +148,8 @@
 	g_strlcpy(effect->dispatch.model, request->model, CW_NAME_MAX);
 	g_strlcpy(effect->dispatch.version, request->version, CW_NAME_MAX);
 	if (request->binding.key)
-		cw_token_make(node->config.peer_key, &request->binding,
-			      effect->dispatch.session_token);
+		cw_token_encode(node->config.peer_key, &request->binding,
+				effect->dispatch.session_token);
 	node_event(node, "request",
 		   mode == CW_DISPATCH_FRESH	? "dispatch"
 		   : mode == CW_DISPATCH_RESUME ? "resume"
--- a/packages/node/src/request_choice.c
+++ b/packages/node/src/request_choice.c
@@ -36,7 +36,7 @@
 			return CHOICE_BEHIND;
 		/* The version was withdrawn: the session goes on, on another version, and the
 		 * answer says so. */
-		cw_session_end(node->sessions, request->binding.key);
+		cw_session_remove(node->sessions, request->binding.key);
 		*request->binding.model = '\0';
 		request->rebound = 1;
 	}
@@ -61,7 +61,7 @@
 	if (held && held->bound_at < binding->bound_at &&
 	    (is_newer ||
 	     !cw_table_binding_holds(cw_table_row_by_id(node->table, held->row), held->bound_at)))
-		cw_session_end(node->sessions, binding->key);
+		cw_session_remove(node->sessions, binding->key);
 	cw_session_merge(node->sessions, binding, node->now_ms);
 }
 
--- a/packages/rollout/include/cw_rollout.h
+++ b/packages/rollout/include/cw_rollout.h
@@ -19,24 +19,24 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_ROLLOUT_KINDS    12 /* kinds of answers of one service, by route and server load */
-#define CW_ROLLOUT_SESSIONS 96 /* per announcement: about 5 s of a tenth of all sessions */
-#define CW_ROLLOUT_ROUTES   16 /* routes of one service that are tracked */
-#define CW_ROLLOUT_NEVER    INT64_MAX
+#define CW_ROLLOUT_MAX_KINDS	12 /* kinds of answers of one service, by route and server load */
+#define CW_ROLLOUT_MAX_SESSIONS 96 /* per announcement: about 5 s of a tenth of all sessions */
+#define CW_ROLLOUT_MAX_ROUTES	16 /* routes of one service that are tracked */
+#define CW_ROLLOUT_NEVER	INT64_MAX
 
 /* Load that a route's requests usually cause; bits of a set. */
-enum cw_rollout_kind {
-	CW_ROLLOUT_FILLING = 1, /* occupies a server's slot for long, but little else */
-	CW_ROLLOUT_LIGHT = 2,	/* short prompt: answered at once even by a full server */
+enum cw_rollout_load_kind {
+	CW_ROLLOUT_LONG_RUNNING = 1, /* occupies a server's slot for long, but little else */
+	CW_ROLLOUT_SHORT_PROMPT = 2, /* short prompt: answered at once even by a full server */
 };
 
 /* Steps that the instances agree on during a roll-out. */
 enum cw_rollout_step {
-	CW_ROLLOUT_TRIAL,  /* load kinds of the routes, and the shares for the load trial */
-	CW_ROLLOUT_FULL,   /* a server of the target has answered under load */
-	CW_ROLLOUT_MORE,   /* no answer under load in time: larger trial share */
-	CW_ROLLOUT_PROVED, /* the target passed the trial under load */
-	CW_ROLLOUT_STEPS
+	CW_ROLLOUT_STEP_TRIAL,	/* load kinds of the routes, and the shares for the load trial */
+	CW_ROLLOUT_STEP_FULL,	/* a server of the target has answered under load */
+	CW_ROLLOUT_STEP_MORE,	/* no answer under load in time: larger trial share */
+	CW_ROLLOUT_STEP_PASSED, /* the target passed the trial under load */
+	CW_ROLLOUT_STEP_COUNT
 };
 
 /* An operator's order to roll out a version. */
@@ -48,8 +48,8 @@
 
 enum cw_rollout_state {
 	CW_ROLLOUT_RUNNING,
-	CW_ROLLOUT_DONE,
-	CW_ROLLOUT_BACK, /* rolled back: bad target, or no trial under load */
+	CW_ROLLOUT_COMPLETED,
+	CW_ROLLOUT_ROLLED_BACK, /* rolled back: bad target, or no trial under load */
 };
 
 /* Status of a roll-out as it is published in the shared store. */
@@ -69,10 +69,10 @@
 };
 
 /* Variant of a roll-out: the server versions that a request may be sent to. */
-enum cw_rollout_arm {
-	CW_ROLLOUT_ANY,
-	CW_ROLLOUT_OLD, /* any version but the target */
-	CW_ROLLOUT_NEW, /* the target only */
+enum cw_rollout_variant {
+	CW_ROLLOUT_VARIANT_ANY,
+	CW_ROLLOUT_VARIANT_OLD, /* any version but the target */
+	CW_ROLLOUT_VARIANT_NEW, /* the target only */
 };
 
 /* One answer, as evidence about the version that produced it. */
@@ -90,20 +90,20 @@
 	uint64_t route;
 	int is_loaded;
 	float old_answers, old_bad;
-	float old_past_answers, old_past_bad; /* the same with a longer decay time */
+	float old_answers_long, old_bad_long; /* the same with a longer decay time */
 	float new_answers, new_bad;
-	float new_past_answers, new_past_bad;
+	float new_answers_long, new_bad_long;
 };
 
 /* One route's requests at one instance, and the load kinds and share the instances agreed on. */
 struct cw_rollout_route {
 	uint64_t route;
-	uint32_t came;			  /* requests received */
-	uint32_t filling;		  /* long-running ones among these requests */
-	uint32_t light;			  /* short prompts among these requests */
+	uint32_t arrivals;		  /* requests received */
+	uint32_t long_running;		  /* long-running ones among these requests */
+	uint32_t short_prompts;		  /* short prompts among these requests */
 	uint32_t old_answers, old_failed; /* by the old version, since the order */
 	uint32_t new_answers, new_failed; /* by the target, since the order */
-	uint32_t kinds; /* set of enum cw_rollout_kind; empty until the trial is planned */
+	uint32_t kinds; /* set of enum cw_rollout_load_kind; empty until the trial is planned */
 	float share;	/* of the route's sessions on the target during the trial; 0: no plan */
 };
 
@@ -114,24 +114,24 @@
 };
 
 /* State of one roll-out that an instance announces to its peers. */
-struct cw_rollout_news {
+struct cw_rollout_announcement {
 	char service[CW_NAME_MAX];
 	char target[CW_NAME_MAX];
 	uint64_t offset; /* of the order's record in the shared store */
 	int64_t elapsed_ms;
 	int64_t duration_ms;
 	enum cw_rollout_state state;
-	int is_written;			   /* the state is published in the shared store */
-	int64_t from_ms[CW_ROLLOUT_STEPS]; /* start of each step, since the order */
-	uint64_t sent, sent_new;	   /* requests to all servers, and to those of the target */
-	float trial_share;		   /* of long-running sessions on the target; 0: no plan */
-	uint32_t counted_ms; /* how long the sender has counted the routes' requests */
+	int is_written; /* the state is published in the shared store */
+	int64_t effective_ms[CW_ROLLOUT_STEP_COUNT]; /* start of each step, since the order */
+	uint64_t sent, sent_target; /* requests to all servers, and to those of the target */
+	float trial_share;	    /* of long-running sessions on the target; 0: no plan */
+	uint32_t counted_ms;	    /* how long the sender has counted the routes' requests */
 	size_t route_count;
-	struct cw_rollout_route routes[CW_ROLLOUT_ROUTES];
+	struct cw_rollout_route routes[CW_ROLLOUT_MAX_ROUTES];
 	size_t kind_count;
-	struct cw_rollout_evidence kinds[CW_ROLLOUT_KINDS];
+	struct cw_rollout_evidence kinds[CW_ROLLOUT_MAX_KINDS];
 	size_t session_count;
-	struct cw_rollout_session sessions[CW_ROLLOUT_SESSIONS];
+	struct cw_rollout_session sessions[CW_ROLLOUT_MAX_SESSIONS];
 };
 
 /* A request to be dispatched. */
@@ -143,7 +143,7 @@
 
 /* Variant chosen for a request, and the values that decided it. */
 struct cw_rollout_assignment {
-	enum cw_rollout_arm arm;
+	enum cw_rollout_variant variant;
 	double share; /* of the route's sessions on the target; 1 without a roll-out */
 	double point; /* of the session, 0 to 1: on the target while below the share */
 };
@@ -153,7 +153,7 @@
 	const char *service;
 	const char *target;
 	const char *step;
-	int64_t from_ms;
+	int64_t effective_ms;
 	int64_t elapsed_ms;
 	double trial_share;
 };
@@ -168,52 +168,56 @@
 
 struct cw_rollouts *cw_rollouts_create(const struct cw_rollout_options *options);
 void cw_rollouts_destroy(struct cw_rollouts *rollouts);
-int cw_rollouts_order(struct cw_rollouts *rollouts, const struct cw_rollout_order *order,
-		      uint64_t offset, int64_t now_ms); /* 1: the order is new */
-int cw_rollouts_told(struct cw_rollouts *rollouts,
-		     const struct cw_rollout_status *status); /* from the store; 1: changed */
-int cw_rollouts_any(const struct cw_rollouts *rollouts);      /* 1: a roll-out is known */
-int cw_rollouts_is_bad(const struct cw_rollouts *rollouts,
-		       const char *service); /* the roll-out was rolled back */
+int cw_rollouts_apply_order(struct cw_rollouts *rollouts, const struct cw_rollout_order *order,
+			    uint64_t offset, int64_t now_ms); /* 1: the order is new */
+int cw_rollouts_apply_status(
+	struct cw_rollouts *rollouts,
+	const struct cw_rollout_status *status);	     /* from the store; 1: changed */
+int cw_rollouts_has_any(const struct cw_rollouts *rollouts); /* 1: a roll-out is known */
+int cw_rollouts_is_rolled_back(const struct cw_rollouts *rollouts,
+			       const char *service); /* the roll-out was rolled back */
 int cw_rollouts_is_retired(const struct cw_rollouts *rollouts, const char *service,
 			   const char *software); /* replaced: its servers may stop at any time */
 const char *cw_rollouts_target(const struct cw_rollouts *rollouts,
 			       const char *service); /* NULL: no roll-out */
-enum cw_rollout_arm cw_rollouts_arm(struct cw_rollouts *rollouts,
-				    const struct cw_rollout_request *request, int64_t now_ms);
-struct cw_rollout_assignment cw_rollouts_assignment(struct cw_rollouts *rollouts,
-						    const struct cw_rollout_request *request,
-						    int64_t now_ms);
-int cw_rollouts_progressed(struct cw_rollouts *rollouts, int64_t now_ms,
-			   struct cw_rollout_progress *progress); /* 1: a step not yet returned */
-void cw_rollouts_used(struct cw_rollouts *rollouts, const char *service, uint64_t session,
-		      const char *software,
-		      int64_t now_ms); /* a request was sent to this version */
-void cw_rollouts_came(struct cw_rollouts *rollouts, const struct cw_rollout_request *request,
-		      uint32_t kinds,
-		      unsigned int slots); /* load kinds of the request; slots per server */
-void cw_rollouts_asked(struct cw_rollouts *rollouts, const char *service, uint64_t session,
-		       int64_t asked_ms,
-		       int64_t now_ms); /* a caller retries that has waited since asked_ms */
-void cw_rollouts_answered(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
-			  int64_t now_ms);
-void cw_rollouts_spoiled(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
-			 int64_t now_ms); /* counted as good before, then slow */
-int cw_rollouts_is_filler(const struct cw_rollouts *rollouts,
-			  const struct cw_rollout_request *request,
-			  int64_t now_ms); /* its session loads a server of the target */
-int cw_rollouts_wants_load(const struct cw_rollouts *rollouts, const char *service,
-			   int64_t now_ms); /* the target's trial under load is due */
-size_t cw_rollouts_judge(struct cw_rollouts *rollouts, int64_t now_ms,
-			 struct cw_rollout_verdict *verdicts,
-			 size_t max);	  /* outcomes not known to be published */
-int64_t cw_rollouts_turn_ms(size_t rank); /* wait before publishing, by rank */
+enum cw_rollout_variant cw_rollouts_choose_variant(struct cw_rollouts *rollouts,
+						   const struct cw_rollout_request *request,
+						   int64_t now_ms);
+struct cw_rollout_assignment cw_rollouts_assign(struct cw_rollouts *rollouts,
+						const struct cw_rollout_request *request,
+						int64_t now_ms);
+int cw_rollouts_next_progress(
+	struct cw_rollouts *rollouts, int64_t now_ms,
+	struct cw_rollout_progress *progress); /* 1: a step not yet returned */
+void cw_rollouts_record_dispatch(struct cw_rollouts *rollouts, const char *service,
+				 uint64_t session, const char *software,
+				 int64_t now_ms); /* a request was sent to this version */
+void cw_rollouts_record_arrival(
+	struct cw_rollouts *rollouts, const struct cw_rollout_request *request, uint32_t kinds,
+	unsigned int slots); /* load kinds of the request; slots per server */
+void cw_rollouts_record_retry(struct cw_rollouts *rollouts, const char *service, uint64_t session,
+			      int64_t asked_ms,
+			      int64_t now_ms); /* a caller retries that has waited since asked_ms */
+void cw_rollouts_record_answer(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
+			       int64_t now_ms);
+void cw_rollouts_mark_answer_slow(struct cw_rollouts *rollouts,
+				  const struct cw_rollout_answer *answer,
+				  int64_t now_ms); /* counted as good before, then slow */
+int cw_rollouts_is_trial_load(const struct cw_rollouts *rollouts,
+			      const struct cw_rollout_request *request,
+			      int64_t now_ms); /* its session loads a server of the target */
+int cw_rollouts_needs_load_trial(const struct cw_rollouts *rollouts, const char *service,
+				 int64_t now_ms); /* the target's trial under load is due */
+size_t cw_rollouts_evaluate(struct cw_rollouts *rollouts, int64_t now_ms,
+			    struct cw_rollout_verdict *verdicts,
+			    size_t max);	 /* outcomes not known to be published */
+int64_t cw_rollouts_write_delay_ms(size_t rank); /* wait before publishing, by rank */
 int cw_rollouts_is_starting(const struct cw_rollouts *rollouts,
 			    int64_t now_ms); /* peers' sessions are due before the first move */
-size_t cw_rollouts_tell(struct cw_rollouts *rollouts, int64_t now_ms,
-			struct cw_rollout_news *update, size_t max);
-int cw_rollouts_hear(struct cw_rollouts *rollouts, uint64_t instance,
-		     const struct cw_rollout_news *update,
-		     int64_t now_ms); /* 1: the roll-out's state changed */
+size_t cw_rollouts_announce(struct cw_rollouts *rollouts, int64_t now_ms,
+			    struct cw_rollout_announcement *update, size_t max);
+int cw_rollouts_merge(struct cw_rollouts *rollouts, uint64_t instance,
+		      const struct cw_rollout_announcement *update,
+		      int64_t now_ms); /* 1: the roll-out's state changed */
 
 #endif
--- a/packages/rollout/src/evidence.c
+++ b/packages/rollout/src/evidence.c
@@ -51,8 +51,8 @@
 			  struct rollout_sum *all, struct rollout_sum *loaded);
 static struct rollout_sum count_kind(const struct cw_rollout_evidence *kind, enum window window);
 
-void cw_rollouts_answered(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
-			  int64_t now_ms)
+void cw_rollouts_record_answer(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
+			       int64_t now_ms)
 {
 	struct rollout *rollout = rollout_find(rollouts, answer->service);
 	struct cw_rollout_evidence *kind;
@@ -66,19 +66,19 @@
 	if (!strcmp(rollout->target, answer->software)) {
 		kind->new_answers += 1;
 		kind->new_bad += (float)is_bad;
-		kind->new_past_answers += 1;
-		kind->new_past_bad += (float)is_bad;
+		kind->new_answers_long += 1;
+		kind->new_bad_long += (float)is_bad;
 		rollout->has_loaded_answer |= answer->is_loaded;
 	} else {
 		kind->old_answers += 1;
 		kind->old_bad += (float)is_bad;
-		kind->old_past_answers += 1;
-		kind->old_past_bad += (float)is_bad;
+		kind->old_answers_long += 1;
+		kind->old_bad_long += (float)is_bad;
 	}
 }
 
-void cw_rollouts_spoiled(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
-			 int64_t now_ms)
+void cw_rollouts_mark_answer_slow(struct cw_rollouts *rollouts,
+				  const struct cw_rollout_answer *answer, int64_t now_ms)
 {
 	struct rollout *rollout = rollout_find(rollouts, answer->service);
 	struct cw_rollout_evidence *kind;
@@ -101,18 +101,18 @@
 	for (size_t i = 0; i < rollout->kind_count; i++) {
 		rollout->kinds[i].old_answers *= factor;
 		rollout->kinds[i].old_bad *= factor;
-		rollout->kinds[i].old_past_answers *= past_factor;
-		rollout->kinds[i].old_past_bad *= past_factor;
+		rollout->kinds[i].old_answers_long *= past_factor;
+		rollout->kinds[i].old_bad_long *= past_factor;
 		rollout->kinds[i].new_answers *= factor;
 		rollout->kinds[i].new_bad *= factor;
-		rollout->kinds[i].new_past_answers *= past_factor;
-		rollout->kinds[i].new_past_bad *= past_factor;
+		rollout->kinds[i].new_answers_long *= past_factor;
+		rollout->kinds[i].new_bad_long *= past_factor;
 	}
 	rollout->decayed_ms = now_ms;
 }
 
 void rollout_merge_evidence(struct rollout *rollout, uint64_t instance,
-			    const struct cw_rollout_news *update, int64_t now_ms)
+			    const struct cw_rollout_announcement *update, int64_t now_ms)
 {
 	struct rollout_peer *peer = g_hash_table_lookup(rollout->peers, &instance);
 
@@ -125,18 +125,18 @@
 	}
 	peer->last_seen_ms = now_ms;
 	peer->sent = update->sent;
-	peer->sent_new = update->sent_new;
+	peer->sent_target = update->sent_target;
 	peer->counted_ms = update->counted_ms;
-	peer->route_count = MIN(update->route_count, CW_ROLLOUT_ROUTES);
+	peer->route_count = MIN(update->route_count, CW_ROLLOUT_MAX_ROUTES);
 	memcpy(peer->routes, update->routes, sizeof(peer->routes));
-	peer->kind_count = MIN(update->kind_count, CW_ROLLOUT_KINDS);
+	peer->kind_count = MIN(update->kind_count, CW_ROLLOUT_MAX_KINDS);
 	memcpy(peer->kinds, update->kinds, sizeof(peer->kinds));
 }
 
 void rollout_count_dispatch(struct rollout *rollout, int is_new)
 {
 	rollout->sent++;
-	rollout->sent_new += (uint64_t)is_new;
+	rollout->sent_target += (uint64_t)is_new;
 }
 
 /*
@@ -177,7 +177,7 @@
 
 static struct rollout_dispatches sum_dispatches(const struct rollout *rollout)
 {
-	struct rollout_dispatches sent = {(double)rollout->sent, (double)rollout->sent_new};
+	struct rollout_dispatches sent = {(double)rollout->sent, (double)rollout->sent_target};
 	GHashTableIter iter;
 	gpointer value;
 
@@ -186,7 +186,7 @@
 		const struct rollout_peer *peer = value;
 
 		sent.all += (double)peer->sent;
-		sent.to_new += (double)peer->sent_new;
+		sent.to_new += (double)peer->sent_target;
 	}
 	return sent;
 }
@@ -211,7 +211,7 @@
  */
 int rollout_is_target_bad(struct rollout *rollout, int64_t now_ms)
 {
-	struct cw_rollout_evidence kinds[CW_ROLLOUT_KINDS];
+	struct cw_rollout_evidence kinds[CW_ROLLOUT_MAX_KINDS];
 	size_t count = pool_evidence(rollout, now_ms, kinds);
 	struct rollout_sum all;
 	struct rollout_sum loaded;
@@ -252,7 +252,7 @@
 {
 	if (window == WINDOW_RECENT)
 		return (struct rollout_sum){.answers = kind->new_answers, .bad = kind->new_bad};
-	return (struct rollout_sum){.answers = kind->new_past_answers, .bad = kind->new_past_bad};
+	return (struct rollout_sum){.answers = kind->new_answers_long, .bad = kind->new_bad_long};
 }
 
 /*
@@ -280,7 +280,7 @@
 	for (size_t i = 0; i < *count; i++)
 		if (kinds[i].route == route && kinds[i].is_loaded == is_loaded)
 			return &kinds[i];
-	if (*count == CW_ROLLOUT_KINDS)
+	if (*count == CW_ROLLOUT_MAX_KINDS)
 		return &kinds[*count - 1];
 	memset(&kinds[*count], 0, sizeof(kinds[*count]));
 	kinds[*count].route = route;
@@ -317,12 +317,12 @@
 {
 	to->old_answers += factor * from->old_answers;
 	to->old_bad += factor * from->old_bad;
-	to->old_past_answers += factor * from->old_past_answers;
-	to->old_past_bad += factor * from->old_past_bad;
+	to->old_answers_long += factor * from->old_answers_long;
+	to->old_bad_long += factor * from->old_bad_long;
 	to->new_answers += factor * from->new_answers;
 	to->new_bad += factor * from->new_bad;
-	to->new_past_answers += factor * from->new_past_answers;
-	to->new_past_bad += factor * from->new_past_bad;
+	to->new_answers_long += factor * from->new_answers_long;
+	to->new_bad_long += factor * from->new_bad_long;
 }
 
 static void add_sum(struct rollout_sum *to, const struct rollout_sum *from)
@@ -352,7 +352,7 @@
 		if (kinds[i].route == route)
 			add_evidence(&sum, &kinds[i], 1);
 	return MAX((sum.old_bad + PRIOR_BAD) / (sum.old_answers + PRIOR_ANSWERS),
-		   (sum.old_past_bad + PRIOR_BAD) / (sum.old_past_answers + PRIOR_ANSWERS));
+		   (sum.old_bad_long + PRIOR_BAD) / (sum.old_answers_long + PRIOR_ANSWERS));
 }
 
 /*
--- a/packages/rollout/src/match.c
+++ b/packages/rollout/src/match.c
@@ -49,11 +49,11 @@
  * its first announcement is only stored.
  */
 void rollout_compare_peer(struct rollout *rollout, const struct rollout_peer *known,
-			  const struct cw_rollout_news *update)
+			  const struct cw_rollout_announcement *update)
 {
 	static const struct cw_rollout_route none = {0};
 
-	for (size_t i = 0; i < MIN(update->route_count, CW_ROLLOUT_ROUTES); i++) {
+	for (size_t i = 0; i < MIN(update->route_count, CW_ROLLOUT_MAX_ROUTES); i++) {
 		const struct cw_rollout_route *announced = &update->routes[i];
 		struct rollout_comparison *comparison = find_comparison(rollout, announced->route);
 		const struct cw_rollout_route *before =
@@ -96,7 +96,7 @@
 	for (size_t i = 0; i < rollout->comparison_count; i++)
 		if (rollout->comparisons[i].route == route)
 			return &rollout->comparisons[i];
-	if (rollout->comparison_count == CW_ROLLOUT_ROUTES)
+	if (rollout->comparison_count == CW_ROLLOUT_MAX_ROUTES)
 		return NULL;
 	rollout->comparisons[rollout->comparison_count] =
 		(struct rollout_comparison){.route = route};
--- a/packages/rollout/src/plan.c
+++ b/packages/rollout/src/plan.c
@@ -31,7 +31,7 @@
 /* Requests per ms of one route, summed over all instances. */
 struct route_rate {
 	uint64_t route;
-	double came, filling, light;
+	double arrivals, long_running, short_prompts;
 };
 
 static int is_step_in_force(const struct rollout *rollout, enum cw_rollout_step step,
@@ -64,9 +64,9 @@
 		return share;
 	if (now_ms - rollout->started_ms >= rollout_full_share_ms(rollout))
 		return 1;
-	if (fraction >= TRIAL_END && is_step_in_force(rollout, CW_ROLLOUT_PROVED, now_ms))
+	if (fraction >= TRIAL_END && is_step_in_force(rollout, CW_ROLLOUT_STEP_PASSED, now_ms))
 		share = SECOND_SHARE;
-	if (!is_step_in_force(rollout, CW_ROLLOUT_TRIAL, now_ms))
+	if (!is_step_in_force(rollout, CW_ROLLOUT_STEP_TRIAL, now_ms))
 		return share; /* the load kinds of the routes are not agreed on yet */
 	share = MAX(share, load_trial_share(rollout, route, now_ms));
 	planned = rollout_lookup_route(rollout->routes, rollout->route_count, route);
@@ -74,8 +74,8 @@
 		return share;
 	share = MAX(share, (double)planned->share);
 	/* A full server answers long prompts late; short prompts show its behaviour at once. */
-	if ((planned->kinds & CW_ROLLOUT_LIGHT) &&
-	    is_step_in_force(rollout, CW_ROLLOUT_FULL, now_ms))
+	if ((planned->kinds & CW_ROLLOUT_SHORT_PROMPT) &&
+	    is_step_in_force(rollout, CW_ROLLOUT_STEP_FULL, now_ms))
 		share = MAX(share, SHORT_PROMPT_SHARE);
 	return share;
 }
@@ -87,7 +87,7 @@
  */
 int64_t rollout_full_share_ms(const struct rollout *rollout)
 {
-	int64_t passed_ms = rollout->from_ms[CW_ROLLOUT_PROVED];
+	int64_t passed_ms = rollout->effective_ms[CW_ROLLOUT_STEP_PASSED];
 	double duration_ms = (double)rollout->duration_ms;
 	double second_ms = MAX(TRIAL_END * duration_ms, (double)passed_ms);
 	double last_ms = MAX(FULL_SHARE_LATEST * duration_ms, (double)passed_ms);
@@ -101,17 +101,18 @@
  * Sessions that only probe a full server must not add to its load: when too many sessions fill
  * the engines, each engine rejects the probes, and a good version cannot be tested.
  */
-int cw_rollouts_is_filler(const struct cw_rollouts *rollouts,
-			  const struct cw_rollout_request *request, int64_t now_ms)
+int cw_rollouts_is_trial_load(const struct cw_rollouts *rollouts,
+			      const struct cw_rollout_request *request, int64_t now_ms)
 {
 	const struct rollout *rollout = rollout_find(rollouts, request->service);
 
-	return rollout && cw_rollouts_wants_load(rollouts, request->service, now_ms) &&
+	return rollout && cw_rollouts_needs_load_trial(rollouts, request->service, now_ms) &&
 	       cw_hash_part(request->session) < load_trial_share(rollout, request->route, now_ms);
 }
 
-void cw_rollouts_came(struct cw_rollouts *rollouts, const struct cw_rollout_request *request,
-		      uint32_t kinds, unsigned int slots)
+void cw_rollouts_record_arrival(struct cw_rollouts *rollouts,
+				const struct cw_rollout_request *request, uint32_t kinds,
+				unsigned int slots)
 {
 	struct rollout *rollout = rollout_find(rollouts, request->service);
 	struct cw_rollout_route *route;
@@ -122,25 +123,25 @@
 	route = rollout_find_or_add_route(rollout->routes, &rollout->route_count, request->route);
 	if (!route)
 		return;
-	route->came++;
-	route->filling += (kinds & CW_ROLLOUT_FILLING) != 0;
-	route->light += (kinds & CW_ROLLOUT_LIGHT) != 0;
+	route->arrivals++;
+	route->long_running += (kinds & CW_ROLLOUT_LONG_RUNNING) != 0;
+	route->short_prompts += (kinds & CW_ROLLOUT_SHORT_PROMPT) != 0;
 }
 
-int cw_rollouts_progressed(struct cw_rollouts *rollouts, int64_t now_ms,
-			   struct cw_rollout_progress *progress)
+int cw_rollouts_next_progress(struct cw_rollouts *rollouts, int64_t now_ms,
+			      struct cw_rollout_progress *progress)
 {
 	static const char *const names[] = {
-		[CW_ROLLOUT_TRIAL] = "trial",
-		[CW_ROLLOUT_FULL] = "full",
-		[CW_ROLLOUT_MORE] = "more",
-		[CW_ROLLOUT_PROVED] = "proved",
+		[CW_ROLLOUT_STEP_TRIAL] = "trial",
+		[CW_ROLLOUT_STEP_FULL] = "full",
+		[CW_ROLLOUT_STEP_MORE] = "more",
+		[CW_ROLLOUT_STEP_PASSED] = "proved",
 	};
 	struct rollout *rollout;
 
 	TAILQ_FOREACH(rollout, &rollouts->list, link) {
-		for (unsigned int step = 0; step < CW_ROLLOUT_STEPS; step++) {
-			if (rollout->from_ms[step] == CW_ROLLOUT_NEVER ||
+		for (unsigned int step = 0; step < CW_ROLLOUT_STEP_COUNT; step++) {
+			if (rollout->effective_ms[step] == CW_ROLLOUT_NEVER ||
 			    (rollout->logged_steps & (1U << step)))
 				continue;
 			rollout->logged_steps |= 1U << step;
@@ -148,7 +149,7 @@
 				.service = rollout->service,
 				.target = rollout->target,
 				.step = names[step],
-				.from_ms = rollout->from_ms[step],
+				.effective_ms = rollout->effective_ms[step],
 				.elapsed_ms = now_ms - rollout->started_ms,
 				.trial_share = rollout->trial_share,
 			};
@@ -160,8 +161,8 @@
 
 void rollout_reset_plan(struct rollout *rollout)
 {
-	for (size_t i = 0; i < CW_ROLLOUT_STEPS; i++)
-		rollout->from_ms[i] = CW_ROLLOUT_NEVER;
+	for (size_t i = 0; i < CW_ROLLOUT_STEP_COUNT; i++)
+		rollout->effective_ms[i] = CW_ROLLOUT_NEVER;
 	rollout->logged_steps = 0;
 	rollout->has_loaded_answer = 0;
 	rollout->has_passed_trial = 0;
@@ -178,33 +179,35 @@
 	if (may_plan(rollout, now_ms))
 		plan_trial(rollout, now_ms);
 	if (rollout->has_loaded_answer)
-		schedule_step(rollout, CW_ROLLOUT_FULL, now_ms);
+		schedule_step(rollout, CW_ROLLOUT_STEP_FULL, now_ms);
 	if (rollout->has_passed_trial)
-		schedule_step(rollout, CW_ROLLOUT_PROVED, now_ms);
+		schedule_step(rollout, CW_ROLLOUT_STEP_PASSED, now_ms);
 	if (fraction >= MORE_START && !rollout->has_loaded_answer && !rollout->has_passed_trial)
-		schedule_step(rollout, CW_ROLLOUT_MORE, now_ms);
+		schedule_step(rollout, CW_ROLLOUT_STEP_MORE, now_ms);
 }
 
 void rollout_announce_plan(const struct rollout *rollout, int64_t now_ms,
-			   struct cw_rollout_news *out)
+			   struct cw_rollout_announcement *out)
 {
-	memcpy(out->from_ms, rollout->from_ms, sizeof(out->from_ms));
+	memcpy(out->effective_ms, rollout->effective_ms, sizeof(out->effective_ms));
 	out->trial_share = (float)rollout->trial_share;
 	out->counted_ms = (uint32_t)(now_ms - rollout->learned_ms);
 	out->route_count = rollout->route_count;
 	memcpy(out->routes, rollout->routes, sizeof(out->routes));
 }
 
-void rollout_merge_plan(struct rollout *rollout, const struct cw_rollout_news *update,
+void rollout_merge_plan(struct rollout *rollout, const struct cw_rollout_announcement *update,
 			int64_t now_ms)
 {
 	rollout->trial_share =
 		merge_share(rollout, rollout->trial_share, (double)update->trial_share, now_ms);
-	for (size_t i = 0; i < CW_ROLLOUT_STEPS; i++)
-		rollout->from_ms[i] = MIN(rollout->from_ms[i], update->from_ms[i]);
-	rollout->has_loaded_answer |= update->from_ms[CW_ROLLOUT_FULL] != CW_ROLLOUT_NEVER;
-	rollout->has_passed_trial |= update->from_ms[CW_ROLLOUT_PROVED] != CW_ROLLOUT_NEVER;
-	for (size_t i = 0; i < MIN(update->route_count, CW_ROLLOUT_ROUTES); i++) {
+	for (size_t i = 0; i < CW_ROLLOUT_STEP_COUNT; i++)
+		rollout->effective_ms[i] = MIN(rollout->effective_ms[i], update->effective_ms[i]);
+	rollout->has_loaded_answer |=
+		update->effective_ms[CW_ROLLOUT_STEP_FULL] != CW_ROLLOUT_NEVER;
+	rollout->has_passed_trial |=
+		update->effective_ms[CW_ROLLOUT_STEP_PASSED] != CW_ROLLOUT_NEVER;
+	for (size_t i = 0; i < MIN(update->route_count, CW_ROLLOUT_MAX_ROUTES); i++) {
 		struct cw_rollout_route *route;
 
 		if (update->routes[i].share <= 0)
@@ -230,10 +233,10 @@
 	const struct cw_rollout_route *planned =
 		rollout_lookup_route(rollout->routes, rollout->route_count, route);
 
-	if (!is_step_in_force(rollout, CW_ROLLOUT_TRIAL, now_ms) || !planned ||
-	    !(planned->kinds & CW_ROLLOUT_FILLING))
+	if (!is_step_in_force(rollout, CW_ROLLOUT_STEP_TRIAL, now_ms) || !planned ||
+	    !(planned->kinds & CW_ROLLOUT_LONG_RUNNING))
 		return 0;
-	if (is_step_in_force(rollout, CW_ROLLOUT_MORE, now_ms))
+	if (is_step_in_force(rollout, CW_ROLLOUT_STEP_MORE, now_ms))
 		return MIN(MORE_FACTOR * share, 1);
 	return share;
 }
@@ -246,7 +249,8 @@
 static double merge_share(const struct rollout *rollout, double known, double announced,
 			  int64_t now_ms)
 {
-	if (known <= 0 || announced <= 0 || is_step_in_force(rollout, CW_ROLLOUT_TRIAL, now_ms))
+	if (known <= 0 || announced <= 0 ||
+	    is_step_in_force(rollout, CW_ROLLOUT_STEP_TRIAL, now_ms))
 		return MAX(known, announced);
 	return MIN(known, announced);
 }
@@ -254,13 +258,13 @@
 static int is_step_in_force(const struct rollout *rollout, enum cw_rollout_step step,
 			    int64_t now_ms)
 {
-	return now_ms - rollout->started_ms >= rollout->from_ms[step];
+	return now_ms - rollout->started_ms >= rollout->effective_ms[step];
 }
 
 static void schedule_step(struct rollout *rollout, enum cw_rollout_step step, int64_t now_ms)
 {
-	if (rollout->from_ms[step] == CW_ROLLOUT_NEVER)
-		rollout->from_ms[step] = now_ms - rollout->started_ms + step_delay_ms(rollout);
+	if (rollout->effective_ms[step] == CW_ROLLOUT_NEVER)
+		rollout->effective_ms[step] = now_ms - rollout->started_ms + step_delay_ms(rollout);
 }
 
 static int64_t step_delay_ms(const struct rollout *rollout)
@@ -277,7 +281,7 @@
  */
 static int may_plan(const struct rollout *rollout, int64_t now_ms)
 {
-	return rollout->from_ms[CW_ROLLOUT_TRIAL] == CW_ROLLOUT_NEVER &&
+	return rollout->effective_ms[CW_ROLLOUT_STEP_TRIAL] == CW_ROLLOUT_NEVER &&
 	       rollout_elapsed_fraction(rollout, now_ms + step_delay_ms(rollout)) >=
 		       ROLLOUT_FIRST_END &&
 	       now_ms - rollout->learned_ms >= PLAN_MIN_COUNTED_MS && has_own_request(rollout);
@@ -286,7 +290,7 @@
 static int has_own_request(const struct rollout *rollout)
 {
 	for (size_t i = 0; i < rollout->route_count; i++)
-		if (rollout->routes[i].came > 0)
+		if (rollout->routes[i].arrivals > 0)
 			return 1;
 	return 0;
 }
@@ -300,26 +304,26 @@
  */
 static void plan_trial(struct rollout *rollout, int64_t now_ms)
 {
-	struct route_rate rates[CW_ROLLOUT_ROUTES];
+	struct route_rate rates[CW_ROLLOUT_MAX_ROUTES];
 	size_t count = sum_route_rates(rollout, now_ms, rates);
-	double filling = 0;
+	double long_running = 0;
 
 	for (size_t i = 0; i < count; i++) {
 		struct cw_rollout_route *route = rollout_find_or_add_route(
 			rollout->routes, &rollout->route_count, rates[i].route);
-		double requests_per_s = rates[i].came * 1000;
+		double requests_per_s = rates[i].arrivals * 1000;
 
-		filling += rates[i].filling * 1000;
+		long_running += rates[i].long_running * 1000;
 		if (!route || requests_per_s <= 0)
 			continue;
 		route->kinds |= majority_kinds(&rates[i]);
 		route->share = (float)CLAMP(ROUTE_TARGET_PER_S / requests_per_s,
 					    ROLLOUT_FIRST_SHARE, SECOND_SHARE);
 	}
-	rollout->trial_share = rollout->slots && filling > 0
-				       ? MIN(SLOT_FILL_PER_S * rollout->slots / filling, 1)
+	rollout->trial_share = rollout->slots && long_running > 0
+				       ? MIN(SLOT_FILL_PER_S * rollout->slots / long_running, 1)
 				       : 1;
-	schedule_step(rollout, CW_ROLLOUT_TRIAL, now_ms);
+	schedule_step(rollout, CW_ROLLOUT_STEP_TRIAL, now_ms);
 }
 
 /* Sums the request rates by route; each instance has counted since its last start. */
@@ -350,13 +354,13 @@
 
 		while (j < count && rates[j].route != routes[i].route)
 			j++;
-		if (j == CW_ROLLOUT_ROUTES)
+		if (j == CW_ROLLOUT_MAX_ROUTES)
 			continue;
 		if (j == count)
 			rates[count++] = (struct route_rate){.route = routes[i].route};
-		rates[j].came += routes[i].came / MAX(counted_ms, 1);
-		rates[j].filling += routes[i].filling / MAX(counted_ms, 1);
-		rates[j].light += routes[i].light / MAX(counted_ms, 1);
+		rates[j].arrivals += routes[i].arrivals / MAX(counted_ms, 1);
+		rates[j].long_running += routes[i].long_running / MAX(counted_ms, 1);
+		rates[j].short_prompts += routes[i].short_prompts / MAX(counted_ms, 1);
 	}
 	return count;
 }
@@ -377,7 +381,7 @@
 
 	if (known)
 		return &routes[known - routes];
-	if (*count == CW_ROLLOUT_ROUTES)
+	if (*count == CW_ROLLOUT_MAX_ROUTES)
 		return NULL;
 	routes[*count] = (struct cw_rollout_route){.route = route};
 	return &routes[(*count)++];
@@ -387,9 +391,9 @@
 {
 	uint32_t kinds = 0;
 
-	if (2 * route_rate->filling > route_rate->came)
-		kinds |= CW_ROLLOUT_FILLING;
-	if (2 * route_rate->light > route_rate->came)
-		kinds |= CW_ROLLOUT_LIGHT;
+	if (2 * route_rate->long_running > route_rate->arrivals)
+		kinds |= CW_ROLLOUT_LONG_RUNNING;
+	if (2 * route_rate->short_prompts > route_rate->arrivals)
+		kinds |= CW_ROLLOUT_SHORT_PROMPT;
 	return kinds;
 }
--- a/packages/rollout/src/rollout.c
+++ b/packages/rollout/src/rollout.c
@@ -44,8 +44,8 @@
 	g_free(rollouts);
 }
 
-int cw_rollouts_order(struct cw_rollouts *rollouts, const struct cw_rollout_order *order,
-		      uint64_t offset, int64_t now_ms)
+int cw_rollouts_apply_order(struct cw_rollouts *rollouts, const struct cw_rollout_order *order,
+			    uint64_t offset, int64_t now_ms)
 {
 	struct rollout *rollout = rollout_find(rollouts, order->service);
 
@@ -63,7 +63,7 @@
 	return 1;
 }
 
-int cw_rollouts_told(struct cw_rollouts *rollouts, const struct cw_rollout_status *status)
+int cw_rollouts_apply_status(struct cw_rollouts *rollouts, const struct cw_rollout_status *status)
 {
 	struct rollout *rollout = rollout_find(rollouts, status->service);
 	int is_changed;
@@ -82,16 +82,16 @@
 	return is_changed;
 }
 
-int cw_rollouts_any(const struct cw_rollouts *rollouts)
+int cw_rollouts_has_any(const struct cw_rollouts *rollouts)
 {
 	return !TAILQ_EMPTY(&rollouts->list);
 }
 
-int cw_rollouts_is_bad(const struct cw_rollouts *rollouts, const char *service)
+int cw_rollouts_is_rolled_back(const struct cw_rollouts *rollouts, const char *service)
 {
 	const struct rollout *rollout = rollout_find(rollouts, service);
 
-	return rollout && rollout->state == CW_ROLLOUT_BACK;
+	return rollout && rollout->state == CW_ROLLOUT_ROLLED_BACK;
 }
 
 /*
@@ -99,7 +99,7 @@
  * was completed 1 s before its duration ended was published too late when the first two
  * instances could not reach the store.
  */
-int64_t cw_rollouts_turn_ms(size_t rank)
+int64_t cw_rollouts_write_delay_ms(size_t rank)
 {
 	return WRITE_TURN_MS * (int64_t)rank;
 }
@@ -109,7 +109,7 @@
 {
 	const struct rollout *rollout = rollout_find(rollouts, service);
 
-	return rollout && rollout->state == CW_ROLLOUT_DONE &&
+	return rollout && rollout->state == CW_ROLLOUT_COMPLETED &&
 	       strcmp(rollout->target, software) != 0;
 }
 
@@ -120,40 +120,42 @@
 	return rollout ? rollout->target : NULL;
 }
 
-enum cw_rollout_arm cw_rollouts_arm(struct cw_rollouts *rollouts,
-				    const struct cw_rollout_request *request, int64_t now_ms)
+enum cw_rollout_variant cw_rollouts_choose_variant(struct cw_rollouts *rollouts,
+						   const struct cw_rollout_request *request,
+						   int64_t now_ms)
 {
 	const struct rollout *rollout = rollout_find(rollouts, request->service);
 
 	if (!rollout)
-		return CW_ROLLOUT_ANY;
-	if (rollout->state == CW_ROLLOUT_DONE)
-		return CW_ROLLOUT_NEW;
-	if (rollout->state == CW_ROLLOUT_BACK)
-		return CW_ROLLOUT_OLD;
+		return CW_ROLLOUT_VARIANT_ANY;
+	if (rollout->state == CW_ROLLOUT_COMPLETED)
+		return CW_ROLLOUT_VARIANT_NEW;
+	if (rollout->state == CW_ROLLOUT_ROLLED_BACK)
+		return CW_ROLLOUT_VARIANT_OLD;
 	if (cw_hash_part(request->session) >= rollout_share(rollout, request->route, now_ms))
-		return CW_ROLLOUT_OLD;
+		return CW_ROLLOUT_VARIANT_OLD;
 	if (rollout_elapsed_fraction(rollout, now_ms) < ROLLOUT_FIRST_END &&
 	    rollout_was_on_old_version(rollouts, rollout, request->session, now_ms))
-		return CW_ROLLOUT_OLD;
-	return CW_ROLLOUT_NEW;
+		return CW_ROLLOUT_VARIANT_OLD;
+	return CW_ROLLOUT_VARIANT_NEW;
 }
 
-struct cw_rollout_assignment cw_rollouts_assignment(struct cw_rollouts *rollouts,
-						    const struct cw_rollout_request *request,
-						    int64_t now_ms)
+struct cw_rollout_assignment cw_rollouts_assign(struct cw_rollouts *rollouts,
+						const struct cw_rollout_request *request,
+						int64_t now_ms)
 {
 	const struct rollout *rollout = rollout_find(rollouts, request->service);
 	int is_running = rollout && rollout->state == CW_ROLLOUT_RUNNING;
 
 	return (struct cw_rollout_assignment){
-		.arm = cw_rollouts_arm(rollouts, request, now_ms),
+		.variant = cw_rollouts_choose_variant(rollouts, request, now_ms),
 		.share = is_running ? rollout_share(rollout, request->route, now_ms) : 1,
 		.point = cw_hash_part(request->session),
 	};
 }
 
-int cw_rollouts_wants_load(const struct cw_rollouts *rollouts, const char *service, int64_t now_ms)
+int cw_rollouts_needs_load_trial(const struct cw_rollouts *rollouts, const char *service,
+				 int64_t now_ms)
 {
 	const struct rollout *rollout = rollout_find(rollouts, service);
 
@@ -161,8 +163,8 @@
 	       rollout_elapsed_fraction(rollout, now_ms) >= ROLLOUT_FIRST_END;
 }
 
-size_t cw_rollouts_judge(struct cw_rollouts *rollouts, int64_t now_ms,
-			 struct cw_rollout_verdict *verdicts, size_t max)
+size_t cw_rollouts_evaluate(struct cw_rollouts *rollouts, int64_t now_ms,
+			    struct cw_rollout_verdict *verdicts, size_t max)
 {
 	struct rollout *rollout;
 	size_t count = 0;
@@ -208,16 +210,16 @@
 
 	if (rollout_is_target_bad(rollout, now_ms)) {
 		rollout->reason = "bad_answers";
-		return CW_ROLLOUT_BACK;
+		return CW_ROLLOUT_ROLLED_BACK;
 	}
 	if (rollout->has_passed_trial && elapsed_ms >= completion_ms(rollouts, rollout)) {
 		rollout->reason = "proved";
-		return CW_ROLLOUT_DONE;
+		return CW_ROLLOUT_COMPLETED;
 	}
 	if (!rollout->has_passed_trial && is_trial_over(rollouts, rollout, now_ms) &&
 	    rollout_has_recent_peers(rollout, now_ms)) {
 		rollout->reason = "not_tried_under_load";
-		return CW_ROLLOUT_BACK;
+		return CW_ROLLOUT_ROLLED_BACK;
 	}
 	return CW_ROLLOUT_RUNNING;
 }
@@ -263,14 +265,14 @@
 	return 0;
 }
 
-size_t cw_rollouts_tell(struct cw_rollouts *rollouts, int64_t now_ms,
-			struct cw_rollout_news *update, size_t max)
+size_t cw_rollouts_announce(struct cw_rollouts *rollouts, int64_t now_ms,
+			    struct cw_rollout_announcement *update, size_t max)
 {
 	struct rollout *rollout;
 	size_t count = 0;
 
 	TAILQ_FOREACH(rollout, &rollouts->list, link) {
-		struct cw_rollout_news *out = &update[count];
+		struct cw_rollout_announcement *out = &update[count];
 
 		if (count++ == max)
 			return max;
@@ -283,7 +285,7 @@
 		out->state = rollout->state;
 		out->is_written = rollout->is_written;
 		out->sent = rollout->sent;
-		out->sent_new = rollout->sent_new;
+		out->sent_target = rollout->sent_target;
 		rollout_announce_plan(rollout, now_ms, out);
 		if (rollout->state != CW_ROLLOUT_RUNNING)
 			continue;
@@ -295,8 +297,8 @@
 	return count;
 }
 
-int cw_rollouts_hear(struct cw_rollouts *rollouts, uint64_t instance,
-		     const struct cw_rollout_news *update, int64_t now_ms)
+int cw_rollouts_merge(struct cw_rollouts *rollouts, uint64_t instance,
+		      const struct cw_rollout_announcement *update, int64_t now_ms)
 {
 	struct rollout *rollout = rollout_find(rollouts, update->service);
 	enum cw_rollout_state before;
@@ -361,7 +363,7 @@
 	rollout->is_ordered = 1;
 	rollout->kind_count = 0;
 	rollout_reset_plan(rollout);
-	rollout->sent = rollout->sent_new = 0;
+	rollout->sent = rollout->sent_target = 0;
 	rollout->sent_per_ms = rollout->rate_sent = 0;
 	rollout->rate_updated_ms = started_ms;
 	rollout->reason = NULL;
--- a/packages/rollout/src/rollout_internal.h
+++ b/packages/rollout/src/rollout_internal.h
@@ -26,12 +26,12 @@
 struct rollout_peer {
 	uint64_t instance;
 	int64_t last_seen_ms;
-	uint64_t sent, sent_new;
+	uint64_t sent, sent_target;
 	uint32_t counted_ms;
 	size_t route_count;
-	struct cw_rollout_route routes[CW_ROLLOUT_ROUTES];
+	struct cw_rollout_route routes[CW_ROLLOUT_MAX_ROUTES];
 	size_t kind_count;
-	struct cw_rollout_evidence kinds[CW_ROLLOUT_KINDS];
+	struct cw_rollout_evidence kinds[CW_ROLLOUT_MAX_KINDS];
 };
 
 /* One route's answers at all instances within one second. */
@@ -72,23 +72,23 @@
 	int is_written; /* the state is published in the shared store */
 	int is_ordered; /* 0: only the published status is known */
 	size_t kind_count;
-	struct cw_rollout_evidence kinds[CW_ROLLOUT_KINDS];
+	struct cw_rollout_evidence kinds[CW_ROLLOUT_MAX_KINDS];
 	int has_loaded_answer; /* here or at a peer: a server of the target answered under load */
 	int has_passed_trial;  /* here or at a peer: the target passed the trial under load */
-	int64_t from_ms[CW_ROLLOUT_STEPS]; /* start of each step, since the order */
-	unsigned int logged_steps;	   /* bit i: step i was logged */
-	const char *reason;		   /* why the state was chosen, for the log */
-	struct rollout_sum all;		   /* all instances and kinds, at the last evaluation */
-	struct rollout_sum loaded;	   /* the part from servers more than half full */
-	uint64_t sent;			   /* requests of this instance to all servers */
-	uint64_t sent_new;		   /* requests of this instance to the target */
-	double sent_per_ms;		   /* recent rate of all instances */
-	double rate_sent;		   /* requests of all instances at the last rate update */
-	int64_t rate_updated_ms;	   /* time of the last rate update */
+	int64_t effective_ms[CW_ROLLOUT_STEP_COUNT]; /* start of each step, since the order */
+	unsigned int logged_steps;		     /* bit i: step i was logged */
+	const char *reason;			     /* why the state was chosen, for the log */
+	struct rollout_sum all;	   /* all instances and kinds, at the last evaluation */
+	struct rollout_sum loaded; /* the part from servers more than half full */
+	uint64_t sent;		   /* requests of this instance to all servers */
+	uint64_t sent_target;	   /* requests of this instance to the target */
+	double sent_per_ms;	   /* recent rate of all instances */
+	double rate_sent;	   /* requests of all instances at the last rate update */
+	int64_t rate_updated_ms;   /* time of the last rate update */
 	size_t route_count;
-	struct cw_rollout_route routes[CW_ROLLOUT_ROUTES]; /* this instance's requests */
+	struct cw_rollout_route routes[CW_ROLLOUT_MAX_ROUTES]; /* this instance's requests */
 	size_t comparison_count;
-	struct rollout_comparison comparisons[CW_ROLLOUT_ROUTES];
+	struct rollout_comparison comparisons[CW_ROLLOUT_MAX_ROUTES];
 	int64_t compared_ms;	  /* when the last second was closed */
 	unsigned int slots;	  /* per server; 0: unknown */
 	double trial_share;	  /* of long-running sessions; 0: no plan */
@@ -116,8 +116,8 @@
 void rollout_reset_plan(struct rollout *rollout);
 void rollout_update_plan(struct rollout *rollout, int64_t now_ms); /* periodic */
 void rollout_announce_plan(const struct rollout *rollout, int64_t now_ms,
-			   struct cw_rollout_news *out);
-void rollout_merge_plan(struct rollout *rollout, const struct cw_rollout_news *update,
+			   struct cw_rollout_announcement *out);
+void rollout_merge_plan(struct rollout *rollout, const struct cw_rollout_announcement *update,
 			int64_t now_ms);
 const struct cw_rollout_route *rollout_lookup_route(const struct cw_rollout_route *routes,
 						    size_t count,
@@ -129,7 +129,7 @@
 void rollout_decay_evidence(struct rollout *rollout,
 			    int64_t now_ms); /* of this instance's answers */
 void rollout_merge_evidence(struct rollout *rollout, uint64_t instance,
-			    const struct cw_rollout_news *update, int64_t now_ms);
+			    const struct cw_rollout_announcement *update, int64_t now_ms);
 int rollout_is_target_bad(struct rollout *rollout, int64_t now_ms); /* also sets has_passed_trial */
 void rollout_count_dispatch(struct rollout *rollout, int is_new);   /* a request was sent */
 void rollout_update_rate(struct rollout *rollout, int64_t now_ms);  /* periodic */
@@ -144,15 +144,15 @@
 /* match.c: per-second comparison of the versions' failures on each route */
 void rollout_compare_answer(struct rollout *rollout, const struct cw_rollout_answer *answer);
 void rollout_compare_peer(struct rollout *rollout, const struct rollout_peer *known,
-			  const struct cw_rollout_news *update);
+			  const struct cw_rollout_announcement *update);
 int rollout_comparison_is_bad(struct rollout *rollout, int64_t now_ms);
 
 /* sessions.c: sessions that recently ran on the old version */
 int rollout_was_on_old_version(const struct cw_rollouts *rollouts, const struct rollout *rollout,
 			       uint64_t session, int64_t now_ms);
 void rollout_announce_sessions(const struct cw_rollouts *rollouts, const struct rollout *rollout,
-			       int64_t now_ms, struct cw_rollout_news *out);
-void rollout_merge_sessions(struct rollout *rollout, const struct cw_rollout_news *update,
+			       int64_t now_ms, struct cw_rollout_announcement *out);
+void rollout_merge_sessions(struct rollout *rollout, const struct cw_rollout_announcement *update,
 			    int64_t now_ms);
 
 #endif
--- a/packages/rollout/src/sessions.c
+++ b/packages/rollout/src/sessions.c
@@ -11,12 +11,12 @@
 
 static void record_recent(struct cw_rollouts *rollouts, const char *service, uint64_t session,
 			  uint64_t software, int64_t now_ms);
-static void add_session(struct cw_rollout_news *out, uint64_t session, int64_t age_ms);
+static void add_session(struct cw_rollout_announcement *out, uint64_t session, int64_t age_ms);
 static int ran_on_old_version(const struct rollout_recent *recent, const struct rollout *rollout);
 static void *copy_int64(int64_t value);
 
-void cw_rollouts_used(struct cw_rollouts *rollouts, const char *service, uint64_t session,
-		      const char *software, int64_t now_ms)
+void cw_rollouts_record_dispatch(struct cw_rollouts *rollouts, const char *service,
+				 uint64_t session, const char *software, int64_t now_ms)
 {
 	struct rollout *rollout = rollout_find(rollouts, service);
 	uint64_t hash = cw_hash_text(software, 0);
@@ -30,8 +30,8 @@
  * A caller retries a request that was in flight on a machine that lost power. The instance that
  * knew the version of the session may be down. Before the order only the old version existed.
  */
-void cw_rollouts_asked(struct cw_rollouts *rollouts, const char *service, uint64_t session,
-		       int64_t asked_ms, int64_t now_ms)
+void cw_rollouts_record_retry(struct cw_rollouts *rollouts, const char *service, uint64_t session,
+			      int64_t asked_ms, int64_t now_ms)
 {
 	const struct rollout *rollout = rollout_find(rollouts, service);
 
@@ -61,7 +61,7 @@
  * version would be unknown where its next request arrives.
  */
 void rollout_announce_sessions(const struct cw_rollouts *rollouts, const struct rollout *rollout,
-			       int64_t now_ms, struct cw_rollout_news *out)
+			       int64_t now_ms, struct cw_rollout_announcement *out)
 {
 	GHashTableIter iter;
 	gpointer session;
@@ -80,10 +80,10 @@
 			add_session(out, *(uint64_t *)session, now_ms - *(int64_t *)at_ms);
 }
 
-void rollout_merge_sessions(struct rollout *rollout, const struct cw_rollout_news *update,
+void rollout_merge_sessions(struct rollout *rollout, const struct cw_rollout_announcement *update,
 			    int64_t now_ms)
 {
-	for (size_t i = 0; i < MIN(update->session_count, CW_ROLLOUT_SESSIONS); i++) {
+	for (size_t i = 0; i < MIN(update->session_count, CW_ROLLOUT_MAX_SESSIONS); i++) {
 		int64_t at_ms = now_ms - update->sessions[i].age_ms;
 		int64_t *known =
 			g_hash_table_lookup(rollout->old_sessions, &update->sessions[i].session);
@@ -109,11 +109,11 @@
 	rollouts->next_recent = (rollouts->next_recent + 1) % ROLLOUT_RECENT;
 }
 
-static void add_session(struct cw_rollout_news *out, uint64_t session, int64_t age_ms)
+static void add_session(struct cw_rollout_announcement *out, uint64_t session, int64_t age_ms)
 {
 	struct cw_rollout_session *slot = &out->sessions[out->session_count];
 
-	if (out->session_count == CW_ROLLOUT_SESSIONS ||
+	if (out->session_count == CW_ROLLOUT_MAX_SESSIONS ||
 	    cw_hash_part(session) >= ROLLOUT_FIRST_SHARE)
 		return;
 	slot->session = session;
--- a/packages/route/include/cw_route.h
+++ b/packages/route/include/cw_route.h
@@ -17,14 +17,14 @@
 #define CW_ROUTE_MODELS	  8 /* models one route may choose from */
 
 /* Retry policy of a route's requests. */
-enum cw_repeat {
-	CW_REPEAT_ANY,	  /* idempotent: may be sent again */
-	CW_REPEAT_NEVER,  /* runs at most once */
-	CW_REPEAT_STREAM, /* event stream; resumed on another server if the route is resumable */
+enum cw_retry_policy {
+	CW_RETRY_ANY,	 /* idempotent: may be sent again */
+	CW_RETRY_NEVER,	 /* runs at most once */
+	CW_RETRY_STREAM, /* event stream; resumed on another server if the route is resumable */
 };
 
 /* Part of a route's requests that one service receives. */
-struct cw_share {
+struct cw_service_weight {
 	char service[CW_NAME_MAX];
 	double weight;
 };
@@ -33,7 +33,7 @@
 	char name[CW_NAME_MAX];
 	char host[CW_NAME_MAX * 2];
 	char prefix[CW_NAME_MAX * 4]; /* begins and ends with a slash */
-	enum cw_repeat repeat;
+	enum cw_retry_policy retry_policy;
 	int64_t limit_ms;     /* time-out of a request */
 	int64_t objective_ms; /* target latency of the answer, or of a stream's first event */
 	int64_t pause_ms;     /* target for the longest gap between two events */
@@ -43,25 +43,25 @@
 	int is_resumable;
 	struct cw_homes homes; /* regions that may serve the route; none: any */
 	size_t share_count;
-	struct cw_share shares[CW_ROUTE_SERVICES];
+	struct cw_service_weight shares[CW_ROUTE_SERVICES];
 	size_t model_count;			   /* 0: the caller names the model */
 	char models[CW_ROUTE_MODELS][CW_NAME_MAX]; /* smallest first */
 };
 
 struct cw_model_price {
 	char name[CW_NAME_MAX];
-	double per_1k; /* per 1,000 generated tokens; a prompt token costs a quarter */
+	double price_per_1k_tokens; /* per 1,000 generated tokens; a prompt token costs a quarter */
 };
 
 struct cw_service {
 	char name[CW_NAME_MAX];
 	char health_path[CW_NAME_MAX];
 	unsigned int max_connections; /* to one server, over all callers */
-	double cold_per_s;   /* requests per second that a cold server accepts; 0: no limit */
-	int is_engine;	     /* the servers are inference engines */
-	unsigned int slots;  /* requests that an engine runs concurrently */
-	double kv_tokens;    /* capacity of an engine's KV cache */
-	double event_tokens; /* generated tokens per event of a stream */
+	double cold_per_s;	 /* requests per second that a cold server accepts; 0: no limit */
+	int is_engine;		 /* the servers are inference engines */
+	unsigned int slots;	 /* requests that an engine runs concurrently */
+	double kv_cache_tokens;	 /* capacity of an engine's KV cache */
+	double tokens_per_event; /* generated tokens per event of a stream */
 	size_t model_count;
 	struct cw_model_price models[CW_ROUTE_MODELS];
 };
@@ -94,17 +94,18 @@
 		       const struct cw_organisation *organisation);
 void cw_config_require_keys(struct cw_config *config); /* for each request */
 struct cw_caller_limits *cw_config_limits(struct cw_config *config);
-void cw_config_seal(struct cw_config *config); /* after the last addition */
+void cw_config_build_index(struct cw_config *config); /* after the last addition */
 
-const struct cw_route *cw_config_route(const struct cw_config *config, const char *host,
-				       const char *path); /* longest prefix; NULL: none */
-const struct cw_service *cw_config_service(const struct cw_config *config, const char *name);
-const struct cw_organisation *cw_config_key(const struct cw_config *config, const char *key);
-int cw_config_needs_key(const struct cw_config *config);
-size_t cw_config_routes(const struct cw_config *config);
-size_t cw_config_services(const struct cw_config *config);
+const struct cw_route *cw_config_find_route(const struct cw_config *config, const char *host,
+					    const char *path); /* longest prefix; NULL: none */
+const struct cw_service *cw_config_find_service(const struct cw_config *config, const char *name);
+const struct cw_organisation *cw_config_find_organisation(const struct cw_config *config,
+							  const char *key);
+int cw_config_requires_key(const struct cw_config *config);
+size_t cw_config_route_count(const struct cw_config *config);
+size_t cw_config_service_count(const struct cw_config *config);
 const struct cw_service *cw_config_service_at(const struct cw_config *config, size_t index);
-const char *cw_route_service(const struct cw_route *route,
-			     uint64_t hash); /* weighted and deterministic by hash */
+const char *cw_route_choose_service(const struct cw_route *route,
+				    uint64_t hash); /* weighted and deterministic by hash */
 
 #endif
--- a/packages/route/src/route.c
+++ b/packages/route/src/route.c
@@ -100,7 +100,7 @@
 	return &config->limits;
 }
 
-void cw_config_seal(struct cw_config *config)
+void cw_config_build_index(struct cw_config *config)
 {
 	GHashTableIter iter;
 	gpointer list;
@@ -127,8 +127,8 @@
 	}
 }
 
-const struct cw_route *cw_config_route(const struct cw_config *config, const char *host,
-				       const char *path)
+const struct cw_route *cw_config_find_route(const struct cw_config *config, const char *host,
+					    const char *path)
 {
 	char lower[sizeof(((struct cw_route *)NULL)->host)];
 	size_t size = strcspn(host, ":");
@@ -149,27 +149,28 @@
 	return NULL;
 }
 
-const struct cw_service *cw_config_service(const struct cw_config *config, const char *name)
+const struct cw_service *cw_config_find_service(const struct cw_config *config, const char *name)
 {
 	return g_hash_table_lookup(config->by_service, name);
 }
 
-const struct cw_organisation *cw_config_key(const struct cw_config *config, const char *key)
+const struct cw_organisation *cw_config_find_organisation(const struct cw_config *config,
+							  const char *key)
 {
 	return g_hash_table_lookup(config->by_key, key);
 }
 
-int cw_config_needs_key(const struct cw_config *config)
+int cw_config_requires_key(const struct cw_config *config)
 {
 	return config->needs_key;
 }
 
-size_t cw_config_routes(const struct cw_config *config)
+size_t cw_config_route_count(const struct cw_config *config)
 {
 	return config->routes->len;
 }
 
-size_t cw_config_services(const struct cw_config *config)
+size_t cw_config_service_count(const struct cw_config *config)
 {
 	return config->services->len;
 }
@@ -179,7 +180,7 @@
 	return g_ptr_array_index(config->services, index);
 }
 
-const char *cw_route_service(const struct cw_route *route, uint64_t hash)
+const char *cw_route_choose_service(const struct cw_route *route, uint64_t hash)
 {
 	double total = 0;
 	double point;
--- a/packages/session/include/cw_session.h
+++ b/packages/session/include/cw_session.h
@@ -18,7 +18,7 @@
 	uint64_t row;	   /* cw_row.id of the version, to check that the binding is still valid */
 	char model[CW_NAME_MAX];
 	char version[CW_NAME_MAX];
-	int64_t pushed_ms; /* last announcement to the replicas of the binding; 0: never */
+	int64_t announced_ms; /* last announcement to the replicas of the binding; 0: never */
 };
 
 struct cw_session_store;
@@ -30,16 +30,16 @@
 		     int64_t now_ms); /* 1: the stored binding changed */
 const struct cw_binding *cw_session_find(struct cw_session_store *store, uint64_t key,
 					 int64_t now_ms); /* NULL: none; renews the idle time */
-void cw_session_pushed(struct cw_session_store *store, uint64_t key, int64_t now_ms);
-void cw_session_end(struct cw_session_store *store,
-		    uint64_t key); /* e.g. its version was withdrawn */
+void cw_session_mark_announced(struct cw_session_store *store, uint64_t key, int64_t now_ms);
+void cw_session_remove(struct cw_session_store *store,
+		       uint64_t key); /* e.g. its version was withdrawn */
 void cw_session_expire(struct cw_session_store *store, int64_t now_ms, int64_t idle_ms);
 size_t cw_session_count(const struct cw_session_store *store);
 
-void cw_token_make(const uint8_t key[CW_KEY_BYTES], const struct cw_binding *binding,
-		   char token[CW_TOKEN_MAX]);
+void cw_token_encode(const uint8_t key[CW_KEY_BYTES], const struct cw_binding *binding,
+		     char token[CW_TOKEN_MAX]);
 enum cw_status
-cw_token_read(const uint8_t key[CW_KEY_BYTES], const char *token,
-	      struct cw_binding *binding); /* CW_INVALID: malformed or not signed with the key */
+cw_token_decode(const uint8_t key[CW_KEY_BYTES], const char *token,
+		struct cw_binding *binding); /* CW_INVALID: malformed or not signed with the key */
 
 #endif
--- a/packages/session/src/session.c
+++ b/packages/session/src/session.c
@@ -85,15 +85,15 @@
 	return &session->binding;
 }
 
-void cw_session_pushed(struct cw_session_store *store, uint64_t key, int64_t now_ms)
+void cw_session_mark_announced(struct cw_session_store *store, uint64_t key, int64_t now_ms)
 {
 	struct session *session = g_hash_table_lookup(store->by_key, &key);
 
 	if (session)
-		session->binding.pushed_ms = now_ms;
+		session->binding.announced_ms = now_ms;
 }
 
-void cw_session_end(struct cw_session_store *store, uint64_t key)
+void cw_session_remove(struct cw_session_store *store, uint64_t key)
 {
 	struct session *session = g_hash_table_lookup(store->by_key, &key);
 
@@ -115,8 +115,8 @@
 }
 
 /* "key.offset.row.model/version.signature", the signature over all before it. */
-void cw_token_make(const uint8_t key[CW_KEY_BYTES], const struct cw_binding *binding,
-		   char token[CW_TOKEN_MAX])
+void cw_token_encode(const uint8_t key[CW_KEY_BYTES], const struct cw_binding *binding,
+		     char token[CW_TOKEN_MAX])
 {
 	uint8_t mac[32];
 	int length = snprintf(
@@ -130,8 +130,8 @@
 		length += snprintf(token + length, CW_TOKEN_MAX - (size_t)length, "%02x", mac[i]);
 }
 
-enum cw_status cw_token_read(const uint8_t key[CW_KEY_BYTES], const char *token,
-			     struct cw_binding *binding)
+enum cw_status cw_token_decode(const uint8_t key[CW_KEY_BYTES], const char *token,
+			       struct cw_binding *binding)
 {
 	const char *mac_text = strrchr(token, '.');
 	enum cw_status status = CW_INVALID;
--- a/tests/fuzz/users_input.c
+++ b/tests/fuzz/users_input.c
@@ -39,8 +39,8 @@
 static void play(const uint8_t *bytes, size_t size);
 static int next(struct stage *stage);
 static void open_stage(struct stage *stage);
-static void add_route(struct cw_config *config, const char *prefix, enum cw_repeat repeat,
-		      int attempts);
+static void add_route(struct cw_config *config, const char *prefix,
+		      enum cw_retry_policy retry_policy, int attempts);
 static void change_server(struct stage *stage);
 static void act(struct stage *stage);
 static void open_call(struct stage *stage);
@@ -223,17 +223,17 @@
 	stage->gate = cw_gate_create(&options);
 	cw_gate_divide(stage->gate, 1);
 	stage->config = cw_config_create(1);
-	add_route(stage->config, "/once/", CW_REPEAT_NEVER, 3);
-	add_route(stage->config, "/any/", CW_REPEAT_ANY, 2);
-	add_route(stage->config, "/stream/", CW_REPEAT_STREAM, 3);
-	cw_config_seal(stage->config);
+	add_route(stage->config, "/once/", CW_RETRY_NEVER, 3);
+	add_route(stage->config, "/any/", CW_RETRY_ANY, 2);
+	add_route(stage->config, "/stream/", CW_RETRY_STREAM, 3);
+	cw_config_build_index(stage->config);
 	cw_gate_configure(stage->gate, stage->config);
 	for (int i = 0; i < SERVERS; i++)
 		change_server(stage);
 }
 
-static void add_route(struct cw_config *config, const char *prefix, enum cw_repeat repeat,
-		      int attempts)
+static void add_route(struct cw_config *config, const char *prefix,
+		      enum cw_retry_policy retry_policy, int attempts)
 {
 	struct cw_route *route = cw_config_add_route(config);
 
@@ -242,11 +242,11 @@
 	g_strlcpy(route->shares[0].service, "s", CW_NAME_MAX);
 	route->shares[0].weight = 1;
 	route->share_count = 1;
-	route->repeat = repeat;
+	route->retry_policy = retry_policy;
 	route->max_attempts = attempts;
 	route->limit_ms = 3000;
 	route->objective_ms = 300;
-	if (repeat != CW_REPEAT_STREAM)
+	if (retry_policy != CW_RETRY_STREAM)
 		return;
 	route->is_resumable = 1;
 	route->model_count = 2;
@@ -315,7 +315,7 @@
 			       stage->now_ms, &stage->step);
 		break;
 	case 5:
-		if (account->route->repeat != CW_REPEAT_STREAM)
+		if (account->route->retry_policy != CW_RETRY_STREAM)
 			return;
 		account->is_shown = 1;
 		cw_call_event(account->call, choice, stage->now_ms);
@@ -370,11 +370,11 @@
 		account->is_showing = 0;
 		check(!step->server->leaving, "a leaving server got a request");
 		check(!step->server->has_ended, "an earlier start of a server got a request");
-		check(account->route->repeat != CW_REPEAT_NEVER || !account->may_ran,
+		check(account->route->retry_policy != CW_RETRY_NEVER || !account->may_ran,
 		      "sent again though it may have run, and may run once");
 		check(account->sends <= account->route->max_attempts,
 		      "sent to more servers than the route allows");
-		check(account->route->repeat != CW_REPEAT_ANY || !account->is_shown,
+		check(account->route->retry_policy != CW_RETRY_ANY || !account->is_shown,
 		      "sent again after a part was shown");
 		check(step->dispatch.allowed_ms <= MAX(stage->facts.allowed_ms, 1),
 		      "a server got more time than the caller gave");
--- a/tests/unit/gate_bed.c
+++ b/tests/unit/gate_bed.c
@@ -17,14 +17,15 @@
 }
 
 static struct cw_route *add_route(struct cw_config *config, const char *prefix,
-				  enum cw_repeat repeat, int attempts, const char *service)
+				  enum cw_retry_policy retry_policy, int attempts,
+				  const char *service)
 {
 	struct cw_route *route = cw_config_add_route(config);
 
 	strcpy(route->host, "h.example");
 	g_strlcpy(route->prefix, prefix, sizeof(route->prefix));
 	g_strlcpy(route->name, prefix, sizeof(route->name));
-	route->repeat = repeat;
+	route->retry_policy = retry_policy;
 	route->max_attempts = attempts;
 	route->limit_ms = 800;
 	route->objective_ms = 300;
@@ -48,19 +49,19 @@
 	strcpy(organisation->name, "museo");
 	cw_config_require_keys(config);
 	cw_config_add_key(config, "key", organisation);
-	add_route(config, "/once/", CW_REPEAT_NEVER, 1, "orders");
-	add_route(config, "/read/", CW_REPEAT_ANY, 3, "orders");
-	add_route(config, "/read/deep/", CW_REPEAT_ANY, 3, "orders")->is_public = 1;
-	route = add_route(config, "/chat/", CW_REPEAT_STREAM, 3, "llm");
+	add_route(config, "/once/", CW_RETRY_NEVER, 1, "orders");
+	add_route(config, "/read/", CW_RETRY_ANY, 3, "orders");
+	add_route(config, "/read/deep/", CW_RETRY_ANY, 3, "orders")->is_public = 1;
+	route = add_route(config, "/chat/", CW_RETRY_STREAM, 3, "llm");
 	route->is_resumable = 1;
 	route->limit_ms = 20000;
 	route->model_count = 2;
 	strcpy(route->models[0], "small");
 	strcpy(route->models[1], "large");
-	route = add_route(config, "/report/", CW_REPEAT_STREAM, 3, "llm");
+	route = add_route(config, "/report/", CW_RETRY_STREAM, 3, "llm");
 	route->is_resumable = 1;
 	route->limit_ms = 20000;
-	cw_config_seal(config);
+	cw_config_build_index(config);
 	return config;
 }
 
--- a/tests/unit/rollout_bed.c
+++ b/tests/unit/rollout_bed.c
@@ -15,7 +15,7 @@
 {
 	struct cw_rollouts *rollouts = cw_rollouts_create(&rollout_bed_options);
 
-	assert_int_equal(cw_rollouts_order(rollouts, &rollout_bed_order, 7, now_ms), 1);
+	assert_int_equal(cw_rollouts_apply_order(rollouts, &rollout_bed_order, 7, now_ms), 1);
 	return rollouts;
 }
 
@@ -24,12 +24,12 @@
 	return cw_hash(&number, sizeof(number), 0);
 }
 
-enum cw_rollout_arm rollout_bed_variant(struct cw_rollouts *rollouts, uint64_t session,
-					int64_t now_ms)
+enum cw_rollout_variant rollout_bed_variant(struct cw_rollouts *rollouts, uint64_t session,
+					    int64_t now_ms)
 {
 	struct cw_rollout_request request = {.service = "llm", .session = session};
 
-	return cw_rollouts_arm(rollouts, &request, now_ms);
+	return cw_rollouts_choose_variant(rollouts, &request, now_ms);
 }
 
 double rollout_bed_share_of(struct cw_rollouts *rollouts, uint64_t route, int64_t now_ms)
@@ -39,7 +39,8 @@
 
 	for (int i = 0; i < SESSIONS; i++) {
 		request.session = rollout_bed_session(i);
-		count += cw_rollouts_arm(rollouts, &request, now_ms) == CW_ROLLOUT_NEW;
+		count += cw_rollouts_choose_variant(rollouts, &request, now_ms) ==
+			 CW_ROLLOUT_VARIANT_NEW;
 	}
 	return (double)count / SESSIONS;
 }
@@ -54,7 +55,7 @@
 	struct cw_rollout_request request = {.service = "llm", .route = route};
 
 	for (int i = 0; i < count; i++)
-		cw_rollouts_came(rollouts, &request, kinds, SLOTS);
+		cw_rollouts_record_arrival(rollouts, &request, kinds, SLOTS);
 }
 
 void rollout_bed_answer_kind(struct cw_rollouts *rollouts, struct cw_rollout_answer kind, int good,
@@ -63,7 +64,7 @@
 	kind.service = "llm";
 	for (int i = 0; i < good + bad; i++) {
 		kind.is_failure = i < bad;
-		cw_rollouts_answered(rollouts, &kind, now_ms);
+		cw_rollouts_record_answer(rollouts, &kind, now_ms);
 	}
 }
 
@@ -81,14 +82,14 @@
 	struct cw_rollout_verdict verdict;
 
 	rollout_bed_answer_kind(rollouts, full, 20, 0, now_ms);
-	cw_rollouts_judge(rollouts, now_ms, &verdict, 1);
+	cw_rollouts_evaluate(rollouts, now_ms, &verdict, 1);
 }
 
 size_t rollout_bed_evaluate(struct cw_rollouts *rollouts, int64_t now_ms,
 			    enum cw_rollout_state *state)
 {
 	struct cw_rollout_verdict verdict = {0};
-	size_t count = cw_rollouts_judge(rollouts, now_ms, &verdict, 1);
+	size_t count = cw_rollouts_evaluate(rollouts, now_ms, &verdict, 1);
 
 	*state = verdict.status.state;
 	return count;
--- a/tests/unit/rollout_bed.h
+++ b/tests/unit/rollout_bed.h
@@ -15,8 +15,8 @@
 
 struct cw_rollouts *rollout_bed_start(int64_t now_ms);
 uint64_t rollout_bed_session(int number);
-enum cw_rollout_arm rollout_bed_variant(struct cw_rollouts *rollouts, uint64_t session,
-					int64_t now_ms);
+enum cw_rollout_variant rollout_bed_variant(struct cw_rollouts *rollouts, uint64_t session,
+					    int64_t now_ms);
 double rollout_bed_share_of(struct cw_rollouts *rollouts, uint64_t route,
 			    int64_t now_ms); /* of sessions on the target */
 double rollout_bed_share(struct cw_rollouts *rollouts,
--- a/tests/unit/test_gate.c
+++ b/tests/unit/test_gate.c
@@ -191,14 +191,14 @@
 static void only_a_bad_version_is_barred_when_no_other_server_is_left(void **state)
 {
 	struct cw_rollout_order order = {"orders", "v1", 20000};
-	struct cw_rollout_status back = {"orders", "v1", CW_ROLLOUT_BACK};
+	struct cw_rollout_status back = {"orders", "v1", CW_ROLLOUT_ROLLED_BACK};
 	struct bed bed;
 
 	bed_open(&bed);
-	cw_rollouts_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW);
+	cw_rollouts_apply_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW);
 	bed_ask(&bed, "/once/x");
 	assert_int_equal(bed.step.kind, CW_STEP_SEND);
-	cw_rollouts_told(cw_gate_rollouts(bed.gate), &back);
+	cw_rollouts_apply_status(cw_gate_rollouts(bed.gate), &back);
 	bed_ask(&bed, "/once/x");
 	bed_assert_refused(&bed, 503, CW_RUN_NOT);
 	bed_close(&bed);
@@ -317,16 +317,17 @@
 		int is_loaded;
 	} cases[] = {{6, 6, 300, 1}, {1, 6, 300, 0}, {1, 6, 40, 1}, {6, 1, 40, 0}, {3, 3, 300, 1}};
 	struct cw_rollout_order order = {"llm", "v1", 20000};
-	struct cw_rollout_news news;
+	struct cw_rollout_announcement news;
 	struct bed bed;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
 		int64_t now_ms = BED_NOW + 5000;
 
 		bed_open(&bed);
-		cw_rollouts_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW);
+		cw_rollouts_apply_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW);
 		be_told(&bed, cases[i].before, cases[i].now, cases[i].took_ms, now_ms);
-		cw_rollouts_tell(cw_gate_rollouts(bed.gate), now_ms + cases[i].took_ms, &news, 1);
+		cw_rollouts_announce(cw_gate_rollouts(bed.gate), now_ms + cases[i].took_ms, &news,
+				     1);
 		assert_int_equal(news.kind_count, 1);
 		assert_int_equal(news.kinds[0].is_loaded, cases[i].is_loaded);
 		bed_close(&bed);
@@ -359,11 +360,11 @@
 		assert_string_equal(bed.step.server->software, "v1");
 	}
 	/* With its order known the roll-out says who goes there. */
-	cw_rollouts_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW + 5200);
+	cw_rollouts_apply_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW + 5200);
 	for (int i = 0; !used && i < 1000; i++) {
 		old.session = (uint64_t)i << 50;
-		used = cw_rollouts_arm(cw_gate_rollouts(bed.gate), &old, BED_NOW + 7000) ==
-		       CW_ROLLOUT_NEW;
+		used = cw_rollouts_choose_variant(cw_gate_rollouts(bed.gate), &old,
+						  BED_NOW + 7000) == CW_ROLLOUT_VARIANT_NEW;
 	}
 	assert_true(used);
 	bed_close(&bed);
--- a/tests/unit/test_gate_drain.c
+++ b/tests/unit/test_gate_drain.c
@@ -98,7 +98,7 @@
 {
 	struct cw_config *config = bed_make_config(version);
 
-	((struct cw_service *)cw_config_service(config, "orders"))->cold_per_s = per_s;
+	((struct cw_service *)cw_config_find_service(config, "orders"))->cold_per_s = per_s;
 	cw_gate_configure(bed->gate, config);
 	cw_config_unref(config);
 }
@@ -153,11 +153,13 @@
 	struct cw_config *config = bed_make_config(version);
 
 	if (route)
-		cw_homes_add(&((struct cw_route *)cw_config_route(config, "h.example", "/once/x"))
-				      ->homes,
-			     route);
+		cw_homes_add(
+			&((struct cw_route *)cw_config_find_route(config, "h.example", "/once/x"))
+				 ->homes,
+			route);
 	if (organisation)
-		cw_homes_add(&((struct cw_organisation *)cw_config_key(config, "key"))->homes,
+		cw_homes_add(&((struct cw_organisation *)cw_config_find_organisation(config, "key"))
+				      ->homes,
 			     organisation);
 	cw_gate_configure(bed->gate, config);
 	cw_config_unref(config);
--- a/tests/unit/test_gossip.c
+++ b/tests/unit/test_gossip.c
@@ -35,13 +35,13 @@
 	gossip->rollout_count = 1;
 	strcpy(gossip->rollouts[0].service, "llm");
 	gossip->rollouts[0].elapsed_ms = -5;
-	gossip->rollouts[0].state = CW_ROLLOUT_BACK;
-	gossip->rollouts[0].from_ms[CW_ROLLOUT_FULL] = 14000;
-	gossip->rollouts[0].from_ms[CW_ROLLOUT_PROVED] = CW_ROLLOUT_NEVER;
+	gossip->rollouts[0].state = CW_ROLLOUT_ROLLED_BACK;
+	gossip->rollouts[0].effective_ms[CW_ROLLOUT_STEP_FULL] = 14000;
+	gossip->rollouts[0].effective_ms[CW_ROLLOUT_STEP_PASSED] = CW_ROLLOUT_NEVER;
 	gossip->rollouts[0].counted_ms = 9000;
 	gossip->rollouts[0].route_count = 1;
 	gossip->rollouts[0].routes[0] =
-		(struct cw_rollout_route){3, 9, 8, 1, 90, 4, 12, 3, CW_ROLLOUT_FILLING, 0.25F};
+		(struct cw_rollout_route){3, 9, 8, 1, 90, 4, 12, 3, CW_ROLLOUT_LONG_RUNNING, 0.25F};
 	gossip->rollouts[0].kind_count = 1;
 	gossip->rollouts[0].kinds[0] =
 		(struct cw_rollout_evidence){9, 1, 1, 0.5F, 3, 0.75F, 2, 0.25F, 4, 0.5F};
@@ -84,7 +84,7 @@
 	sent.load_count = 10;
 	sent.change_count = CW_FOLLOW_CHANGES;
 	sent.member_count = CW_GOSSIP_MEMBERS;
-	sent.rollouts[0].session_count = CW_ROLLOUT_SESSIONS;
+	sent.rollouts[0].session_count = CW_ROLLOUT_MAX_SESSIONS;
 	/* Servers that end meanwhile are told of in the others, which reach all within a second. */
 	sent.end_count = CW_QUARANTINE_ENDS;
 	sent.held_count = CW_QUARANTINE_RECORDS;
--- a/tests/unit/test_overload.c
+++ b/tests/unit/test_overload.c
@@ -172,12 +172,12 @@
 
 	for (int priority = 0; priority < 3; priority++) {
 		bed_open(&bed);
-		((struct cw_route *)cw_config_route(bed.config, "h.example", "/once/x"))->priority =
-			2;
-		((struct cw_route *)cw_config_route(bed.config, "h.example", "/read/x"))->priority =
-			priority;
-		((struct cw_route *)cw_config_route(bed.config, "h.example", "/read/x"))->limit_ms =
-			9000;
+		((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/once/x"))
+			->priority = 2;
+		((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/read/x"))
+			->priority = priority;
+		((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/read/x"))
+			->limit_ms = 9000;
 		reject(&bed, 40);
 		for (int i = 0; i < 100; i++) {
 			bed_ask(&bed, "/read/x");
@@ -201,7 +201,7 @@
 	struct bed bed;
 
 	bed_open(&bed);
-	((struct cw_route *)cw_config_route(bed.config, "h.example", "/chat/x"))->limit_ms =
+	((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/chat/x"))->limit_ms =
 		limit_ms;
 	bed.facts.allowed_ms = limit_ms;
 	for (int i = 0; i < 40; i++) {
@@ -241,8 +241,8 @@
 	struct bed bed;
 
 	bed_open(&bed);
-	((struct cw_route *)cw_config_route(bed.config, "h.example", "/read/x"))->priority = 2;
-	organisation = (struct cw_organisation *)cw_config_key(bed.config, "key");
+	((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/read/x"))->priority = 2;
+	organisation = (struct cw_organisation *)cw_config_find_organisation(bed.config, "key");
 	organisation->has_priority = 1;
 	organisation->priority = 0;
 	reject(&bed, 40);
@@ -357,7 +357,7 @@
 	struct bed bed;
 
 	bed_open(&bed);
-	((struct cw_route *)cw_config_route(bed.config, "h.example", "/read/x"))->priority = 2;
+	((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/read/x"))->priority = 2;
 	for (int i = 0; i < 400; i++) {
 		int first = 1;
 
--- a/tests/unit/test_rollout.c
+++ b/tests/unit/test_rollout.c
@@ -14,26 +14,27 @@
 {
 	struct cw_rollouts *first = cw_rollouts_create(&rollout_bed_options);
 	struct cw_rollouts *second = rollout_bed_start(1000);
-	struct cw_rollout_news update;
+	struct cw_rollout_announcement update;
 	uint64_t chosen = 0;
 
 	for (int i = 0; !chosen; i++)
-		if (rollout_bed_variant(second, rollout_bed_session(i), 4000) == CW_ROLLOUT_NEW)
+		if (rollout_bed_variant(second, rollout_bed_session(i), 4000) ==
+		    CW_ROLLOUT_VARIANT_NEW)
 			chosen = rollout_bed_session(i);
-	cw_rollouts_used(first, "llm", chosen, "v1", 900);
-	cw_rollouts_order(first, &rollout_bed_order, 7, 1000);
-	assert_int_equal(rollout_bed_variant(first, chosen, 2500), CW_ROLLOUT_OLD);
-	assert_int_equal(cw_rollouts_tell(first, 1100, &update, 1), 1);
+	cw_rollouts_record_dispatch(first, "llm", chosen, "v1", 900);
+	cw_rollouts_apply_order(first, &rollout_bed_order, 7, 1000);
+	assert_int_equal(rollout_bed_variant(first, chosen, 2500), CW_ROLLOUT_VARIANT_OLD);
+	assert_int_equal(cw_rollouts_announce(first, 1100, &update, 1), 1);
 	assert_int_equal(update.session_count, 1);
-	cw_rollouts_hear(second, 1, &update, 1100);
-	assert_int_equal(rollout_bed_variant(second, chosen, 2500), CW_ROLLOUT_OLD);
+	cw_rollouts_merge(second, 1, &update, 1100);
+	assert_int_equal(rollout_bed_variant(second, chosen, 2500), CW_ROLLOUT_VARIANT_OLD);
 	/* A third instance, which receives messages of the second one only, learns of the session
 	 * too. */
-	cw_rollouts_tell(second, 1200, &update, 1);
+	cw_rollouts_announce(second, 1200, &update, 1);
 	assert_int_equal(update.session_count, 1);
 	assert_int_equal(update.sessions[0].age_ms, 300);
 	/* After the idle time the session has ended, and a new one may run on the new version. */
-	assert_int_equal(rollout_bed_variant(second, chosen, 7000), CW_ROLLOUT_NEW);
+	assert_int_equal(rollout_bed_variant(second, chosen, 7000), CW_ROLLOUT_VARIANT_NEW);
 	cw_rollouts_destroy(first);
 	cw_rollouts_destroy(second);
 }
@@ -49,25 +50,27 @@
 {
 	static const struct cw_rollout_order next = {"llm", "v3", BED_DURATION_MS};
 	struct cw_rollouts *rollouts = rollout_bed_start(1000);
-	struct cw_rollout_news update;
+	struct cw_rollout_announcement update;
 	enum cw_rollout_state verdict;
 	uint64_t chosen = 0;
 
 	for (int i = 0; !chosen; i++)
-		if (rollout_bed_variant(rollouts, rollout_bed_session(i), 4000) == CW_ROLLOUT_NEW)
+		if (rollout_bed_variant(rollouts, rollout_bed_session(i), 4000) ==
+		    CW_ROLLOUT_VARIANT_NEW)
 			chosen = rollout_bed_session(i);
 	rollout_bed_pass_trial(rollouts, 900 + BED_DURATION_MS);
 	rollout_bed_evaluate(rollouts, 1000 + BED_DURATION_MS, &verdict);
-	assert_int_equal(verdict, CW_ROLLOUT_DONE);
-	cw_rollouts_used(rollouts, "llm", chosen, "v2", 1000 + BED_DURATION_MS);
-	cw_rollouts_order(rollouts, &next, 8, 1100 + BED_DURATION_MS);
+	assert_int_equal(verdict, CW_ROLLOUT_COMPLETED);
+	cw_rollouts_record_dispatch(rollouts, "llm", chosen, "v2", 1000 + BED_DURATION_MS);
+	cw_rollouts_apply_order(rollouts, &next, 8, 1100 + BED_DURATION_MS);
 	assert_int_equal(rollout_bed_variant(rollouts, chosen, 3000 + BED_DURATION_MS),
-			 CW_ROLLOUT_OLD);
-	cw_rollouts_tell(rollouts, 1200 + BED_DURATION_MS, &update, 1);
+			 CW_ROLLOUT_VARIANT_OLD);
+	cw_rollouts_announce(rollouts, 1200 + BED_DURATION_MS, &update, 1);
 	assert_int_equal(update.session_count, 1);
 	/* A request on v3 itself does not bind a session to the old version. */
-	cw_rollouts_used(rollouts, "llm", rollout_bed_session(0), "v3", 1200 + BED_DURATION_MS);
-	cw_rollouts_tell(rollouts, 1300 + BED_DURATION_MS, &update, 1);
+	cw_rollouts_record_dispatch(rollouts, "llm", rollout_bed_session(0), "v3",
+				    1200 + BED_DURATION_MS);
+	cw_rollouts_announce(rollouts, 1300 + BED_DURATION_MS, &update, 1);
 	assert_int_equal(update.session_count, 1);
 	cw_rollouts_destroy(rollouts);
 }
@@ -85,12 +88,13 @@
 	uint64_t chosen = 0;
 
 	for (int i = 0; !chosen; i++)
-		if (rollout_bed_variant(rollouts, rollout_bed_session(i), 4000) == CW_ROLLOUT_NEW)
+		if (rollout_bed_variant(rollouts, rollout_bed_session(i), 4000) ==
+		    CW_ROLLOUT_VARIANT_NEW)
 			chosen = rollout_bed_session(i);
-	cw_rollouts_asked(rollouts, "llm", chosen, 1000, 4000);
-	assert_int_equal(rollout_bed_variant(rollouts, chosen, 4000), CW_ROLLOUT_NEW);
-	cw_rollouts_asked(rollouts, "llm", chosen, 900, 4000);
-	assert_int_equal(rollout_bed_variant(rollouts, chosen, 4000), CW_ROLLOUT_OLD);
+	cw_rollouts_record_retry(rollouts, "llm", chosen, 1000, 4000);
+	assert_int_equal(rollout_bed_variant(rollouts, chosen, 4000), CW_ROLLOUT_VARIANT_NEW);
+	cw_rollouts_record_retry(rollouts, "llm", chosen, 900, 4000);
+	assert_int_equal(rollout_bed_variant(rollouts, chosen, 4000), CW_ROLLOUT_VARIANT_OLD);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -107,7 +111,7 @@
 	struct cw_rollouts *rollouts = cw_rollouts_create(&rollout_bed_options);
 	enum cw_rollout_state verdict;
 
-	cw_rollouts_order(rollouts, &usual, 1, 0);
+	cw_rollouts_apply_order(rollouts, &usual, 1, 0);
 	assert_true(rollout_bed_share(rollouts, 16000) < 1);
 	rollout_bed_pass_trial(rollouts, 14380);
 	assert_true(rollout_bed_share(rollouts, 16099) < 1);
@@ -115,7 +119,7 @@
 	assert_int_equal(rollout_bed_evaluate(rollouts, 16000 + BED_SESSION_MS, &verdict), 0);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 16100 + BED_SESSION_MS, &verdict), 1);
 	/* With less time than the idle time, the ordered duration takes precedence. */
-	cw_rollouts_order(rollouts, &hasty, 2, 20000);
+	cw_rollouts_apply_order(rollouts, &hasty, 2, 20000);
 	rollout_bed_pass_trial(rollouts, 26000);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 27600, &verdict), 0);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 27900, &verdict), 1);
@@ -131,7 +135,7 @@
 static void failures_are_pooled_over_instances(void **state)
 {
 	struct cw_rollouts *rollouts[3];
-	struct cw_rollout_news update;
+	struct cw_rollout_announcement update;
 	enum cw_rollout_state verdict;
 
 	for (int i = 0; i < 3; i++) {
@@ -141,15 +145,15 @@
 		assert_int_equal(rollout_bed_evaluate(rollouts[i], 3000, &verdict), 0);
 	}
 	for (int i = 1; i < 3; i++) {
-		cw_rollouts_tell(rollouts[i], 3000, &update, 1);
-		cw_rollouts_hear(rollouts[0], (uint64_t)i, &update, 3000);
+		cw_rollouts_announce(rollouts[i], 3000, &update, 1);
+		cw_rollouts_merge(rollouts[0], (uint64_t)i, &update, 3000);
 	}
 	assert_int_equal(rollout_bed_evaluate(rollouts[0], 3000, &verdict), 1);
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	assert_true(rollout_bed_share(rollouts[0], 4000) == 0);
 	/* The peers merge the verdict and stop at once. */
-	cw_rollouts_tell(rollouts[0], 3000, &update, 1);
-	assert_int_equal(cw_rollouts_hear(rollouts[1], 9, &update, 3000), 1);
+	cw_rollouts_announce(rollouts[0], 3000, &update, 1);
+	assert_int_equal(cw_rollouts_merge(rollouts[1], 9, &update, 3000), 1);
 	assert_true(rollout_bed_share(rollouts[1], 4000) == 0);
 	for (int i = 0; i < 3; i++)
 		cw_rollouts_destroy(rollouts[i]);
@@ -186,7 +190,7 @@
 		rollout_bed_answer(rollouts, "v2", 2, 3, second * 1000);
 	}
 	assert_int_equal(rollout_bed_evaluate(rollouts, 14000, &verdict), 1);
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -202,12 +206,12 @@
 	enum cw_rollout_state verdict = CW_ROLLOUT_RUNNING;
 
 	rollout_bed_answer(rollouts, "v1", 200, 0, 1000);
-	for (int second = 2; second < 12 && verdict != CW_ROLLOUT_BACK; second++) {
+	for (int second = 2; second < 12 && verdict != CW_ROLLOUT_ROLLED_BACK; second++) {
 		rollout_bed_answer_kind(rollouts, rare, second % 3 == 0, second % 3 != 0,
 					second * 1000);
 		rollout_bed_evaluate(rollouts, second * 1000, &verdict);
 	}
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -223,7 +227,7 @@
 	rollout_bed_answer_kind(rollouts, (struct cw_rollout_answer){.software = "v2", .route = 2},
 				2, 3, 4000);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 4000, &verdict), 1);
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -242,8 +246,8 @@
 	rollout_bed_answer(rollouts, "v1", 400, 4, 13000);
 	rollout_bed_answer(rollouts, "v2", 60, 0, 13000);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 13000, &verdict), 0);
-	assert_false(cw_rollouts_wants_load(rollouts, "llm", 12400));
-	assert_true(cw_rollouts_wants_load(rollouts, "llm", 12500));
+	assert_false(cw_rollouts_needs_load_trial(rollouts, "llm", 12400));
+	assert_true(cw_rollouts_needs_load_trial(rollouts, "llm", 12500));
 	rollout_bed_answer_kind(
 		rollouts, (struct cw_rollout_answer){.software = "v2", .is_loaded = 1, .route = 1},
 		2, 3, 14000);
@@ -251,7 +255,7 @@
 		rollouts, (struct cw_rollout_answer){.software = "v2", .is_loaded = 1, .route = 2},
 		2, 3, 14000);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 14000, &verdict), 1);
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -267,10 +271,10 @@
 	 * passes 13. */
 	rollout_bed_answer_kind(rollouts, full, 11, 0, 14000);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 14000, &verdict), 0);
-	assert_true(cw_rollouts_wants_load(rollouts, "llm", 14000));
+	assert_true(cw_rollouts_needs_load_trial(rollouts, "llm", 14000));
 	rollout_bed_answer_kind(rollouts, full, 5, 0, 14000);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 14000, &verdict), 0);
-	assert_false(cw_rollouts_wants_load(rollouts, "llm", 14000));
+	assert_false(cw_rollouts_needs_load_trial(rollouts, "llm", 14000));
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -289,7 +293,7 @@
 	rollout_bed_answer(rollouts, "v2", 200, 0, 18000);
 	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS * 85 / 100, &verdict), 0);
 	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS * 87 / 100, &verdict), 1);
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -302,13 +306,13 @@
 	/* 1,000 requests by 0.6 of the duration predict 1,667: 250 + 30 may be exposed, 85 % are
 	 * 238. */
 	for (int i = 0; i < 1000; i++)
-		cw_rollouts_used(rollouts, "llm", rollout_bed_session(i), i < 230 ? "v2" : "v1",
-				 now_ms);
+		cw_rollouts_record_dispatch(rollouts, "llm", rollout_bed_session(i),
+					    i < 230 ? "v2" : "v1", now_ms);
 	assert_int_equal(rollout_bed_evaluate(rollouts, now_ms, &verdict), 0);
 	for (int i = 0; i < 20; i++)
-		cw_rollouts_used(rollouts, "llm", rollout_bed_session(i), "v2", now_ms);
+		cw_rollouts_record_dispatch(rollouts, "llm", rollout_bed_session(i), "v2", now_ms);
 	assert_int_equal(rollout_bed_evaluate(rollouts, now_ms, &verdict), 1);
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -328,17 +332,18 @@
 	/* 100 per second for 8 s, then 20: 1,120 in all, so 198 may go to the target. */
 	for (now_ms = 0; now_ms < BED_DURATION_MS * 6 / 10; now_ms += 100) {
 		for (int i = 0; i < (now_ms < 8000 ? 10 : 2); i++, sent++)
-			cw_rollouts_used(rollouts, "llm", rollout_bed_session(sent),
-					 sent % 20 < 3 ? "v2" : "v1", now_ms);
+			cw_rollouts_record_dispatch(rollouts, "llm", rollout_bed_session(sent),
+						    sent % 20 < 3 ? "v2" : "v1", now_ms);
 		rollout_bed_evaluate(rollouts, now_ms, &verdict);
 		assert_int_equal(verdict, CW_ROLLOUT_RUNNING);
 	}
 	for (int to_new = sent * 3 / 20; verdict == CW_ROLLOUT_RUNNING; to_new++) {
 		assert_true(to_new < 198);
-		cw_rollouts_used(rollouts, "llm", rollout_bed_session(to_new), "v2", now_ms);
+		cw_rollouts_record_dispatch(rollouts, "llm", rollout_bed_session(to_new), "v2",
+					    now_ms);
 		rollout_bed_evaluate(rollouts, now_ms, &verdict);
 	}
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -379,33 +384,33 @@
 
 	rollout_bed_answer(rollouts, "v1", 200, 0, 12600);
 	for (int i = 0; i < 20; i++)
-		cw_rollouts_answered(rollouts, &slow, 12600);
+		cw_rollouts_record_answer(rollouts, &slow, 12600);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 12600, &verdict), 0);
 	cw_rollouts_destroy(rollouts);
 	rollouts = rollout_bed_start(0);
 	rollout_bed_answer(rollouts, "v1", 200, 0, 12400);
 	for (int i = 0; i < 20; i++)
-		cw_rollouts_answered(rollouts, &slow, 12400);
+		cw_rollouts_record_answer(rollouts, &slow, 12400);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 12400, &verdict), 1);
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
 static void a_good_version_is_completed_in_time_and_published_once(void **state)
 {
 	struct cw_rollouts *rollouts = rollout_bed_start(0);
-	struct cw_rollout_status status = {"llm", "v2", CW_ROLLOUT_DONE};
+	struct cw_rollout_status status = {"llm", "v2", CW_ROLLOUT_COMPLETED};
 	enum cw_rollout_state verdict;
 
 	rollout_bed_answer(rollouts, "v2", 100, 1, 15000);
 	rollout_bed_pass_trial(rollouts, 15000);
 	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS * 8 / 10, &verdict), 0);
 	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS * 95 / 100, &verdict), 1);
-	assert_int_equal(verdict, CW_ROLLOUT_DONE);
-	assert_int_equal(cw_rollouts_told(rollouts, &status), 1);
+	assert_int_equal(verdict, CW_ROLLOUT_COMPLETED);
+	assert_int_equal(cw_rollouts_apply_status(rollouts, &status), 1);
 	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS, &verdict), 0);
 	assert_int_equal(rollout_bed_variant(rollouts, rollout_bed_session(1), 99000),
-			 CW_ROLLOUT_NEW);
+			 CW_ROLLOUT_VARIANT_NEW);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -413,17 +418,17 @@
 static void the_published_status_overrides_the_local_verdict(void **state)
 {
 	struct cw_rollouts *rollouts = rollout_bed_start(0);
-	struct cw_rollout_status status = {"llm", "v2", CW_ROLLOUT_BACK};
+	struct cw_rollout_status status = {"llm", "v2", CW_ROLLOUT_ROLLED_BACK};
 	enum cw_rollout_state verdict;
 
 	rollout_bed_pass_trial(rollouts, 20000);
 	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS, &verdict), 1);
-	assert_int_equal(verdict, CW_ROLLOUT_DONE);
-	cw_rollouts_told(rollouts, &status);
+	assert_int_equal(verdict, CW_ROLLOUT_COMPLETED);
+	cw_rollouts_apply_status(rollouts, &status);
 	assert_int_equal(rollout_bed_variant(rollouts, rollout_bed_session(1), 99000),
-			 CW_ROLLOUT_OLD);
-	assert_int_equal(cw_rollouts_order(rollouts, &rollout_bed_order, 7, 99000), 0);
-	assert_int_equal(cw_rollouts_order(rollouts, &rollout_bed_order, 8, 99000), 1);
+			 CW_ROLLOUT_VARIANT_OLD);
+	assert_int_equal(cw_rollouts_apply_order(rollouts, &rollout_bed_order, 7, 99000), 0);
+	assert_int_equal(cw_rollouts_apply_order(rollouts, &rollout_bed_order, 8, 99000), 1);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -437,16 +442,16 @@
 static void a_status_may_be_read_before_its_order(void **state)
 {
 	struct cw_rollouts *rollouts = cw_rollouts_create(&rollout_bed_options);
-	struct cw_rollout_status status = {"llm", "v2", CW_ROLLOUT_DONE};
+	struct cw_rollout_status status = {"llm", "v2", CW_ROLLOUT_COMPLETED};
 	struct cw_rollout_order next = {"llm", "v3", BED_DURATION_MS};
 
-	assert_int_equal(cw_rollouts_told(rollouts, &status), 1);
-	cw_rollouts_order(rollouts, &rollout_bed_order, 7, 1000);
+	assert_int_equal(cw_rollouts_apply_status(rollouts, &status), 1);
+	cw_rollouts_apply_order(rollouts, &rollout_bed_order, 7, 1000);
 	assert_int_equal(rollout_bed_variant(rollouts, rollout_bed_session(1), 2500),
-			 CW_ROLLOUT_NEW);
-	cw_rollouts_order(rollouts, &next, 8, 3000);
+			 CW_ROLLOUT_VARIANT_NEW);
+	cw_rollouts_apply_order(rollouts, &next, 8, 3000);
 	assert_int_equal(rollout_bed_variant(rollouts, rollout_bed_session(1), 3500),
-			 CW_ROLLOUT_OLD);
+			 CW_ROLLOUT_VARIANT_OLD);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -459,8 +464,8 @@
  */
 static void two_instances_without_the_store_leave_time_for_the_third(void **state)
 {
-	assert_int_equal(cw_rollouts_turn_ms(0), 0);
-	assert_true(cw_rollouts_turn_ms(2) < (1 - 0.955) * 14000);
+	assert_int_equal(cw_rollouts_write_delay_ms(0), 0);
+	assert_true(cw_rollouts_write_delay_ms(2) < (1 - 0.955) * 14000);
 }
 
 int main(void)
--- a/tests/unit/test_rollout_match.c
+++ b/tests/unit/test_rollout_match.c
@@ -59,7 +59,7 @@
 	before = target_answers;
 	for (int second = 8; second < 18 && verdict == CW_ROLLOUT_RUNNING; second++)
 		run_second(rollouts, &bad, second * 1000, &verdict);
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	assert_true(target_answers - before <= 24);
 	cw_rollouts_destroy(rollouts);
 }
@@ -86,7 +86,7 @@
 	struct cw_rollout_answer new = {.software = "v2", .route = ROUTE};
 	struct cw_rollouts *peers[3] = {rollout_bed_start(0), rollout_bed_start(0),
 					rollout_bed_start(0)};
-	struct cw_rollout_news update;
+	struct cw_rollout_announcement update;
 	enum cw_rollout_state verdict = CW_ROLLOUT_RUNNING;
 	int64_t now_ms;
 
@@ -96,20 +96,20 @@
 			rollout_bed_answer_kind(peers[i], old, 1, 0, now_ms);
 			if (now_ms == 2000)
 				rollout_bed_answer_kind(peers[i], new, 2, 1, now_ms);
-			cw_rollouts_tell(peers[i], now_ms, &update, 1);
-			cw_rollouts_hear(peers[0], (uint64_t)i, &update, now_ms);
-			cw_rollouts_hear(peers[0], (uint64_t)i, &update, now_ms);
+			cw_rollouts_announce(peers[i], now_ms, &update, 1);
+			cw_rollouts_merge(peers[0], (uint64_t)i, &update, now_ms);
+			cw_rollouts_merge(peers[0], (uint64_t)i, &update, now_ms);
 		}
 		rollout_bed_evaluate(peers[0], now_ms, &verdict);
 	}
 	assert_int_equal(verdict, CW_ROLLOUT_RUNNING);
 	for (int i = 1; i < 3; i++) {
 		rollout_bed_answer_kind(peers[i], new, 1, 3, now_ms);
-		cw_rollouts_tell(peers[i], now_ms, &update, 1);
-		cw_rollouts_hear(peers[0], (uint64_t)i, &update, now_ms);
+		cw_rollouts_announce(peers[i], now_ms, &update, 1);
+		cw_rollouts_merge(peers[0], (uint64_t)i, &update, now_ms);
 	}
 	rollout_bed_evaluate(peers[0], now_ms + 1000, &verdict);
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	for (int i = 0; i < 3; i++)
 		cw_rollouts_destroy(peers[i]);
 }
--- a/tests/unit/test_rollout_plan.c
+++ b/tests/unit/test_rollout_plan.c
@@ -12,7 +12,7 @@
 	enum cw_rollout_state verdict;
 	double first;
 
-	rollout_bed_receive(rollouts, BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_FILLING, 30);
+	rollout_bed_receive(rollouts, BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_LONG_RUNNING, 30);
 	assert_true(rollout_bed_share(rollouts, 1500) == 0);
 	first = rollout_bed_share(rollouts, 4000);
 	assert_true(first > 0.06 && first < 0.10);
@@ -46,18 +46,18 @@
 {
 	struct cw_rollouts *rollouts = rollout_bed_start(0);
 	struct cw_rollouts *peer = rollout_bed_start(0);
-	struct cw_rollout_news update;
+	struct cw_rollout_announcement update;
 	enum cw_rollout_state verdict;
 	double share;
 
-	rollout_bed_receive(rollouts, BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_FILLING, 36 * 12);
+	rollout_bed_receive(rollouts, BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_LONG_RUNNING, 36 * 12);
 	rollout_bed_evaluate(rollouts, AT(0.505), &verdict);
 	/* 64 slots in 4 s are 16 per second; 432 requests in 12.1 s are 36 per second. */
 	share = rollout_bed_share_of(rollouts, BED_LONG_RUNNING_ROUTE, AT(0.53));
 	assert_true(share > 0.44 && share < 0.50);
 	/* All instances move the same sessions, and no session moves back. */
-	cw_rollouts_tell(rollouts, AT(0.53), &update, 1);
-	cw_rollouts_hear(peer, 1, &update, AT(0.53));
+	cw_rollouts_announce(rollouts, AT(0.53), &update, 1);
+	cw_rollouts_merge(peer, 1, &update, AT(0.53));
 	assert_true(rollout_bed_share_of(peer, BED_LONG_RUNNING_ROUTE, AT(0.53)) == share);
 	rollout_bed_evaluate(rollouts, AT(0.61), &verdict);
 	assert_true(rollout_bed_share_of(rollouts, BED_LONG_RUNNING_ROUTE, AT(0.61)) == share);
@@ -76,7 +76,7 @@
 	enum cw_rollout_state verdict;
 	double share;
 
-	rollout_bed_receive(rollouts, BED_SHORT_PROMPT_ROUTE, CW_ROLLOUT_LIGHT, 600);
+	rollout_bed_receive(rollouts, BED_SHORT_PROMPT_ROUTE, CW_ROLLOUT_SHORT_PROMPT, 600);
 	rollout_bed_evaluate(rollouts, AT(0.505), &verdict);
 	assert_true(rollout_bed_share_of(rollouts, BED_SHORT_PROMPT_ROUTE, AT(0.6)) < 0.12);
 	rollout_bed_answer_kind(rollouts, full, 1, 0, AT(0.6));
@@ -141,12 +141,12 @@
 	static const uint64_t routes[] = {BED_LONG_RUNNING_ROUTE, BED_SHORT_PROMPT_ROUTE, 0};
 	struct cw_rollout_answer full = {.software = "v2", .is_loaded = 1, .route = 1};
 	struct cw_rollouts *halves[2] = {rollout_bed_start(0), rollout_bed_start(0)};
-	struct cw_rollout_news update;
+	struct cw_rollout_announcement update;
 	enum cw_rollout_state verdict;
 	double before[2][G_N_ELEMENTS(routes)];
 
-	rollout_bed_receive(halves[0], BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_FILLING, 400);
-	rollout_bed_receive(halves[1], BED_SHORT_PROMPT_ROUTE, CW_ROLLOUT_LIGHT, 400);
+	rollout_bed_receive(halves[0], BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_LONG_RUNNING, 400);
+	rollout_bed_receive(halves[1], BED_SHORT_PROMPT_ROUTE, CW_ROLLOUT_SHORT_PROMPT, 400);
 	rollout_bed_answer_kind(halves[1], full, 1, 0, AT(0.4));
 	for (int i = 0; i < 2; i++) {
 		rollout_bed_evaluate(halves[i], AT(0.505), &verdict);
@@ -154,8 +154,8 @@
 			before[i][j] = rollout_bed_share_of(halves[i], routes[j], AT(0.6));
 	}
 	for (int i = 0; i < 2; i++) {
-		cw_rollouts_tell(halves[i], AT(0.6), &update, 1);
-		cw_rollouts_hear(halves[1 - i], (uint64_t)i + 1, &update, AT(0.6));
+		cw_rollouts_announce(halves[i], AT(0.6), &update, 1);
+		cw_rollouts_merge(halves[1 - i], (uint64_t)i + 1, &update, AT(0.6));
 	}
 	for (size_t j = 0; j < G_N_ELEMENTS(routes); j++) {
 		double share = rollout_bed_share_of(halves[0], routes[j], AT(0.6));
@@ -179,22 +179,23 @@
 static void an_instance_with_few_requests_does_not_plan_for_all(void **state)
 {
 	struct cw_rollouts *instances[3] = {rollout_bed_start(0), rollout_bed_start(0), NULL};
-	struct cw_rollout_news update;
+	struct cw_rollout_announcement update;
 	enum cw_rollout_state verdict;
 	double share;
 
-	rollout_bed_receive(instances[0], BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_FILLING, 2000);
+	rollout_bed_receive(instances[0], BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_LONG_RUNNING, 2000);
 	instances[2] = rollout_bed_start(AT(0.46));
-	cw_rollouts_tell(instances[1], AT(0.46), &update, 1);
-	cw_rollouts_hear(instances[2], 2, &update, AT(0.46));
-	rollout_bed_receive(instances[2], BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_FILLING, 1);
+	cw_rollouts_announce(instances[1], AT(0.46), &update, 1);
+	cw_rollouts_merge(instances[2], 2, &update, AT(0.46));
+	rollout_bed_receive(instances[2], BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_LONG_RUNNING, 1);
 	for (int i = 0; i < 3; i++)
 		rollout_bed_evaluate(instances[i], AT(0.505), &verdict);
 	for (int i = 2; i >= 0; i--) {
-		cw_rollouts_tell(instances[i], AT(0.505), &update, 1);
+		cw_rollouts_announce(instances[i], AT(0.505), &update, 1);
 		for (int j = 0; j < 3; j++)
 			if (j != i)
-				cw_rollouts_hear(instances[j], (uint64_t)i + 1, &update, AT(0.505));
+				cw_rollouts_merge(instances[j], (uint64_t)i + 1, &update,
+						  AT(0.505));
 	}
 	/* 64 slots in 4 s are 16 per second, of 174 requests per second. */
 	share = rollout_bed_share_of(instances[0], BED_LONG_RUNNING_ROUTE, AT(0.55));
@@ -215,9 +216,9 @@
 	struct cw_rollouts *rollouts = rollout_bed_start(0);
 	enum cw_rollout_state verdict = CW_ROLLOUT_RUNNING;
 
-	rollout_bed_receive(rollouts, BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_FILLING, 400);
-	rollout_bed_receive(rollouts, BED_SHORT_PROMPT_ROUTE, CW_ROLLOUT_LIGHT, 400);
-	rollout_bed_receive(rollouts, 7, CW_ROLLOUT_LIGHT | CW_ROLLOUT_FILLING, 100);
+	rollout_bed_receive(rollouts, BED_LONG_RUNNING_ROUTE, CW_ROLLOUT_LONG_RUNNING, 400);
+	rollout_bed_receive(rollouts, BED_SHORT_PROMPT_ROUTE, CW_ROLLOUT_SHORT_PROMPT, 400);
+	rollout_bed_receive(rollouts, 7, CW_ROLLOUT_SHORT_PROMPT | CW_ROLLOUT_LONG_RUNNING, 100);
 	for (int64_t now_ms = 0; now_ms < AT(0.9); now_ms += 100) {
 		rollout_bed_evaluate(rollouts, now_ms, &verdict);
 		if (now_ms == AT(0.7))
--- a/tests/unit/test_rollout_slow.c
+++ b/tests/unit/test_rollout_slow.c
@@ -26,11 +26,11 @@
 	rollout_bed_answer_kind(rollouts, new, 11, 0, 4200);
 	assert_int_equal(rollout_bed_evaluate(rollouts, 4200, &verdict), 0);
 	/* A version whose answers are all slow is still detected by a dozen further answers. */
-	for (; verdict != CW_ROLLOUT_BACK && answers < 12; answers++) {
+	for (; verdict != CW_ROLLOUT_ROLLED_BACK && answers < 12; answers++) {
 		rollout_bed_answer_kind(rollouts, new, 1, 0, 5000 + answers * 100);
 		rollout_bed_evaluate(rollouts, 5000 + answers * 100, &verdict);
 	}
-	assert_int_equal(verdict, CW_ROLLOUT_BACK);
+	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
--- a/tests/unit/test_session.c
+++ b/tests/unit/test_session.c
@@ -58,8 +58,8 @@
 	struct cw_binding read;
 	char token[CW_TOKEN_MAX];
 
-	cw_token_make(key, &bound, token);
-	assert_int_equal(cw_token_read(key, token, &read), CW_OK);
+	cw_token_encode(key, &bound, token);
+	assert_int_equal(cw_token_decode(key, token, &read), CW_OK);
 	assert_int_equal(read.key, 77);
 	assert_int_equal(read.bound_at, 12);
 	assert_int_equal(read.row, 42);
@@ -74,16 +74,16 @@
 	struct cw_binding read;
 	char token[CW_TOKEN_MAX];
 
-	cw_token_make(key, &bound, token);
+	cw_token_encode(key, &bound, token);
 	for (size_t i = 0; i < strlen(token); i++) {
 		char original = token[i];
 
 		token[i] = original == '1' ? '2' : '1';
-		assert_int_equal(cw_token_read(key, token, &read), CW_INVALID);
+		assert_int_equal(cw_token_decode(key, token, &read), CW_INVALID);
 		token[i] = original;
 	}
 	for (size_t i = 0; i < sizeof(malformed) / sizeof(malformed[0]); i++)
-		assert_int_equal(cw_token_read(key, malformed[i], &read), CW_INVALID);
+		assert_int_equal(cw_token_decode(key, malformed[i], &read), CW_INVALID);
 }
 
 int main(void)
--- a/tests/unit/test_session_version.c
+++ b/tests/unit/test_session_version.c
@@ -50,21 +50,21 @@
 	bed_open(bed);
 	bed_add_server(bed, "e3", "llm", "v2");
 	bed_add_server(bed, "e4", "llm", "v2");
-	cw_rollouts_order(rollouts(bed), &order, 7, BED_NOW);
+	cw_rollouts_apply_order(rollouts(bed), &order, 7, BED_NOW);
 }
 
 /* The periodic evaluation and announcement of all instances, at the same time. */
 static void exchange_announcements(struct bed *beds, size_t count, int64_t now_ms)
 {
 	struct cw_rollout_verdict verdicts[1];
-	struct cw_rollout_news update;
+	struct cw_rollout_announcement update;
 
 	for (size_t i = 0; i < count; i++) {
-		cw_rollouts_judge(rollouts(&beds[i]), now_ms, verdicts, 1);
-		assert_int_equal(cw_rollouts_tell(rollouts(&beds[i]), now_ms, &update, 1), 1);
+		cw_rollouts_evaluate(rollouts(&beds[i]), now_ms, verdicts, 1);
+		assert_int_equal(cw_rollouts_announce(rollouts(&beds[i]), now_ms, &update, 1), 1);
 		for (size_t j = 0; j < count; j++)
 			if (j != i)
-				cw_rollouts_hear(rollouts(&beds[j]), i + 1, &update, now_ms);
+				cw_rollouts_merge(rollouts(&beds[j]), i + 1, &update, now_ms);
 	}
 }
 
@@ -100,7 +100,7 @@
 /* As above, after a server of the target was full once. */
 static void run_until_trial_of_full_server(struct bed *beds)
 {
-	cw_rollouts_answered(rollouts(&beds[0]), &under_load, BED_NOW);
+	cw_rollouts_record_answer(rollouts(&beds[0]), &under_load, BED_NOW);
 	run_until_trial(beds);
 }
 
@@ -173,7 +173,7 @@
 
 	open_both(beds);
 	run_until_trial(beds);
-	cw_rollouts_answered(rollouts(&beds[0]), &under_load, now_ms);
+	cw_rollouts_record_answer(rollouts(&beds[0]), &under_load, now_ms);
 	for (int i = 0; i < SESSIONS; i++)
 		if (!strcmp(software_of(&beds[0], &chat, i, now_ms + 10), "v2"))
 			assert_string_equal(software_of(&beds[1], &chat, i, now_ms + 20), "v2");
@@ -220,7 +220,7 @@
 	int largest = 0;
 
 	open_both(beds);
-	cw_rollouts_answered(rollouts(&beds[0]), &under_load, BED_NOW);
+	cw_rollouts_record_answer(rollouts(&beds[0]), &under_load, BED_NOW);
 	for (int64_t at_ms = 0; at_ms <= TRIAL_MS; at_ms += ANNOUNCE_MS) {
 		for (int i = 0; i < 4; i++)
 			software_of(&beds[0], &talk, 10000 + i, BED_NOW + at_ms);
@@ -261,7 +261,7 @@
 		cw_call_event(begun[i], 1, now_ms + 31);
 	}
 	/* Before the streams end, more sessions move to the target. */
-	cw_rollouts_answered(rollouts(&beds[0]), &under_load, now_ms);
+	cw_rollouts_record_answer(rollouts(&beds[0]), &under_load, now_ms);
 	for (int64_t at_ms = 0; at_ms <= 2000; at_ms += ANNOUNCE_MS)
 		exchange_announcements(beds, 2, now_ms + at_ms);
 	for (int i = 0; i < SESSIONS; i++) {
@@ -283,7 +283,8 @@
 static void requests_of_a_session_go_to_one_service_of_a_split_route(void **state)
 {
 	struct cw_config *config = bed_make_config(6);
-	struct cw_route *route = (struct cw_route *)cw_config_route(config, "h.example", "/chat/");
+	struct cw_route *route =
+		(struct cw_route *)cw_config_find_route(config, "h.example", "/chat/");
 	struct bed bed;
 	int split = 0;
 
