--- a/packages/cascade/include/cw_cascade.h
+++ b/packages/cascade/include/cw_cascade.h
@@ -1,9 +1,9 @@
 /*
- * Which version answers a request that names none ("auto"). Per (organisation, task), and per task
- * over all organisations while one has few ratings of its own, the expected
- * quality and cost of each version are learned from ratings; the plan is the cheapest one whose
- * lower confidence bound meets the target: a version directly, or a cheap one whose answer is
- * rated before it is shown and replaced by a costlier version's when it falls short.
+ * Chooses the version for a request that names none ("auto"). The expected quality and cost of each
+ * version are learned from ratings per (organisation, task); an organisation with few ratings uses
+ * those of the task over all organisations. The plan is the cheapest whose lower confidence bound
+ * meets the quality target: either one version directly, or a cheap version whose answer is rated
+ * before it is shown and replaced by a costlier version's answer when the rating is too low.
  */
 #ifndef CW_CASCADE_H
 #define CW_CASCADE_H
@@ -15,26 +15,25 @@
 
 struct cw_option {
 	uint64_t version;   /* cw_pool_version */
-	double cost_per_1k; /* of the table; an empty cell counts as 0 */
+	double cost_per_1k; /* from the version table; an empty cell counts as 0 */
 };
 
 struct cw_plan {
 	size_t first; /* index of the option to ask first */
-	size_t then;  /* index to escalate to; equal to first: none */
-	int check;    /* rate the first answer before showing it */
-	int explores; /* not the best known plan: learning */
+	size_t then;  /* index to escalate to; equal to first: no escalation */
+	int check;    /* rate the first answer before it is shown */
+	int explores; /* exploration: not the best known plan */
 	double expect_cost;
 	double expect_quality;
 };
 
 struct cw_cascade_in {
 	uint64_t task;	 /* hash of organisation and task */
-	uint64_t common; /* hash of the task alone: stands in while the organisation has few ratings
-			  */
+	uint64_t common; /* hash of the task alone: used while the organisation has few ratings */
 	const struct cw_option *options;
 	size_t count;
 	double target; /* quality 0 to 1 */
-	int may_check; /* 0: streamed to a person, nothing may be taken back */
+	int may_check; /* 0: streamed as generated, so no answer can be replaced */
 	uint64_t random;
 };
 
@@ -44,8 +43,8 @@
 };
 
 extern const struct cw_cascade_policy cw_cascade_learned;
-extern const struct cw_cascade_policy cw_cascade_costly; /* baseline: always the costliest */
-extern const struct cw_cascade_policy cw_cascade_cheap;	 /* baseline: always the cheapest */
+extern const struct cw_cascade_policy cw_cascade_costly; /* baseline: the costliest version */
+extern const struct cw_cascade_policy cw_cascade_cheap;	 /* baseline: the cheapest version */
 const struct cw_cascade_policy *cw_cascade_policy_find(const char *name); /* NULL: unknown */
 
 struct cw_cascade;
@@ -61,6 +60,6 @@
 		     double tokens);
 int cw_cascade_falls_short(const struct cw_cascade_in *in, double score); /* 1: escalate */
 double cw_cascade_sample_rate(const struct cw_cascade *cascade, uint64_t task,
-			      uint64_t version); /* of answers worth rating afterwards */
+			      uint64_t version); /* share of answers to rate after delivery */
 
 #endif
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -2,34 +2,36 @@
 
 #include <string.h>
 
-#define CONNECT_MS	  400  /* a way of 1 ms, and 300 ms of a server that is slow to accept */
-#define CONNECT_MIN_MS	  100  /* a pause of this instance's own isn't taken for a cut */
-#define UNSENT_MAX	  4    /* connections that fail before the request is given up */
-#define REUSE_ONCE_MS	  1500 /* for what may run once: the shorter, the rarer a closed one */
-#define NO_CONFIG_WAIT_MS 500
-#define DEADLINE_LESS_MS  15   /* the way back to the caller */
-#define LAST_PAUSE_MS	  4000 /* between events, where the stream can go nowhere else */
-#define URGENCY_LAST	  9
-#define SERVICE_SEED	  0x5e41 /* a session's service says nothing of its place in a roll-out */
-#define CONNECT_LEFT_MIN  20	 /* less time than this left: nothing can be answered */
-
-static int find_target(struct cw_call *call, struct cw_step *step);
-static void send_first(struct cw_call *call, int64_t now_ms, struct cw_step *step);
-static void note_kinds(struct cw_call *call);
-static int send(struct cw_call *call, int64_t now_ms, struct cw_step *step);
-static int64_t connect_ms(const struct cw_call *call);
-static int send_instead(struct cw_call *call, int64_t now_ms, struct cw_step *step);
+#define CONNECT_TIMEOUT_MAX_MS                                                                     \
+	400 /* a way of 1 ms, and 300 ms of a server that is slow to accept */
+#define CONNECT_TIMEOUT_MIN_MS 100 /* a pause of this instance's own isn't taken for a cut */
+#define CONNECT_FAILURES_MAX   4   /* connections that fail before the request is given up */
+#define NON_REPEATABLE_REUSE_IDLE_MS                                                               \
+	1500 /* for what may run once: the shorter, the rarer a closed one */
+#define NO_CONFIG_RETRY_MS  500
+#define RETURN_PATH_MS	    15	 /* the way back to the caller */
+#define LAST_ATTEMPT_GAP_MS 4000 /* between events, where the stream can go nowhere else */
+#define URGENCY_MAX	    9
+#define SERVICE_HASH_SEED   0x5e41 /* a session's service says nothing of its place in a roll-out */
+#define TIME_LEFT_MIN_MS    20	   /* less time than this left: nothing can be answered */
+
+static int resolve_target(struct cw_call *call, struct cw_step *step);
+static void dispatch_first(struct cw_call *call, int64_t now_ms, struct cw_step *step);
+static void report_route_kinds(struct cw_call *call);
+static int dispatch_attempt(struct cw_call *call, int64_t now_ms, struct cw_step *step);
+static int64_t connect_timeout_ms(const struct cw_call *call);
+static int switch_server(struct cw_call *call, int64_t now_ms, struct cw_step *step);
 static void fill_dispatch(struct cw_call *call, int64_t now_ms, struct cw_step *step);
-static int64_t silence_ms(const struct cw_call *call, int64_t now_ms);
-static int64_t pause_ms(const struct cw_call *call);
-static void leave_server(struct cw_call *call, int64_t now_ms, int is_answered);
-static void give_up_server(struct cw_call *call, int64_t now_ms);
-static void note_failure(struct cw_call *call, int64_t now_ms);
-static int may_repeat(const struct cw_call *call);
-static int can_send_again(struct cw_call *call, int64_t now_ms);
-static void again_or_fail(struct cw_call *call, int64_t now_ms, struct cw_step *step,
+static int64_t idle_timeout_ms(const struct cw_call *call, int64_t now_ms);
+static int64_t event_gap_timeout_ms(const struct cw_call *call);
+static void release_server(struct cw_call *call, int64_t now_ms, int is_answered);
+static void abandon_attempt(struct cw_call *call, int64_t now_ms);
+static void record_failure(struct cw_call *call, int64_t now_ms);
+static int is_retriable(const struct cw_call *call);
+static int take_retry(struct cw_call *call, int64_t now_ms);
+static void retry_or_fail(struct cw_call *call, int64_t now_ms, struct cw_step *step,
 			  const char *reason);
-static void note_wait(const struct cw_call *call);
+static void record_wait(const struct cw_call *call);
 static uint64_t session_key(const struct cw_call *call);
 
 struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_facts *facts, int64_t came_ms,
@@ -42,16 +44,16 @@
 	call->facts = *facts;
 	call->opened_ms = came_ms;
 	call->last_event = facts->last_event;
-	call->is_continued = facts->last_event != CW_NO_EVENT;
-	call->limit_ms = came_ms + (facts->allowed_ms >= 0 ? facts->allowed_ms : 0);
+	call->is_resumed = facts->last_event != CW_NO_EVENT;
+	call->deadline_ms = came_ms + (facts->allowed_ms >= 0 ? facts->allowed_ms : 0);
 	if (!gate->config) {
-		call_refuse(step, 503, "no configuration is known yet");
-		step->retry_after_ms = NO_CONFIG_WAIT_MS + call_retry_after_ms(call);
+		call_reject(step, 503, "no configuration is known yet");
+		step->retry_after_ms = NO_CONFIG_RETRY_MS + call_retry_after_ms(call);
 		return call;
 	}
 	call->config = cw_config_ref(gate->config);
-	if (find_target(call, step) && !call_refuse_held(call, step))
-		send_first(call, now_ms, step);
+	if (resolve_target(call, step) && !call_reject_quarantined(call, step))
+		dispatch_first(call, now_ms, step);
 	return call;
 }
 
@@ -60,10 +62,10 @@
 {
 	if (step->kind != CW_STEP_SEND)
 		return;
-	leave_server(call, now_ms, 0);
+	release_server(call, now_ms, 0);
 	call->attempts = 0;
 	memset(step, 0, sizeof(*step));
-	call_refuse_not_run(call, step, reason, now_ms);
+	call_reject_not_run(call, step, reason, now_ms);
 }
 
 void cw_call_head(struct cw_call *call, const struct cw_answer_facts *answer, int64_t now_ms,
@@ -76,24 +78,24 @@
 	step->asked_confidence = -1;
 	if (answer->has_load) {
 		cw_pool_reported(call->server, &load, now_ms);
-		gate_note_told(call->gate, call->service_name, &load, now_ms);
-		call_work_told(call, &load, now_ms);
+		gate_add_load_report(call->gate, call->service_name, &load, now_ms);
+		call_work_load_reported(call, &load, now_ms);
 	}
 	if (answer->has_cold)
 		cw_warmup_told(&call->server->warmup, answer->cold_ms, now_ms);
-	step->was_loaded = call->was_loaded;
+	step->was_loaded = call->server_was_loaded;
 	if (answer->is_not_run) {
-		leave_server(call, now_ms, 0);
-		call_model_rejected(call);
+		release_server(call, now_ms, 0);
+		call_model_fall_back(call);
 		/* Another server at a reused address says nothing of room. */
 		if (!answer->is_stranger)
-			gate_note_rejected(call->gate, call->service_name, now_ms);
-		if (can_send_again(call, now_ms) && send(call, now_ms, step))
+			gate_count_rejected(call->gate, call->service_name, now_ms);
+		if (take_retry(call, now_ms) && dispatch_attempt(call, now_ms, step))
 			return;
 		if (call->is_shown)
 			step->kind = CW_STEP_ABORT;
 		else
-			call_refuse_not_run(call, step, "the backend servers did not take it",
+			call_reject_not_run(call, step, "the backend servers did not take it",
 					    now_ms);
 		return;
 	}
@@ -104,8 +106,8 @@
 	}
 	if (answer->status >= 500) {
 		call_work_failed(call, now_ms);
-		if (may_repeat(call) && can_send_again(call, now_ms) &&
-		    send_instead(call, now_ms, step))
+		if (is_retriable(call) && take_retry(call, now_ms) &&
+		    switch_server(call, now_ms, step))
 			return;
 		if (call->is_shown) {
 			step->kind = CW_STEP_ABORT;
@@ -117,21 +119,21 @@
 		}
 	}
 	if (answer->status < 500)
-		call_work_head(call, now_ms);
-	if (!call->is_shown && call_model_escalates(call, answer, now_ms, step)) {
-		size_t small = call->model;
+		call_work_head_received(call, now_ms);
+	if (!call->is_shown && call_model_should_escalate(call, answer, now_ms, step)) {
+		size_t small = call->model_index;
 
-		call->model = call->route->model_count - 1;
+		call->model_index = call->route->model_count - 1;
 		call->tried_count =
 			0; /* none has failed: the same server may run the other model */
-		if (send_instead(call, now_ms, step))
+		if (switch_server(call, now_ms, step))
 			return;
 		step->reason = "no_server";
-		call->model = small;
+		call->model_index = small;
 	}
 	step->kind = CW_STEP_SHOW;
-	step->silence_ms =
-		call->route->repeat == CW_REPEAT_STREAM ? pause_ms(call) : silence_ms(call, now_ms);
+	step->silence_ms = call->route->repeat == CW_REPEAT_STREAM ? event_gap_timeout_ms(call)
+								   : idle_timeout_ms(call, now_ms);
 }
 
 int cw_call_wants_event(const struct cw_call *call, int64_t event)
@@ -142,7 +144,7 @@
 void cw_call_event(struct cw_call *call, int64_t event, int64_t now_ms)
 {
 	call->is_shown = 1;
-	call->events++;
+	call->events_shown++;
 	if (event >= 0)
 		call->last_event = event;
 }
@@ -155,52 +157,53 @@
 			cw_pool_unheard(call->server);
 		cw_pool_refused(call->server, now_ms, gate_random(call->gate));
 		cw_quarantine_gone(call->gate->quarantine, call->server->id, now_ms);
-		leave_server(call, now_ms, 0);
+		release_server(call, now_ms, 0);
 		call->attempts--;
-		if (++call->unsent < UNSENT_MAX && now_ms + CONNECT_LEFT_MIN < call->limit_ms &&
-		    send(call, now_ms, step))
+		if (++call->connect_failures < CONNECT_FAILURES_MAX &&
+		    now_ms + TIME_LEFT_MIN_MS < call->deadline_ms &&
+		    dispatch_attempt(call, now_ms, step))
 			return;
 		if (call->is_shown)
 			step->kind = CW_STEP_ABORT;
 		else
-			call_refuse_not_run(call, step, "no backend server could be reached",
+			call_reject_not_run(call, step, "no backend server could be reached",
 					    now_ms);
 		return;
 	}
 	call->may_have_run = 1;
 	if (how == CW_BREAK_BROKEN)
-		call_note_end(call, now_ms);
+		call_record_crash(call, now_ms);
 	else
-		call_note_left(call, call->server, now_ms);
-	note_failure(call, now_ms);
-	leave_server(call, now_ms, 0);
-	again_or_fail(call, now_ms, step, "the backend server's answer was not whole");
+		call_record_abandoned(call, call->server, now_ms);
+	record_failure(call, now_ms);
+	release_server(call, now_ms, 0);
+	retry_or_fail(call, now_ms, step, "the backend server's answer was not whole");
 }
 
 void cw_call_done(struct cw_call *call, int64_t now_ms)
 {
 	if (!call->server)
 		return;
-	call_work_done(call, now_ms);
-	if (call->is_continued)
-		call_note_left(call, call->server, now_ms);
+	call_work_completed(call, now_ms);
+	if (call->is_resumed)
+		call_record_abandoned(call, call->server, now_ms);
 	else
 		cw_quarantine_answered(call->gate->quarantine, call->fingerprint, call->server->id,
-				       call_ran_ms(call, now_ms), now_ms);
+				       call_run_time_ms(call, now_ms), now_ms);
 	cw_pool_succeeded(call->server, now_ms);
-	leave_server(call, now_ms, 1);
+	release_server(call, now_ms, 1);
 }
 
 void cw_call_expired(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	memset(step, 0, sizeof(*step));
 	if (call->server)
-		give_up_server(call, now_ms);
+		abandon_attempt(call, now_ms);
 	if (call->is_shown) {
 		step->kind = CW_STEP_ABORT;
 		return;
 	}
-	call_refuse(step, 504, "no answer in time");
+	call_reject(step, 504, "no answer in time");
 	step->run = call->may_have_run || call->attempts > 0 ? CW_RUN_UNKNOWN : CW_RUN_NOT;
 }
 
@@ -209,7 +212,7 @@
 {
 	memset(step, 0, sizeof(*step));
 	if (call->server)
-		give_up_server(call, now_ms);
+		abandon_attempt(call, now_ms);
 	if (call->is_shown)
 		step->kind = CW_STEP_ABORT;
 	else
@@ -221,7 +224,7 @@
 	if (!call)
 		return;
 	if (call->server)
-		give_up_server(call, now_ms);
+		abandon_attempt(call, now_ms);
 	cw_config_unref(call->config);
 	g_free(call);
 }
@@ -229,12 +232,12 @@
 /* With no attempt left, a server that may only seem to be cut off is better than none. */
 int cw_call_may_leave(const struct cw_call *call)
 {
-	return may_repeat(call) && (int)call->attempts < call->route->max_attempts;
+	return is_retriable(call) && (int)call->attempts < call->route->max_attempts;
 }
 
 int64_t cw_call_limit_ms(const struct cw_call *call)
 {
-	return call->limit_ms;
+	return call->deadline_ms;
 }
 
 const struct cw_route *cw_call_route(const struct cw_call *call)
@@ -251,7 +254,7 @@
 {
 	if (!call->route || call->route->model_count == 0)
 		return *call->facts.model ? call->facts.model : "-";
-	return call->route->models[call->model];
+	return call->route->models[call->model_index];
 }
 
 struct cw_server *cw_call_server(const struct cw_call *call)
@@ -275,32 +278,33 @@
 }
 
 /* Less time is left to a caller that asks again than its route's callers have at first. */
-static void note_wait(const struct cw_call *call)
+static void record_wait(const struct cw_call *call)
 {
 	int64_t waited_ms;
 
 	if (call->facts.allowed_ms < 0)
 		return;
-	waited_ms = gate_longest_wait_ms(call->gate, call->route->name, call->facts.allowed_ms) -
-		    call->facts.allowed_ms;
+	waited_ms =
+		gate_update_longest_wait(call->gate, call->route->name, call->facts.allowed_ms) -
+		call->facts.allowed_ms;
 	cw_rollouts_asked(call->gate->rollouts, call->service_name, call->session,
 			  call->opened_ms - waited_ms, call->opened_ms);
 }
 
 /* Route, organisation and service; 0: refused. */
-static int find_target(struct cw_call *call, struct cw_step *step)
+static int resolve_target(struct cw_call *call, struct cw_step *step)
 {
 	const struct cw_config *config = call->config;
 
 	call->route = cw_config_route(config, call->facts.host, call->facts.path);
 	if (!call->route) {
-		call_refuse(step, 404, "no route");
+		call_reject(step, 404, "no route");
 		return 0;
 	}
 	if (cw_config_needs_key(config) && !call->route->is_public) {
 		call->organisation = cw_config_key(config, call->facts.key);
 		if (!call->organisation) {
-			call_refuse(step, 401, "unknown key");
+			call_reject(step, 401, "unknown key");
 			return 0;
 		}
 	}
@@ -310,41 +314,41 @@
 	call->session = session_key(call);
 	call->route_hash = cw_hash_text(call->route->name, 0);
 	call->service_name = cw_route_service(
-		call->route, cw_hash(&call->session, sizeof(call->session), SERVICE_SEED));
-	note_wait(call);
+		call->route, cw_hash(&call->session, sizeof(call->session), SERVICE_HASH_SEED));
+	record_wait(call);
 	call->service = cw_config_service(config, call->service_name);
 	return 1;
 }
 
-static void send_first(struct cw_call *call, int64_t now_ms, struct cw_step *step)
+static void dispatch_first(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	int64_t limit_ms = call->opened_ms + call->route->limit_ms;
 
-	if (call->facts.allowed_ms < 0 || limit_ms < call->limit_ms)
-		call->limit_ms = limit_ms;
-	if (call_is_shed(call, now_ms)) {
-		call_refuse_not_run(call, step, "the backend servers have no room", now_ms);
+	if (call->facts.allowed_ms < 0 || limit_ms < call->deadline_ms)
+		call->deadline_ms = limit_ms;
+	if (call_should_reject(call, now_ms)) {
+		call_reject_not_run(call, step, "the backend servers have no room", now_ms);
 		return;
 	}
-	note_kinds(call);
-	if (call_model_is_free(call) && call_model_is_on_trial(call, now_ms))
-		call->model = call->route->model_count - 1;
-	if (!send(call, now_ms, step)) {
-		call_refuse_unsent(call, step, now_ms);
+	report_route_kinds(call);
+	if (call_model_is_selectable(call) && call_model_fills_trial(call, now_ms))
+		call->model_index = call->route->model_count - 1;
+	if (!dispatch_attempt(call, now_ms, step)) {
+		call_reject_unsent(call, step, now_ms);
 		return;
 	}
 	/* Counted before, requests that were refused unsent let others be sent more often. */
-	cw_repeats_first(gate_repeats(call->gate, call->service_name), now_ms);
+	cw_repeats_first(gate_get_retry_budget(call->gate, call->service_name), now_ms);
 }
 
 /* What the trial of a new version learns of the routes. */
-static void note_kinds(struct cw_call *call)
+static void report_route_kinds(struct cw_call *call)
 {
-	struct cw_rollout_request request = call_as_request(call);
+	struct cw_rollout_request request = call_rollout_request(call);
 	uint32_t kinds = 0;
 
-	call->is_filling = call_work_is_filling(call);
-	if (call->is_filling)
+	call->is_output_heavy = call_work_is_output_heavy(call);
+	if (call->is_output_heavy)
 		kinds |= CW_ROLLOUT_FILLING;
 	if (call_work_is_light(call))
 		kinds |= CW_ROLLOUT_LIGHT;
@@ -353,21 +357,21 @@
 }
 
 /* 1: step is SEND. */
-static int send(struct cw_call *call, int64_t now_ms, struct cw_step *step)
+static int dispatch_attempt(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	const struct cw_policy *policy = call->gate->policy;
-	int is_home = 0;
-	struct cw_server *server = call_choose(call, now_ms, &is_home);
+	int is_affinity_server = 0;
+	struct cw_server *server = call_choose_server(call, now_ms, &is_affinity_server);
 
 	if (!server)
 		return 0;
 	step->assignment = call->assignment;
-	call->is_continued |= call->is_shown;
+	call->is_resumed |= call->is_shown;
 	call->server = server;
 	g_strlcpy(call->software, server->software, sizeof(call->software));
 	call->sent_ms = now_ms;
-	gate_note_sent(call->gate, call->service_name, now_ms);
-	call_work_begin(call, is_home, now_ms);
+	gate_count_sent(call->gate, call->service_name, now_ms);
+	call_work_begin(call, is_affinity_server, now_ms);
 	cw_rollouts_used(call->gate->rollouts, call->service_name, call->session, server->software,
 			 now_ms);
 	call->attempts++;
@@ -375,31 +379,31 @@
 	cw_pool_dispatched(server, now_ms);
 	step->kind = CW_STEP_SEND;
 	step->server = server;
-	step->connect_ms = connect_ms(call);
+	step->connect_ms = connect_timeout_ms(call);
 	step->reuse_idle_ms = call->route->repeat == CW_REPEAT_NEVER
-				      ? REUSE_ONCE_MS
+				      ? NON_REPEATABLE_REUSE_IDLE_MS
 				      : (int64_t)policy->reuse_idle_ms;
-	step->silence_ms = silence_ms(call, now_ms);
+	step->silence_ms = idle_timeout_ms(call, now_ms);
 	fill_dispatch(call, now_ms, step);
 	return 1;
 }
 
 /* What was not sent may go elsewhere, whatever its kind, while that can still be on time. */
-static int64_t connect_ms(const struct cw_call *call)
+static int64_t connect_timeout_ms(const struct cw_call *call)
 {
 	double part_ms = call->gate->policy->connect_part * (double)call->route->objective_ms;
 
-	return (int64_t)CLAMP(part_ms, CONNECT_MIN_MS, CONNECT_MS);
+	return (int64_t)CLAMP(part_ms, CONNECT_TIMEOUT_MIN_MS, CONNECT_TIMEOUT_MAX_MS);
 }
 
 /* Leaves the server that answered, once another is found; 0: none is, the answer stands. */
-static int send_instead(struct cw_call *call, int64_t now_ms, struct cw_step *step)
+static int switch_server(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	struct cw_server *previous = call->server;
-	int64_t previous_ran_ms = call_ran_ms(call, now_ms);
+	int64_t previous_ran_ms = call_run_time_ms(call, now_ms);
 
 	call_work_end(call);
-	if (!send(call, now_ms, step))
+	if (!dispatch_attempt(call, now_ms, step))
 		return 0;
 	cw_quarantine_left(call->gate->quarantine, call->fingerprint, previous->id, previous_ran_ms,
 			   now_ms);
@@ -417,26 +421,26 @@
 		g_strlcpy(dispatch->organisation, call->organisation->name,
 			  sizeof(dispatch->organisation));
 	if (call->route->model_count > 0 && !strcmp(call->facts.model, CW_ANY_MODEL))
-		g_strlcpy(dispatch->model, call->route->models[call->model],
+		g_strlcpy(dispatch->model, call->route->models[call->model_index],
 			  sizeof(dispatch->model));
-	dispatch->allowed_ms = MAX(call->limit_ms - now_ms - DEADLINE_LESS_MS, 1);
+	dispatch->allowed_ms = MAX(call->deadline_ms - now_ms - RETURN_PATH_MS, 1);
 	dispatch->last_event = call->last_event;
 	if (call->organisation && call->organisation->has_priority)
 		urgency += (int)call->gate->policy->urgency_step * call->organisation->priority;
 	dispatch->urgency =
-		call->service && call->service->is_engine ? MIN(urgency, URGENCY_LAST) : -1;
+		call->service && call->service->is_engine ? MIN(urgency, URGENCY_MAX) : -1;
 }
 
 /*
  * How long an attempt may stay without a byte. A server that hangs while its health is good shows
  * only by this; another may then still answer in time.
  */
-static int64_t silence_ms(const struct cw_call *call, int64_t now_ms)
+static int64_t idle_timeout_ms(const struct cw_call *call, int64_t now_ms)
 {
 	const struct cw_policy *policy = call->gate->policy;
-	int64_t left_ms = MAX(call->limit_ms - now_ms, 1);
+	int64_t left_ms = MAX(call->deadline_ms - now_ms, 1);
 
-	if (!may_repeat(call) || (int)call->attempts >= call->route->max_attempts)
+	if (!is_retriable(call) || (int)call->attempts >= call->route->max_attempts)
 		return left_ms;
 	if (call->route->repeat == CW_REPEAT_STREAM)
 		return MIN(left_ms,
@@ -449,16 +453,16 @@
  * How long a stream may pause. One that hangs is taken up elsewhere while it can still be on time;
  * with no attempt left it is waited for.
  */
-static int64_t pause_ms(const struct cw_call *call)
+static int64_t event_gap_timeout_ms(const struct cw_call *call)
 {
 	double pause_ms = call->gate->policy->pause_part * (double)call->route->pause_ms;
 
 	if (!cw_call_may_leave(call))
-		return MAX((int64_t)pause_ms, LAST_PAUSE_MS);
+		return MAX((int64_t)pause_ms, LAST_ATTEMPT_GAP_MS);
 	return MAX((int64_t)pause_ms, 1);
 }
 
-static void leave_server(struct cw_call *call, int64_t now_ms, int is_answered)
+static void release_server(struct cw_call *call, int64_t now_ms, int is_answered)
 {
 	struct cw_server *server = call->server;
 
@@ -470,13 +474,13 @@
 }
 
 /* It may still run there, and end the server. */
-static void give_up_server(struct cw_call *call, int64_t now_ms)
+static void abandon_attempt(struct cw_call *call, int64_t now_ms)
 {
-	call_note_left(call, call->server, now_ms);
-	leave_server(call, now_ms, 0);
+	call_record_abandoned(call, call->server, now_ms);
+	release_server(call, now_ms, 0);
 }
 
-static void note_failure(struct cw_call *call, int64_t now_ms)
+static void record_failure(struct cw_call *call, int64_t now_ms)
 {
 	/* A cut says nothing of the server or of what it runs, nor does an earlier start of it. */
 	if (!call->server->is_unreachable && !call->server->has_ended &&
@@ -487,7 +491,7 @@
 }
 
 /* May it run a second time? Only by its kind, never by its name. */
-static int may_repeat(const struct cw_call *call)
+static int is_retriable(const struct cw_call *call)
 {
 	switch (call->route->repeat) {
 	case CW_REPEAT_ANY:
@@ -500,18 +504,18 @@
 	return 0;
 }
 
-static int can_send_again(struct cw_call *call, int64_t now_ms)
+static int take_retry(struct cw_call *call, int64_t now_ms)
 {
 	if ((int)call->attempts >= call->route->max_attempts ||
-	    now_ms + CONNECT_LEFT_MIN >= call->limit_ms || call_is_once(call))
+	    now_ms + TIME_LEFT_MIN_MS >= call->deadline_ms || call_has_single_attempt(call))
 		return 0;
-	return cw_repeats_take(gate_repeats(call->gate, call->service_name), now_ms);
+	return cw_repeats_take(gate_get_retry_budget(call->gate, call->service_name), now_ms);
 }
 
-static void again_or_fail(struct cw_call *call, int64_t now_ms, struct cw_step *step,
+static void retry_or_fail(struct cw_call *call, int64_t now_ms, struct cw_step *step,
 			  const char *reason)
 {
-	if (may_repeat(call) && can_send_again(call, now_ms) && send(call, now_ms, step))
+	if (is_retriable(call) && take_retry(call, now_ms) && dispatch_attempt(call, now_ms, step))
 		return;
 	if (call->is_shown)
 		step->kind = CW_STEP_ABORT;
--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -6,14 +6,15 @@
 
 #include <string.h>
 
-#define FILL_PART 0.7  /* of a server on trial: past half, with room for others' */
-#define ASK_PART  0.95 /* to which the full server is asked: short of a queue */
+#define TRIAL_FILL_TARGET 0.7  /* of a server on trial: past half, with room for others' */
+#define TRIAL_FULL_TARGET 0.95 /* to which the full server is asked: short of a queue */
 
-static struct cw_server *choose_begun(const struct cw_call *call, const struct cw_choice *choice);
+static struct cw_server *choose_begun_version(const struct cw_call *call,
+					      const struct cw_choice *choice);
 static void fill_choice(struct cw_call *call, int64_t now_ms, struct cw_choice *choice);
-static uint64_t prompt_key(const struct cw_facts *facts);
+static uint64_t prefix_key(const struct cw_facts *facts);
 
-struct cw_rollout_request call_as_request(const struct cw_call *call)
+struct cw_rollout_request call_rollout_request(const struct cw_call *call)
 {
 	return (struct cw_rollout_request){
 		.service = call->service_name,
@@ -22,17 +23,17 @@
 	};
 }
 
-struct cw_server *call_choose(struct cw_call *call, int64_t now_ms, int *is_home)
+struct cw_server *call_choose_server(struct cw_call *call, int64_t now_ms, int *is_affinity_server)
 {
 	struct cw_gate *gate = call->gate;
 	const char *target = cw_rollouts_target(gate->rollouts, call->service_name);
 	const char *newcomer = cw_pool_newcomer(gate->pool, call->service_name, now_ms);
-	struct cw_rollout_request request = call_as_request(call);
+	struct cw_rollout_request request = call_rollout_request(call);
 	struct cw_choice choice;
 	struct cw_server *server;
 
 	fill_choice(call, now_ms, &choice);
-	choice.is_home = is_home;
+	choice.is_home = is_affinity_server;
 	if (newcomer && (!target || strcmp(newcomer, target) != 0))
 		choice.not_yet = newcomer;
 	call->assignment = cw_rollouts_assignment(gate->rollouts, &request, now_ms);
@@ -44,14 +45,14 @@
 		choice.only_software = target;
 		choice.spread = call->assignment.share;
 		if (cw_rollouts_wants_load(gate->rollouts, call->service_name, now_ms))
-			choice.fill_part = call->is_filling	      ? FILL_PART
-					   : call_work_is_light(call) ? ASK_PART
+			choice.fill_part = call->is_output_heavy      ? TRIAL_FILL_TARGET
+					   : call_work_is_light(call) ? TRIAL_FULL_TARGET
 								      : 0;
 		break;
 	case CW_ROLLOUT_ANY:
 		break;
 	}
-	server = choose_begun(call, &choice);
+	server = choose_begun_version(call, &choice);
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
 	/* All others are gone or tried: one that failed before is better than none. */
@@ -69,7 +70,7 @@
 	return server;
 }
 
-int64_t call_cold_wait_ms(struct cw_call *call, int64_t now_ms)
+int64_t call_warmup_wait_ms(struct cw_call *call, int64_t now_ms)
 {
 	struct cw_choice choice;
 
@@ -84,7 +85,7 @@
 
 	*choice = (struct cw_choice){
 		.service = call->service_name,
-		.prefix = prompt_key(&call->facts),
+		.prefix = prefix_key(&call->facts),
 		.failure_domain = gate->failure_domain,
 		.tried = call->tried,
 		.tried_count = MIN(call->tried_count, CW_MAX_ATTEMPTS),
@@ -96,14 +97,15 @@
 		.route_homes = &call->route->homes,
 		.organisation_homes = call->organisation ? &call->organisation->homes : NULL,
 	};
-	call_work_fill(call, choice);
+	call_work_fill_choice(call, choice);
 }
 
 /*
  * What the caller was shown a part of goes on at the version that began it, though its session may
  * have moved meanwhile; unless that one was taken back or has no server left. NULL: as any other.
  */
-static struct cw_server *choose_begun(const struct cw_call *call, const struct cw_choice *choice)
+static struct cw_server *choose_begun_version(const struct cw_call *call,
+					      const struct cw_choice *choice)
 {
 	struct cw_choice begun = *choice;
 
@@ -115,7 +117,7 @@
 }
 
 /* The longest beginning that is shared: all parts but the last, which is the request's own. */
-static uint64_t prompt_key(const struct cw_facts *facts)
+static uint64_t prefix_key(const struct cw_facts *facts)
 {
 	uint64_t key = 0;
 
--- a/packages/gate/src/call_held.c
+++ b/packages/gate/src/call_held.c
@@ -1,15 +1,15 @@
 /* A request that may end servers: what the list of held ones is told of it, and what it forbids. */
 #include "gate_internal.h"
 
-static int begin_trial(struct cw_call *call);
-static struct cw_quarantine_request as_quarantined(const struct cw_call *call);
+static int start_trial(struct cw_call *call);
+static struct cw_quarantine_request quarantine_request(const struct cw_call *call);
 
 int cw_call_is_held(const struct cw_call *call)
 {
 	return !call->is_trial && cw_quarantine_holds(call->gate->quarantine, call->fingerprint);
 }
 
-int call_is_once(const struct cw_call *call)
+int call_has_single_attempt(const struct cw_call *call)
 {
 	return call->is_trial || cw_call_is_held(call);
 }
@@ -18,18 +18,18 @@
  * Each server that begins to run it ends, with all that it was running. Its caller is told that it
  * was not run, and no time to come back at: it would be refused again.
  */
-int call_refuse_held(struct cw_call *call, struct cw_step *step)
+int call_reject_quarantined(struct cw_call *call, struct cw_step *step)
 {
 	if (!cw_call_is_held(call))
 		return 0;
-	if (begin_trial(call))
+	if (start_trial(call))
 		return 0;
-	call_refuse(step, 503, "quarantined: servers ended under it");
+	call_reject(step, 503, "quarantined: servers ended under it");
 	return 1;
 }
 
 /* By one instance of all that hear of each other: a trial may cost a server. */
-static int begin_trial(struct cw_call *call)
+static int start_trial(struct cw_call *call)
 {
 	struct cw_quarantine *quarantine = call->gate->quarantine;
 
@@ -41,26 +41,26 @@
 	return 1;
 }
 
-void call_note_left(struct cw_call *call, const struct cw_server *server, int64_t now_ms)
+void call_record_abandoned(struct cw_call *call, const struct cw_server *server, int64_t now_ms)
 {
 	cw_quarantine_left(call->gate->quarantine, call->fingerprint, server->id,
-			   call_ran_ms(call, now_ms), now_ms);
+			   call_run_time_ms(call, now_ms), now_ms);
 }
 
 /* The connection broke. A server that leaves, or whose version was replaced, stops by plan. */
-void call_note_end(struct cw_call *call, int64_t now_ms)
+void call_record_crash(struct cw_call *call, int64_t now_ms)
 {
 	const struct cw_server *server = call->server;
-	struct cw_quarantine_request request = as_quarantined(call);
+	struct cw_quarantine_request request = quarantine_request(call);
 
 	if (server->leaving || server->gone || server->is_unreachable ||
 	    cw_rollouts_is_retired(call->gate->rollouts, call->service_name, server->software))
 		return;
-	cw_quarantine_broke(call->gate->quarantine, &request, server->id, call_ran_ms(call, now_ms),
-			    call->is_head_seen, now_ms);
+	cw_quarantine_broke(call->gate->quarantine, &request, server->id,
+			    call_run_time_ms(call, now_ms), call->is_head_seen, now_ms);
 }
 
-static struct cw_quarantine_request as_quarantined(const struct cw_call *call)
+static struct cw_quarantine_request quarantine_request(const struct cw_call *call)
 {
 	return (struct cw_quarantine_request){
 		.fingerprint = call->fingerprint,
@@ -70,7 +70,7 @@
 }
 
 /* From its first byte where one came: a request that waited in a queue was not run meanwhile. */
-int64_t call_ran_ms(const struct cw_call *call, int64_t now_ms)
+int64_t call_run_time_ms(const struct cw_call *call, int64_t now_ms)
 {
 	return now_ms - (call->is_head_seen ? call->head_ms : call->sent_ms);
 }
--- a/packages/gate/src/call_model.c
+++ b/packages/gate/src/call_model.c
@@ -6,31 +6,31 @@
 
 #include <string.h>
 
-#define EARLY_OF_LATE                                                                              \
-	(1 / 3.0) /* of escalate_late_part: from here on less confidence is asked for */
-#define LOST_OF_LATE (16 / 9.0) /* and here none: nobody is helped, the queue would only grow */
+#define RAMP_START (1 / 3.0) /* of escalate_late_part: from here on less confidence is asked for   \
+			      */
+#define RAMP_END (16 / 9.0)  /* and here none: nobody is helped, the queue would only grow */
 
-static const char *why_not(struct cw_call *call, const struct cw_answer_facts *answer,
-			   int64_t now_ms, struct cw_step *step);
-static int escalate_below(struct cw_call *call, int64_t now_ms);
-static double free_part(struct cw_call *call, int64_t now_ms);
-static double predict(struct cw_call *call, int64_t now_ms);
+static const char *escalation_blocker(struct cw_call *call, const struct cw_answer_facts *answer,
+				      int64_t now_ms, struct cw_step *step);
+static int required_confidence(struct cw_call *call, int64_t now_ms);
+static double slot_headroom(struct cw_call *call, int64_t now_ms);
+static double predict_first_event_ms(struct cw_call *call, int64_t now_ms);
 
 /*
  * Load pattern: a quiet hour, in which the small model's answers of 0.4 s don't fill half of one
  * engine. The largest model's last 3 s; it is asked at once for the second or two that the trial of
  * a new version takes.
  */
-int call_model_is_on_trial(const struct cw_call *call, int64_t now_ms)
+int call_model_fills_trial(const struct cw_call *call, int64_t now_ms)
 {
 	struct cw_rollouts *rollouts = call->gate->rollouts;
-	struct cw_rollout_request request = call_as_request(call);
+	struct cw_rollout_request request = call_rollout_request(call);
 
-	return call->is_filling && cw_rollouts_is_filler(rollouts, &request, now_ms);
+	return call->is_output_heavy && cw_rollouts_is_filler(rollouts, &request, now_ms);
 }
 
 /* Does the gate say which model answers, and is there a choice? */
-int call_model_is_free(const struct cw_call *call)
+int call_model_is_selectable(const struct cw_call *call)
 {
 	return call->route->model_count >= 2 && !strcmp(call->facts.model, CW_ANY_MODEL);
 }
@@ -40,45 +40,45 @@
  * the largest one's, which then nobody took: the caller got neither. The attempt that is left goes
  * to the small model again.
  */
-void call_model_rejected(struct cw_call *call)
+void call_model_fall_back(struct cw_call *call)
 {
-	if (call->gate->policy->rejected_to_small > 0 && call_model_is_free(call) &&
+	if (call->gate->policy->rejected_to_small > 0 && call_model_is_selectable(call) &&
 	    !call->is_shown)
-		call->model = 0;
+		call->model_index = 0;
 }
 
 /*
  * A small model that doubts its answer is replaced by the largest one, before the caller was shown
  * anything. Escalations draw on the budget of repeats.
  */
-int call_model_escalates(struct cw_call *call, const struct cw_answer_facts *answer, int64_t now_ms,
-			 struct cw_step *step)
+int call_model_should_escalate(struct cw_call *call, const struct cw_answer_facts *answer,
+			       int64_t now_ms, struct cw_step *step)
 {
-	step->reason = why_not(call, answer, now_ms, step);
+	step->reason = escalation_blocker(call, answer, now_ms, step);
 	return !step->reason;
 }
 
 /* NULL: a larger model is to be asked. The budget is looked at last, for asking it spends it. */
-static const char *why_not(struct cw_call *call, const struct cw_answer_facts *answer,
-			   int64_t now_ms, struct cw_step *step)
+static const char *escalation_blocker(struct cw_call *call, const struct cw_answer_facts *answer,
+				      int64_t now_ms, struct cw_step *step)
 {
-	if (answer->status >= 300 || answer->confidence < 0 || !call_model_is_free(call))
+	if (answer->status >= 300 || answer->confidence < 0 || !call_model_is_selectable(call))
 		return "no_choice";
-	if (call->model + 1 >= call->route->model_count)
+	if (call->model_index + 1 >= call->route->model_count)
 		return "largest_model";
-	if (call_is_once(call))
+	if (call_has_single_attempt(call))
 		return "quarantined";
-	if (gate_rejected_part(call->gate, call->service_name, now_ms) >
+	if (gate_rejected_fraction(call->gate, call->service_name, now_ms) >
 	    call->gate->policy->full_part)
 		return "servers_reject";
-	if (!call_work_is_in_time(call, now_ms))
+	if (!call_work_fits_deadline(call, now_ms))
 		return "too_long";
-	step->asked_confidence = escalate_below(call, now_ms);
+	step->asked_confidence = required_confidence(call, now_ms);
 	if (answer->confidence >= step->asked_confidence)
 		return "trusted";
 	if ((int)call->attempts >= call->route->max_attempts)
 		return "attempts_spent";
-	if (!cw_repeats_take(gate_repeats(call->gate, call->service_name), now_ms))
+	if (!cw_repeats_take(gate_get_retry_budget(call->gate, call->service_name), now_ms))
 		return "budget_spent";
 	return NULL;
 }
@@ -89,10 +89,10 @@
  * are rejected for 8 s. Less confidence is asked for as slots are taken, before any is rejected: of
  * a smaller burst's callers none was refused any more, 0.049 before.
  */
-static double free_part(struct cw_call *call, int64_t now_ms)
+static double slot_headroom(struct cw_call *call, int64_t now_ms)
 {
 	const struct cw_policy *policy = call->gate->policy;
-	double taken = gate_fullness(call->gate, call->service_name, now_ms);
+	double taken = gate_slot_occupancy(call->gate, call->service_name, now_ms);
 	double span = policy->escalate_none_taken - policy->escalate_less_taken;
 
 	return 1 - CLAMP((taken - policy->escalate_less_taken) / MAX(span, 0.01), 0, 1);
@@ -104,40 +104,41 @@
  * less than a small model's that is half trusted. So the trust asked for falls once the large
  * model's answer is predicted to come late, and rises again by itself.
  */
-static int escalate_below(struct cw_call *call, int64_t now_ms)
+static int required_confidence(struct cw_call *call, int64_t now_ms)
 {
 	const struct cw_policy *policy = call->gate->policy;
 	double late = policy->escalate_late_part;
-	double early = late * EARLY_OF_LATE;
-	double lost = late * LOST_OF_LATE;
-	size_t small = call->model;
+	double early = late * RAMP_START;
+	double lost = late * RAMP_END;
+	size_t small = call->model_index;
 	double predicted_ms;
 	double part;
 
-	call->model = call->route->model_count - 1;
-	predicted_ms = predict(call, now_ms);
-	call->model = small;
+	call->model_index = call->route->model_count - 1;
+	predicted_ms = predict_first_event_ms(call, now_ms);
+	call->model_index = small;
 	part = (predicted_ms + (double)(now_ms - call->opened_ms)) /
 	       (double)MAX(call->route->objective_ms, 1);
 	if (part > late) {
 		part = CLAMP((part - late) / (lost - late), 0, 1);
-		return (int)((1 - part) * policy->escalate_below_late * free_part(call, now_ms));
+		return (int)((1 - part) * policy->escalate_below_late *
+			     slot_headroom(call, now_ms));
 	}
 	part = CLAMP((part - early) / (late - early), 0, 1);
 	part = policy->escalate_below +
 	       part * (policy->escalate_below_late - policy->escalate_below);
-	return (int)(part * free_part(call, now_ms));
+	return (int)(part * slot_headroom(call, now_ms));
 }
 
 /* The time to the first event, were the request sent now; what waits there counts by its weight. */
-static double predict(struct cw_call *call, int64_t now_ms)
+static double predict_first_event_ms(struct cw_call *call, int64_t now_ms)
 {
-	int is_home = 0;
-	struct cw_server *server = call_choose(call, now_ms, &is_home);
+	int is_affinity_server = 0;
+	struct cw_server *server = call_choose_server(call, now_ms, &is_affinity_server);
 
 	if (!server)
 		return G_MAXDOUBLE;
-	return call_work_predict(call, server, is_home, now_ms) +
+	return call_work_predict_ms(call, server, is_affinity_server, now_ms) +
 	       (call->gate->policy->escalate_queue_weight - 1) *
 		       call_work_queue_ms(call, server, now_ms);
 }
--- a/packages/gate/src/call_refuse.c
+++ b/packages/gate/src/call_refuse.c
@@ -1,15 +1,15 @@
 /* Who is turned away, with what word, and when to come back. */
 #include "gate_internal.h"
 
-#define RETRY_BASE_MS	150	  /* until another server or the next instance is known */
-#define RETRY_SPREAD_MS 250	  /* so that refused callers don't return in one moment */
-#define SHED_PRIORITY	2	  /* and later: as many are refused as servers reject */
-#define SHED_WAIT_MS	600	  /* at least, a queue's length; to twice as much */
-#define WAIT_PART	(1 / 3.0) /* of the time left, that a caller waits at most */
-#define WAIT_SPREAD	0.4	  /* of that: refused callers don't return in one moment */
+#define RETRY_BASE_MS	    150	      /* until another server or the next instance is known */
+#define RETRY_JITTER_MS	    250	      /* so that refused callers don't return in one moment */
+#define REJECT_PRIORITY	    2	      /* and later: as many are refused as servers reject */
+#define OVERLOAD_RETRY_MS   600	      /* at least, a queue's length; to twice as much */
+#define RETRY_WAIT_FRACTION (1 / 3.0) /* of the time left, that a caller waits at most */
+#define RETRY_WAIT_JITTER   0.4	      /* of that: refused callers don't return in one moment */
 
-static int64_t retry_after_full(struct cw_call *call, int64_t now_ms);
-static double longest_wait_ms(const struct cw_call *call, int64_t now_ms);
+static int64_t overload_retry_after_ms(struct cw_call *call, int64_t now_ms);
+static double max_retry_wait_ms(const struct cw_call *call, int64_t now_ms);
 
 /*
  * Load pattern: five times the usual requests. Servers reject half of what they are sent, each
@@ -17,19 +17,19 @@
  * until their time is up. As many of them as are rejected are refused at once, the more urgent ones
  * less, and the most urgent never.
  */
-int call_is_shed(struct cw_call *call, int64_t now_ms)
+int call_should_reject(struct cw_call *call, int64_t now_ms)
 {
 	const struct cw_organisation *organisation = call->organisation;
 	int priority = organisation && organisation->has_priority ? organisation->priority
 								  : call->route->priority;
-	double part = gate_rejected_part(call->gate, call->service_name, now_ms);
+	double part = gate_rejected_fraction(call->gate, call->service_name, now_ms);
 	const struct cw_policy *policy = call->gate->policy;
-	double chance = policy->shed_part * part * MIN(priority, SHED_PRIORITY) / SHED_PRIORITY;
+	double chance = policy->shed_part * part * MIN(priority, REJECT_PRIORITY) / REJECT_PRIORITY;
 
-	return part > policy->full_part && gate_random_part(call->gate) < chance;
+	return part > policy->full_part && gate_random_fraction(call->gate) < chance;
 }
 
-void call_refuse(struct cw_step *step, unsigned int status, const char *reason)
+void call_reject(struct cw_step *step, unsigned int status, const char *reason)
 {
 	step->kind = CW_STEP_REFUSE;
 	step->status = status;
@@ -39,43 +39,43 @@
 }
 
 /* 503 promises that the request has not run and never will: only said where that is known. */
-void call_refuse_not_run(struct cw_call *call, struct cw_step *step, const char *reason,
+void call_reject_not_run(struct cw_call *call, struct cw_step *step, const char *reason,
 			 int64_t now_ms)
 {
 	if (call->may_have_run) {
 		call_fail(call, step, reason);
 		return;
 	}
-	call_refuse(step, 503, reason);
-	step->retry_after_ms = retry_after_full(call, now_ms);
+	call_reject(step, 503, reason);
+	step->retry_after_ms = overload_retry_after_ms(call, now_ms);
 }
 
 /*
  * Load pattern: all servers of a service start again. They bear a few requests a second, and
  * whoever comes back before one may take it is refused again: it is told when that is.
  */
-void call_refuse_unsent(struct cw_call *call, struct cw_step *step, int64_t now_ms)
+void call_reject_unsent(struct cw_call *call, struct cw_step *step, int64_t now_ms)
 {
-	int64_t cold_ms = call_cold_wait_ms(call, now_ms);
+	int64_t cold_ms = call_warmup_wait_ms(call, now_ms);
 
 	if (cold_ms <= 0) {
-		call_refuse_not_run(call, step, "no backend server may take it", now_ms);
+		call_reject_not_run(call, step, "no backend server may take it", now_ms);
 		return;
 	}
-	call_refuse_not_run(call, step, "the backend servers are warming up", now_ms);
+	call_reject_not_run(call, step, "the backend servers are warming up", now_ms);
 	step->retry_after_ms = CLAMP(cold_ms + call_retry_after_ms(call), 1,
-				     (int64_t)longest_wait_ms(call, now_ms));
+				     (int64_t)max_retry_wait_ms(call, now_ms));
 }
 
 void call_fail(struct cw_call *call, struct cw_step *step, const char *reason)
 {
-	call_refuse(step, 502, reason);
+	call_reject(step, 502, reason);
 	step->run = CW_RUN_UNKNOWN;
 }
 
 int64_t call_retry_after_ms(struct cw_call *call)
 {
-	return RETRY_BASE_MS + (int64_t)(gate_random(call->gate) % RETRY_SPREAD_MS);
+	return RETRY_BASE_MS + (int64_t)(gate_random(call->gate) % RETRY_JITTER_MS);
 }
 
 /*
@@ -84,21 +84,21 @@
  * a burst is the same whoever comes. The more is rejected, the later they are told to come, up to
  * the third of their time that they wait at most.
  */
-static int64_t retry_after_full(struct cw_call *call, int64_t now_ms)
+static int64_t overload_retry_after_ms(struct cw_call *call, int64_t now_ms)
 {
-	double part = gate_rejected_part(call->gate, call->service_name, now_ms);
-	double longest_ms = longest_wait_ms(call, now_ms);
-	double random = gate_random_part(call->gate);
-	double wait_ms = SHED_WAIT_MS * (1 + random);
+	double part = gate_rejected_fraction(call->gate, call->service_name, now_ms);
+	double longest_ms = max_retry_wait_ms(call, now_ms);
+	double random = gate_random_fraction(call->gate);
+	double wait_ms = OVERLOAD_RETRY_MS * (1 + random);
 
 	if (part <= call->gate->policy->full_part)
 		return call_retry_after_ms(call);
 	if (longest_ms > wait_ms)
-		wait_ms += part * (longest_ms * (1 - WAIT_SPREAD * random) - wait_ms);
+		wait_ms += part * (longest_ms * (1 - RETRY_WAIT_JITTER * random) - wait_ms);
 	return (int64_t)CLAMP(wait_ms, 1, longest_ms);
 }
 
-static double longest_wait_ms(const struct cw_call *call, int64_t now_ms)
+static double max_retry_wait_ms(const struct cw_call *call, int64_t now_ms)
 {
-	return MAX((double)(call->limit_ms - now_ms) * WAIT_PART, 1);
+	return MAX((double)(call->deadline_ms - now_ms) * RETRY_WAIT_FRACTION, 1);
 }
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -3,14 +3,15 @@
 #include <math.h>
 #include <string.h>
 
-#define ROUTES_MAX     4096   /* remembered; 300 KB for what is kept of each */
-#define PRESSURE_MS    1000.0 /* a rejection counts 1/e after it: a queue of so long may be gone */
-#define PRESSURE_PRIOR 5.0    /* requests that were not rejected, before any are seen */
-#define SHAPE_GAIN     0.05   /* of the newest request */
+#define ROUTES_MAX	       4096 /* remembered; 300 KB for what is kept of each */
+#define LOAD_DECAY_MS	       1000.0 /* a rejection counts 1/e after it: a queue of so long may be gone */
+#define LOAD_PRIOR_REQUESTS    5.0  /* requests that were not rejected, before any are seen */
+#define OUTPUT_RATIO_EWMA_GAIN 0.05 /* of the newest request */
 
-static struct gate_pressure *pressure_of(struct cw_gate *gate, const char *service, int64_t now_ms);
-static void *find_or_add(GHashTable *table, const char *name, size_t size, int *is_new);
-static void make_room(GHashTable *table);
+static struct gate_load_stats *get_load_stats(struct cw_gate *gate, const char *service,
+					      int64_t now_ms);
+static void *get_or_create(GHashTable *table, const char *name, size_t size, int *is_new);
+static void clear_if_full(GHashTable *table);
 
 struct cw_gate *cw_gate_create(const struct cw_gate_options *options)
 {
@@ -27,11 +28,11 @@
 	cw_pool_set_policy(gate->pool, gate->policy);
 	gate->rollouts = cw_rollouts_create(&options->rollouts);
 	gate->quarantine = cw_quarantine_create();
-	gate->repeats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	gate->paces = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	gate->shapes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	gate->pressures = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	gate->waits = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	gate->retry_budgets = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	gate->timings = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	gate->output_ratios = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	gate->load_stats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	gate->longest_waits = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	return gate;
 }
 
@@ -43,11 +44,11 @@
 	cw_pool_destroy(gate->pool);
 	cw_rollouts_destroy(gate->rollouts);
 	cw_quarantine_destroy(gate->quarantine);
-	g_hash_table_destroy(gate->repeats);
-	g_hash_table_destroy(gate->paces);
-	g_hash_table_destroy(gate->shapes);
-	g_hash_table_destroy(gate->pressures);
-	g_hash_table_destroy(gate->waits);
+	g_hash_table_destroy(gate->retry_budgets);
+	g_hash_table_destroy(gate->timings);
+	g_hash_table_destroy(gate->output_ratios);
+	g_hash_table_destroy(gate->load_stats);
+	g_hash_table_destroy(gate->longest_waits);
 	g_free(gate);
 }
 
@@ -95,16 +96,16 @@
 	return gate->random * 0x2545f4914f6cdd1dULL;
 }
 
-double gate_random_part(struct cw_gate *gate)
+double gate_random_fraction(struct cw_gate *gate)
 {
 	return cw_hash_part(gate_random(gate));
 }
 
-struct cw_repeats *gate_repeats(struct cw_gate *gate, const char *service)
+struct cw_repeats *gate_get_retry_budget(struct cw_gate *gate, const char *service)
 {
 	int is_new;
 	struct cw_repeats *repeats =
-		find_or_add(gate->repeats, service, sizeof(struct cw_repeats), &is_new);
+		get_or_create(gate->retry_budgets, service, sizeof(struct cw_repeats), &is_new);
 
 	if (is_new)
 		cw_repeats_open(repeats, gate->options.repeat_ratio, 0,
@@ -114,91 +115,92 @@
 }
 
 /* The wait counts as well: a first request says the longest. */
-int64_t gate_longest_wait_ms(struct cw_gate *gate, const char *route, int64_t wait_ms)
+int64_t gate_update_longest_wait(struct cw_gate *gate, const char *route, int64_t wait_ms)
 {
 	int64_t *longest;
 
-	if (!g_hash_table_contains(gate->waits, route))
-		make_room(gate->waits);
-	longest = find_or_add(gate->waits, route, sizeof(int64_t), NULL);
+	if (!g_hash_table_contains(gate->longest_waits, route))
+		clear_if_full(gate->longest_waits);
+	longest = get_or_create(gate->longest_waits, route, sizeof(int64_t), NULL);
 	*longest = MAX(*longest, wait_ms);
 	return *longest;
 }
 
-void gate_note_sent(struct cw_gate *gate, const char *service, int64_t now_ms)
+void gate_count_sent(struct cw_gate *gate, const char *service, int64_t now_ms)
 {
-	pressure_of(gate, service, now_ms)->sent += 1;
+	get_load_stats(gate, service, now_ms)->sent += 1;
 }
 
-void gate_note_rejected(struct cw_gate *gate, const char *service, int64_t now_ms)
+void gate_count_rejected(struct cw_gate *gate, const char *service, int64_t now_ms)
 {
-	pressure_of(gate, service, now_ms)->rejected += 1;
+	get_load_stats(gate, service, now_ms)->rejected += 1;
 }
 
-void gate_note_told(struct cw_gate *gate, const char *service, const struct cw_load *load,
-		    int64_t now_ms)
+void gate_add_load_report(struct cw_gate *gate, const char *service, const struct cw_load *load,
+			  int64_t now_ms)
 {
-	struct gate_pressure *pressure = pressure_of(gate, service, now_ms);
+	struct gate_load_stats *stats = get_load_stats(gate, service, now_ms);
 
 	if (load->slots == 0)
 		return;
-	pressure->told += 1;
-	pressure->told_full += (double)(load->running + load->queued) / load->slots;
+	stats->load_reports += 1;
+	stats->reported_occupancy += (double)(load->running + load->queued) / load->slots;
 }
 
 /*
  * One instance of many hears of each server once in half a minute, but of some server several times
  * a second: their mean is the newest word on all of them.
  */
-double gate_fullness(struct cw_gate *gate, const char *service, int64_t now_ms)
+double gate_slot_occupancy(struct cw_gate *gate, const char *service, int64_t now_ms)
 {
-	const struct gate_pressure *pressure = pressure_of(gate, service, now_ms);
+	const struct gate_load_stats *stats = get_load_stats(gate, service, now_ms);
 
-	return pressure->told > 0 ? pressure->told_full / pressure->told : 0;
+	return stats->load_reports > 0 ? stats->reported_occupancy / stats->load_reports : 0;
 }
 
-double gate_rejected_part(struct cw_gate *gate, const char *service, int64_t now_ms)
+double gate_rejected_fraction(struct cw_gate *gate, const char *service, int64_t now_ms)
 {
-	const struct gate_pressure *pressure = pressure_of(gate, service, now_ms);
+	const struct gate_load_stats *stats = get_load_stats(gate, service, now_ms);
 
-	return MIN(pressure->rejected / (pressure->sent + PRESSURE_PRIOR), 1);
+	return MIN(stats->rejected / (stats->sent + LOAD_PRIOR_REQUESTS), 1);
 }
 
-static struct gate_pressure *pressure_of(struct cw_gate *gate, const char *service, int64_t now_ms)
+static struct gate_load_stats *get_load_stats(struct cw_gate *gate, const char *service,
+					      int64_t now_ms)
 {
-	struct gate_pressure *pressure =
-		find_or_add(gate->pressures, service, sizeof(struct gate_pressure), NULL);
-	double factor = exp(-(double)(now_ms - pressure->at_ms) / PRESSURE_MS);
+	struct gate_load_stats *stats =
+		get_or_create(gate->load_stats, service, sizeof(struct gate_load_stats), NULL);
+	double factor = exp(-(double)(now_ms - stats->updated_ms) / LOAD_DECAY_MS);
 
-	pressure->sent *= factor;
-	pressure->rejected *= factor;
-	pressure->told *= factor;
-	pressure->told_full *= factor;
-	pressure->at_ms = now_ms;
-	return pressure;
+	stats->sent *= factor;
+	stats->rejected *= factor;
+	stats->load_reports *= factor;
+	stats->reported_occupancy *= factor;
+	stats->updated_ms = now_ms;
+	return stats;
 }
 
-double gate_shape(struct cw_gate *gate, const char *name, double sample)
+double gate_update_output_ratio(struct cw_gate *gate, const char *name, double sample)
 {
 	double *usual;
 	int is_new;
 
-	if (!g_hash_table_contains(gate->shapes, name))
-		make_room(gate->shapes);
-	usual = find_or_add(gate->shapes, name, sizeof(double), &is_new);
+	if (!g_hash_table_contains(gate->output_ratios, name))
+		clear_if_full(gate->output_ratios);
+	usual = get_or_create(gate->output_ratios, name, sizeof(double), &is_new);
 	if (is_new)
 		*usual = sample;
-	*usual += SHAPE_GAIN * (sample - *usual);
+	*usual += OUTPUT_RATIO_EWMA_GAIN * (sample - *usual);
 	return *usual;
 }
 
-struct gate_pace *gate_pace(struct cw_gate *gate, const char *name)
+struct gate_timing *gate_get_timing(struct cw_gate *gate, const char *name)
 {
-	return find_or_add(gate->paces, name, sizeof(struct gate_pace), NULL);
+	return get_or_create(gate->timings, name, sizeof(struct gate_timing), NULL);
 }
 
 /* Of size bytes, all zero when it is new; is_new may be NULL. */
-static void *find_or_add(GHashTable *table, const char *name, size_t size, int *is_new)
+static void *get_or_create(GHashTable *table, const char *name, size_t size, int *is_new)
 {
 	void *value = g_hash_table_lookup(table, name);
 
@@ -212,7 +214,7 @@
 }
 
 /* Routes come and go with configurations; what is forgotten is soon told again. */
-static void make_room(GHashTable *table)
+static void clear_if_full(GHashTable *table)
 {
 	if (g_hash_table_size(table) >= ROUTES_MAX)
 		g_hash_table_remove_all(table);
--- a/packages/gate/src/gate_internal.h
+++ b/packages/gate/src/gate_internal.h
@@ -8,21 +8,21 @@
 
 #include <glib.h>
 
-/* What is learned of how fast a kind of work goes on a server that has nothing else to do. */
-struct gate_pace {
-	double ms_per_token; /* of a prompt; 0 for a plain service */
-	double usual_ms;     /* a plain service's answer, or the work of an engine's request */
-	double event_ms;     /* between two events of a stream, 0 not known */
+/* Learned timing of a model or plain service on a server without other work. */
+struct gate_timing {
+	double ms_per_token; /* of prompt processing; 0 for a plain service */
+	double mean_ms;	     /* plain service: time to answer; engine: prompt work of a request */
+	double event_gap_ms; /* between two events of a stream, 0 not known */
 	unsigned int samples;
 };
 
-/* Of the requests sent to a service in the last second, those that its servers had no room for. */
-struct gate_pressure {
-	double sent;
-	double rejected;
-	double told;	  /* answers that told of their server's load, */
-	double told_full; /* and the parts of the servers' slots that were wanted, summed */
-	int64_t at_ms;	  /* all of it is true then */
+/* Load of one service in the last second or so; all counters decay exponentially. */
+struct gate_load_stats {
+	double sent;		   /* requests */
+	double rejected;	   /* of them, by servers without room */
+	double load_reports;	   /* answers that reported their server's load */
+	double reported_occupancy; /* sum of (running + queued) / slots over load_reports */
+	int64_t updated_ms;	   /* time that the counters are decayed to */
 };
 
 struct cw_gate {
@@ -33,13 +33,13 @@
 	struct cw_pool *pool;
 	struct cw_rollouts *rollouts;
 	struct cw_quarantine *quarantine;
-	GHashTable *repeats;   /* service -> struct cw_repeats */
-	size_t instances;      /* that share the budget of repeats, 0 not known */
-	GHashTable *shapes;    /* route or engine service -> double, tokens made for one read */
-	GHashTable *pressures; /* service -> struct gate_pressure */
-	GHashTable *paces;     /* model or plain service -> struct gate_pace */
+	GHashTable *retry_budgets; /* service -> struct cw_repeats */
+	size_t instances;	   /* that share the retry budget, 0 not known */
+	GHashTable *output_ratios; /* route or engine service -> double, output per prompt token */
+	GHashTable *load_stats;	   /* service -> struct gate_load_stats */
+	GHashTable *timings;	   /* model or plain service -> struct gate_timing */
 	uint64_t random;
-	GHashTable *waits; /* route -> the longest that a caller of it said to wait, ms */
+	GHashTable *longest_waits; /* route -> int64_t, longest time limit of its callers, ms */
 };
 
 struct cw_call {
@@ -51,103 +51,101 @@
 	const struct cw_service *service;
 	const char *service_name;
 	int64_t opened_ms;
-	int64_t limit_ms;			 /* when a final answer is due */
-	int64_t sent_ms;			 /* the attempt's */
+	int64_t deadline_ms;			 /* of the final answer */
+	int64_t sent_ms;			 /* start of the current attempt */
 	struct cw_server *server;		 /* of the attempt in progress */
-	char software[CW_NAME_MAX];		 /* that the newest attempt went to */
+	char software[CW_NAME_MAX];		 /* version that the newest attempt went to */
 	struct cw_rollout_assignment assignment; /* of the newest choice of a server */
 	uint64_t tried[CW_MAX_ATTEMPTS];
 	size_t tried_count;
-	unsigned int attempts; /* sends that reached a server */
-	unsigned int unsent;   /* connections that failed */
+	unsigned int attempts;	       /* sends that reached a server */
+	unsigned int connect_failures; /* attempts of which no byte was sent */
 	int may_have_run;
 	int is_shown;
-	int is_continued; /* the answer is not of one run */
-	int is_trial;	  /* of a held request: it is sent once */
+	int is_resumed; /* the answer consists of more than one run */
+	int is_trial;	/* trial of a quarantined request: sent once */
 	int64_t last_event;
-	size_t model; /* index among the route's, when it has any */
+	size_t model_index; /* among the route's models, when it has any */
 	uint64_t session;
 	uint64_t route_hash; /* of the route's name */
 	uint64_t fingerprint;
-	double tokens;	     /* that the server has to read, as far as is known */
-	double work_ms;	     /* counted in server->own_work_ms */
-	double predicted_ms; /* from the attempt's send to its head */
-	int is_filling;	     /* its route's requests are long at their server for little work */
-	int was_idle;	     /* nothing else waited at the server */
-	int was_loaded;	     /* more than half of its slots were taken */
-	int was_told_full;   /* so it was by the server's own newest word before the send */
+	double uncached_tokens; /* prompt tokens the server probably has to process */
+	double work_ms;		/* counted in server->own_work_ms */
+	double predicted_ms;	/* from the attempt's send to the response head */
+	int is_output_heavy; /* the route's requests make more output per prompt token than most */
+	int server_was_idle; /* no other prompt work waited at the server */
+	int server_was_loaded;	    /* half of its slots or more were taken */
+	int server_reported_loaded; /* the same, by the server's last report before the send */
 	int is_head_seen;
-	int64_t head_ms;     /* when it was */
-	unsigned int events; /* of the attempt, that were shown */
+	int64_t head_ms;	   /* time of the response head */
+	unsigned int events_shown; /* of the attempt */
 };
 
 uint64_t gate_random(struct cw_gate *gate);
-double gate_random_part(struct cw_gate *gate); /* 0 to below 1 */
-struct gate_pace *gate_pace(struct cw_gate *gate, const char *name);
-int64_t gate_longest_wait_ms(struct cw_gate *gate, const char *route, int64_t wait_ms);
-double gate_shape(struct cw_gate *gate, const char *name,
-		  double sample); /* the usual one, this one included */
-void gate_note_sent(struct cw_gate *gate, const char *service, int64_t now_ms);
-void gate_note_rejected(struct cw_gate *gate, const char *service, int64_t now_ms);
-void gate_note_told(struct cw_gate *gate, const char *service, const struct cw_load *load,
-		    int64_t now_ms);
-double
-gate_fullness(struct cw_gate *gate, const char *service,
-	      int64_t now_ms); /* usual part of a server's slots that is wanted; 0 not told */
-double gate_rejected_part(struct cw_gate *gate, const char *service, int64_t now_ms); /* 0 to 1 */
-struct cw_repeats *gate_repeats(struct cw_gate *gate, const char *service);
+double gate_random_fraction(struct cw_gate *gate); /* 0 to below 1 */
+struct gate_timing *gate_get_timing(struct cw_gate *gate, const char *name);
+int64_t gate_update_longest_wait(struct cw_gate *gate, const char *route, int64_t wait_ms);
+double gate_update_output_ratio(struct cw_gate *gate, const char *name,
+				double sample); /* moving average including the sample */
+void gate_count_sent(struct cw_gate *gate, const char *service, int64_t now_ms);
+void gate_count_rejected(struct cw_gate *gate, const char *service, int64_t now_ms);
+void gate_add_load_report(struct cw_gate *gate, const char *service, const struct cw_load *load,
+			  int64_t now_ms);
+double gate_slot_occupancy(struct cw_gate *gate, const char *service,
+			   int64_t now_ms); /* mean demand per slot; 0: no reports */
+double gate_rejected_fraction(struct cw_gate *gate, const char *service,
+			      int64_t now_ms); /* 0 to 1 */
+struct cw_repeats *gate_get_retry_budget(struct cw_gate *gate, const char *service);
 
-/* call_held.c: requests under which servers end */
-int call_is_once(const struct cw_call *call); /* 1: its request is held, or on trial: no further
-						 server is risked */
-int call_refuse_held(struct cw_call *call, struct cw_step *step); /* 0: it may be sent */
-void call_note_left(struct cw_call *call, const struct cw_server *server, int64_t now_ms);
-void call_note_end(struct cw_call *call, int64_t now_ms);	 /* the connection broke */
-int64_t call_ran_ms(const struct cw_call *call, int64_t now_ms); /* at the attempt's server */
+/* call_held.c: quarantine of requests that crash the servers that run them */
+int call_has_single_attempt(
+	const struct cw_call *call); /* quarantined or on trial: no further server is risked */
+int call_reject_quarantined(struct cw_call *call, struct cw_step *step); /* 0: it may be sent */
+void call_record_abandoned(struct cw_call *call, const struct cw_server *server, int64_t now_ms);
+void call_record_crash(struct cw_call *call, int64_t now_ms); /* after the connection broke */
+int64_t call_run_time_ms(const struct cw_call *call, int64_t now_ms); /* at the attempt's server */
 
-/* call_choice.c */
-struct cw_server *call_choose(struct cw_call *call, int64_t now_ms,
-			      int *is_home); /* NULL: no server may take it */
-int64_t call_cold_wait_ms(struct cw_call *call,
-			  int64_t now_ms); /* until a cold server may take it; -1: none will */
-struct cw_rollout_request call_as_request(const struct cw_call *call);
+/* call_choice.c: choice of a server */
+struct cw_server *call_choose_server(struct cw_call *call, int64_t now_ms,
+				     int *is_affinity_server); /* NULL: no server may take it */
+int64_t call_warmup_wait_ms(struct cw_call *call,
+			    int64_t now_ms); /* until a cold server may take it; -1: none will */
+struct cw_rollout_request call_rollout_request(const struct cw_call *call);
 
-/* call_refuse.c: who is turned away, with what word, and when to come back */
-int call_is_shed(struct cw_call *call, int64_t now_ms); /* 1: servers have no room for its kind */
-void call_refuse(struct cw_step *step, unsigned int status, const char *reason); /* not run */
-void call_refuse_not_run(struct cw_call *call, struct cw_step *step, const char *reason,
-			 int64_t now_ms); /* come back; it fails where it may have run */
-void call_refuse_unsent(struct cw_call *call, struct cw_step *step,
-			int64_t now_ms); /* no server may take it: come back when one may */
+/* call_refuse.c: rejection of requests: status, message and time to retry */
+int call_should_reject(struct cw_call *call, int64_t now_ms); /* 1: no room for its priority */
+void call_reject(struct cw_step *step, unsigned int status, const char *reason); /* not run */
+void call_reject_not_run(struct cw_call *call, struct cw_step *step, const char *reason,
+			 int64_t now_ms); /* retry later; fails if it may have run */
+void call_reject_unsent(struct cw_call *call, struct cw_step *step,
+			int64_t now_ms); /* no server may take it: retry when one may */
 void call_fail(struct cw_call *call, struct cw_step *step, const char *reason); /* may have run */
 int64_t call_retry_after_ms(struct cw_call *call);
 
-/* call_model.c: which of the route's models answers */
-int call_model_is_free(const struct cw_call *call); /* the gate says which, and has a choice */
-int call_model_is_on_trial(const struct cw_call *call,
-			   int64_t now_ms); /* the largest, to fill a server of a new version */
-int call_model_escalates(struct cw_call *call, const struct cw_answer_facts *answer, int64_t now_ms,
-			 struct cw_step *step); /* the largest in place of this answer; if not, the
-						   step's reason tells why */
-void call_model_rejected(struct cw_call *call); /* no room: the small one's is better than none */
+/* call_model.c: choice among the route's models */
+int call_model_is_selectable(const struct cw_call *call); /* the gate chooses among several */
+int call_model_fills_trial(const struct cw_call *call,
+			   int64_t now_ms); /* start with the largest, to load a version on trial */
+int call_model_should_escalate(struct cw_call *call, const struct cw_answer_facts *answer,
+			       int64_t now_ms,
+			       struct cw_step *step); /* 0: step.reason says why not */
+void call_model_fall_back(struct cw_call *call);      /* to the smallest, after a rejection */
 
-/* call_work.c: what an attempt costs its server, and what its answer tells of the server */
-void call_work_fill(struct cw_call *call, struct cw_choice *choice);
-double call_work_predict(const struct cw_call *call, const struct cw_server *server, int is_home,
-			 int64_t now_ms); /* ms to an answer's head */
+/* call_work.c: predicted cost of an attempt, and what its answer shows about the server */
+void call_work_fill_choice(struct cw_call *call, struct cw_choice *choice);
+double call_work_predict_ms(const struct cw_call *call, const struct cw_server *server,
+			    int is_affinity_server, int64_t now_ms); /* until the response head */
 double call_work_queue_ms(const struct cw_call *call, const struct cw_server *server,
-			  int64_t now_ms); /* of it, other prompts that are read before */
-int call_work_is_in_time(
-	const struct cw_call *call,
-	int64_t now_ms); /* the largest model's whole stream, by the caller's guess */
-int call_work_is_filling(
-	const struct cw_call *call); /* its route's requests take slots for long, and little else */
-int call_work_is_light(const struct cw_call *call); /* the smallest model reads it at once */
-void call_work_told(struct cw_call *call, const struct cw_load *load,
-		    int64_t now_ms); /* with its answer */
-void call_work_begin(struct cw_call *call, int is_home, int64_t now_ms);
-void call_work_head(struct cw_call *call, int64_t now_ms); /* a good head came */
-void call_work_done(struct cw_call *call, int64_t now_ms); /* the answer was whole */
+			  int64_t now_ms); /* of it, prompt work that is queued before */
+int call_work_fits_deadline(const struct cw_call *call,
+			    int64_t now_ms);		   /* the largest model's whole stream */
+int call_work_is_output_heavy(const struct cw_call *call); /* long in a slot, little prompt work */
+int call_work_is_light(const struct cw_call *call);	   /* short prompt for the smallest model */
+void call_work_load_reported(struct cw_call *call, const struct cw_load *load,
+			     int64_t now_ms); /* with its answer */
+void call_work_begin(struct cw_call *call, int is_affinity_server, int64_t now_ms);
+void call_work_head_received(struct cw_call *call, int64_t now_ms); /* status below 500 */
+void call_work_completed(struct cw_call *call, int64_t now_ms);	    /* the answer was whole */
 void call_work_failed(struct cw_call *call, int64_t now_ms);
 void call_work_end(struct cw_call *call);
 
