--- a/packages/cascade/src/cascade.c
+++ b/packages/cascade/src/cascade.c
@@ -5,24 +5,23 @@
 #include <math.h>
 #include <string.h>
 
-#define CONFIDENCE_Z  1.64 /* one-sided 95 in 100 */
-#define RATED_MIN     20   /* ratings before a bound is believed */
-#define SIGMA_MIN     0.02
-#define EXPLORE_SHARE 0.02 /* of requests, for versions whose bound is still open */
-#define EXPLORE_START                                                                              \
-	0.25		    /* while a cheaper version has no bound at all: checked, so not shown  \
-			     */
-#define EXPLORE_UNSEEN 0.08 /* the same where no check is possible */
-#define EXPLORE_LOSS   0.5  /* of quality, by an answer of an unknown version */
-#define EXPLORE_LEAST  0.005
-#define TOKENS_UNKNOWN 500.0
-#define SCORE_BINS     20   /* histogram of ratings, for what a check would pass */
-#define PASS_MARGIN    0.05 /* a checked answer passes a little below the target */
-#define MEMORY	       2000 /* ratings remembered: older ones fade */
+#define CONFIDENCE_Z  1.64 /* one-sided 95 % bound */
+#define RATINGS_MIN   20   /* ratings before a bound is used */
+#define STDDEV_MIN    0.02
+#define EXPLORE_SHARE 0.02 /* of requests, for versions whose bound is below the target */
+#define EXPLORE_CHECKED_SHARE                                                                      \
+	0.25 /* of requests while a version lacks ratings; checked before being shown */
+#define EXPLORE_UNCHECKED_SHARE 0.08  /* the same where no check is possible */
+#define EXPLORE_LOSS		0.5   /* assumed quality loss of an answer of an unrated version */
+#define EXPLORE_SHARE_MIN	0.005 /* of requests: minimum of unchecked exploration */
+#define DEFAULT_TOKENS		500.0 /* tokens per answer before any was counted */
+#define SCORE_BINS		20 /* of the histogram of ratings, to predict how many answers pass */
+#define PASS_MARGIN		0.05 /* a checked answer passes this much below the target */
+#define RATINGS_MEMORY		2000 /* effective number of ratings: older ones decay */
 
 struct estimate {
 	uint64_t key;
-	double rated, sum, squares;
+	double ratings, sum, sum_squares;
 	double answers, tokens;
 	double bins[SCORE_BINS];
 	double bin_sums[SCORE_BINS];
@@ -38,24 +37,26 @@
 static void plan_cheap(const void *data, const struct cw_cascade_in *in, struct cw_plan *plan);
 static void add_rating(struct estimate *estimate, double score);
 static void add_cost(struct estimate *estimate, double tokens);
-static double affordable_share(const struct estimate *best, double target);
+static double max_unchecked_share(const struct estimate *best, double target);
 static uint64_t estimate_key(uint64_t task, uint64_t version);
-static struct estimate *estimate_of(struct cw_cascade *cascade, uint64_t task, uint64_t version);
-static const struct estimate *find(const struct cw_cascade *cascade, uint64_t task,
-				   uint64_t version);
-static const struct estimate *estimate_for(const struct cw_cascade *cascade,
-					   const struct cw_cascade_in *in, size_t index);
+static struct estimate *get_or_create_estimate(struct cw_cascade *cascade, uint64_t task,
+					       uint64_t version);
+static const struct estimate *find_estimate(const struct cw_cascade *cascade, uint64_t task,
+					    uint64_t version);
+static const struct estimate *find_usable_estimate(const struct cw_cascade *cascade,
+						   const struct cw_cascade_in *in, size_t index);
 static double lower_bound(const struct estimate *estimate);
 static double mean(const struct estimate *estimate);
-static double cost_of(const struct estimate *estimate, double cost_per_1k);
-static double pass_share(const struct estimate *estimate, double threshold, double *mean_passed);
-static size_t costliest(const struct cw_cascade_in *in);
-static void consider_direct(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
-			    size_t index, struct cw_plan *best);
-static void consider_checked(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
-			     size_t first, size_t then, struct cw_plan *best);
-static int explore(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
-		   struct cw_plan *plan);
+static double expected_cost(const struct estimate *estimate, double cost_per_1k);
+static double expected_pass_share(const struct estimate *estimate, double threshold,
+				  double *mean_passed);
+static size_t find_costliest(const struct cw_cascade_in *in);
+static void consider_direct_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
+				 size_t index, struct cw_plan *best);
+static void consider_checked_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
+				  size_t first, size_t then, struct cw_plan *best);
+static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
+			    struct cw_plan *plan);
 
 const struct cw_cascade_policy cw_cascade_learned = {"learned", plan_learned};
 const struct cw_cascade_policy cw_cascade_costly = {"always_costly", plan_costly};
@@ -104,15 +105,15 @@
 void cw_cascade_rated(struct cw_cascade *cascade, uint64_t task, uint64_t common, uint64_t version,
 		      double score)
 {
-	add_rating(estimate_of(cascade, task, version), score);
-	add_rating(estimate_of(cascade, common, version), score);
+	add_rating(get_or_create_estimate(cascade, task, version), score);
+	add_rating(get_or_create_estimate(cascade, common, version), score);
 }
 
 void cw_cascade_cost(struct cw_cascade *cascade, uint64_t task, uint64_t common, uint64_t version,
 		     double tokens)
 {
-	add_cost(estimate_of(cascade, task, version), tokens);
-	add_cost(estimate_of(cascade, common, version), tokens);
+	add_cost(get_or_create_estimate(cascade, task, version), tokens);
+	add_cost(get_or_create_estimate(cascade, common, version), tokens);
 }
 
 int cw_cascade_falls_short(const struct cw_cascade_in *in, double score)
@@ -122,31 +123,31 @@
 
 double cw_cascade_sample_rate(const struct cw_cascade *cascade, uint64_t task, uint64_t version)
 {
-	const struct estimate *estimate = find(cascade, task, version);
+	const struct estimate *estimate = find_estimate(cascade, task, version);
 
-	if (!estimate || estimate->rated < 2 * RATED_MIN)
+	if (!estimate || estimate->ratings < 2 * RATINGS_MIN)
 		return 1;
-	return estimate->rated < 10 * RATED_MIN ? 0.25 : 0.05;
+	return estimate->ratings < 10 * RATINGS_MIN ? 0.25 : 0.05;
 }
 
 static void add_rating(struct estimate *estimate, double score)
 {
 	int bin = (int)CLAMP(score * SCORE_BINS, 0, SCORE_BINS - 1);
 
-	if (estimate->rated >= MEMORY) {
-		double keep = (MEMORY - 1.0) / MEMORY;
+	if (estimate->ratings >= RATINGS_MEMORY) {
+		double keep = (RATINGS_MEMORY - 1.0) / RATINGS_MEMORY;
 
-		estimate->rated *= keep;
+		estimate->ratings *= keep;
 		estimate->sum *= keep;
-		estimate->squares *= keep;
+		estimate->sum_squares *= keep;
 		for (int i = 0; i < SCORE_BINS; i++) {
 			estimate->bins[i] *= keep;
 			estimate->bin_sums[i] *= keep;
 		}
 	}
-	estimate->rated += 1;
+	estimate->ratings += 1;
 	estimate->sum += score;
-	estimate->squares += score * score;
+	estimate->sum_squares += score * score;
 	estimate->bins[bin] += 1;
 	estimate->bin_sums[bin] += score;
 }
@@ -160,26 +161,26 @@
 static void plan_learned(const void *data, const struct cw_cascade_in *in, struct cw_plan *plan)
 {
 	const struct cw_cascade *cascade = data;
-	size_t fallback = costliest(in);
+	size_t fallback = find_costliest(in);
 
-	if (explore(cascade, in, plan))
+	if (plan_exploration(cascade, in, plan))
 		return;
 	plan->first = fallback;
 	plan->then = fallback;
 	plan->expect_cost = INFINITY;
 	for (size_t i = 0; i < in->count; i++)
-		consider_direct(cascade, in, i, plan);
+		consider_direct_plan(cascade, in, i, plan);
 	if (!in->may_check)
 		return;
 	for (size_t i = 0; i < in->count; i++)
 		for (size_t j = 0; j < in->count; j++)
 			if (i != j && in->options[i].cost_per_1k < in->options[j].cost_per_1k)
-				consider_checked(cascade, in, i, j, plan);
+				consider_checked_plan(cascade, in, i, j, plan);
 }
 
 static void plan_costly(const void *data, const struct cw_cascade_in *in, struct cw_plan *plan)
 {
-	plan->first = costliest(in);
+	plan->first = find_costliest(in);
 	plan->then = plan->first;
 }
 
@@ -192,36 +193,37 @@
 }
 
 /*
- * A version without enough ratings has no bound and would never be chosen. A small bounded share
- * goes to it: checked where that is possible, so that what falls short is not shown.
+ * A version without enough ratings has no bound and would never be chosen, so a small bounded share
+ * of requests explores it. Where possible its answers are checked, and poor ones are not shown.
  */
-static int explore(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
-		   struct cw_plan *plan)
+static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
+			    struct cw_plan *plan)
 {
 	double draw = cw_hash_part(in->random);
-	size_t top = costliest(in);
-	size_t open[CW_MAX_VERSIONS];
+	size_t top = find_costliest(in);
+	size_t candidates[CW_MAX_VERSIONS];
 	size_t count = 0;
 	double share = EXPLORE_SHARE;
 
 	for (size_t i = 0; i < in->count; i++) {
-		const struct estimate *estimate = estimate_for(cascade, in, i);
+		const struct estimate *estimate = find_usable_estimate(cascade, in, i);
 
 		if (i == top)
 			continue;
-		if (!estimate || estimate->rated < RATED_MIN) {
-			open[count++] = i;
-			share = in->may_check ? EXPLORE_START : EXPLORE_UNSEEN;
+		if (!estimate || estimate->ratings < RATINGS_MIN) {
+			candidates[count++] = i;
+			share = in->may_check ? EXPLORE_CHECKED_SHARE : EXPLORE_UNCHECKED_SHARE;
 		} else if (mean(estimate) >= in->target - 2 * PASS_MARGIN &&
 			   lower_bound(estimate) < in->target) {
-			open[count++] = i;
+			candidates[count++] = i;
 		}
 	}
 	if (!in->may_check)
-		share = MIN(share, affordable_share(estimate_for(cascade, in, top), in->target));
+		share = MIN(share, max_unchecked_share(find_usable_estimate(cascade, in, top),
+						       in->target));
 	if (count == 0 || draw >= share)
 		return 0;
-	plan->first = open[in->random % count];
+	plan->first = candidates[in->random % count];
 	plan->then = in->may_check ? top : plan->first;
 	plan->check = in->may_check;
 	plan->explores = 1;
@@ -229,26 +231,25 @@
 }
 
 /*
- * What is explored unchecked is shown, and may fall short by EXPLORE_LOSS: no larger share than the
- * best version's margin above the target pays for. A rare task would else stay below its target for
- * as long as it is being learned.
+ * Unchecked answers are shown and may miss the target by EXPLORE_LOSS. Their share is limited to
+ * what the best version's margin above the target makes up for; otherwise a rare task would stay
+ * below its target for as long as it is being learned.
  */
-static double affordable_share(const struct estimate *best, double target)
+static double max_unchecked_share(const struct estimate *best, double target)
 {
-	double margin = best && best->rated >= RATED_MIN ? mean(best) - target : 0;
+	double margin = best && best->ratings >= RATINGS_MIN ? mean(best) - target : 0;
 
-	return MAX(margin / EXPLORE_LOSS, EXPLORE_LEAST);
+	return MAX(margin / EXPLORE_LOSS, EXPLORE_SHARE_MIN);
 }
 
-static void consider_direct(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
-			    size_t index, struct cw_plan *best)
+static void consider_direct_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
+				 size_t index, struct cw_plan *best)
 {
-	const struct estimate *estimate = estimate_for(cascade, in, index);
-	double cost = cost_of(estimate, in->options[index].cost_per_1k);
-	int is_fallback = index == costliest(in);
+	const struct estimate *estimate = find_usable_estimate(cascade, in, index);
+	double cost = expected_cost(estimate, in->options[index].cost_per_1k);
+	int is_fallback = index == find_costliest(in);
 
-	/* The costliest stands in for "as good as it gets" until something is known to meet the
-	 * target. */
+	/* The costliest version is the fallback until one is known to meet the target. */
 	if (lower_bound(estimate) < in->target && !is_fallback)
 		return;
 	if (cost >= best->expect_cost)
@@ -260,23 +261,24 @@
 	best->expect_quality = estimate ? mean(estimate) : 0;
 }
 
-static void consider_checked(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
-			     size_t first, size_t then, struct cw_plan *best)
+static void consider_checked_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
+				  size_t first, size_t then, struct cw_plan *best)
 {
-	const struct estimate *cheap = estimate_for(cascade, in, first);
-	const struct estimate *costly = estimate_for(cascade, in, then);
+	const struct estimate *cheap = find_usable_estimate(cascade, in, first);
+	const struct estimate *costly = find_usable_estimate(cascade, in, then);
 	double passed_mean;
 	double passed;
 	double cost;
 	double quality;
 
-	if (!cheap || cheap->rated < RATED_MIN)
+	if (!cheap || cheap->ratings < RATINGS_MIN)
 		return;
-	passed = pass_share(cheap, in->target - PASS_MARGIN, &passed_mean);
-	cost = cost_of(cheap, in->options[first].cost_per_1k) +
-	       (1 - passed) * cost_of(costly, in->options[then].cost_per_1k);
+	passed = expected_pass_share(cheap, in->target - PASS_MARGIN, &passed_mean);
+	cost = expected_cost(cheap, in->options[first].cost_per_1k) +
+	       (1 - passed) * expected_cost(costly, in->options[then].cost_per_1k);
 	quality = passed * passed_mean +
-		  (1 - passed) * (costly && costly->rated >= RATED_MIN ? mean(costly) : in->target);
+		  (1 - passed) *
+			  (costly && costly->ratings >= RATINGS_MIN ? mean(costly) : in->target);
 	if (quality < in->target || cost >= best->expect_cost)
 		return;
 	best->first = first;
@@ -291,7 +293,8 @@
 	return cw_hash(&version, sizeof(version), task);
 }
 
-static struct estimate *estimate_of(struct cw_cascade *cascade, uint64_t task, uint64_t version)
+static struct estimate *get_or_create_estimate(struct cw_cascade *cascade, uint64_t task,
+					       uint64_t version)
 {
 	uint64_t key = estimate_key(task, version);
 	struct estimate *estimate = g_hash_table_lookup(cascade->estimates, &key);
@@ -304,50 +307,51 @@
 	return estimate;
 }
 
-static const struct estimate *find(const struct cw_cascade *cascade, uint64_t task,
-				   uint64_t version)
+static const struct estimate *find_estimate(const struct cw_cascade *cascade, uint64_t task,
+					    uint64_t version)
 {
 	uint64_t key = estimate_key(task, version);
 
 	return g_hash_table_lookup(cascade->estimates, &key);
 }
 
-/* The organisation's own ratings once there are enough; until then those of all organisations. */
-static const struct estimate *estimate_for(const struct cw_cascade *cascade,
-					   const struct cw_cascade_in *in, size_t index)
+/* The organisation's own ratings if there are enough, otherwise those of all organisations. */
+static const struct estimate *find_usable_estimate(const struct cw_cascade *cascade,
+						   const struct cw_cascade_in *in, size_t index)
 {
-	const struct estimate *own = find(cascade, in->task, in->options[index].version);
+	const struct estimate *own = find_estimate(cascade, in->task, in->options[index].version);
 
-	if (own && own->rated >= RATED_MIN)
+	if (own && own->ratings >= RATINGS_MIN)
 		return own;
-	return find(cascade, in->common, in->options[index].version);
+	return find_estimate(cascade, in->common, in->options[index].version);
 }
 
 static double lower_bound(const struct estimate *estimate)
 {
 	double variance;
 
-	if (!estimate || estimate->rated < RATED_MIN)
+	if (!estimate || estimate->ratings < RATINGS_MIN)
 		return 0;
-	variance = MAX(estimate->squares / estimate->rated - mean(estimate) * mean(estimate),
-		       SIGMA_MIN * SIGMA_MIN);
-	return mean(estimate) - CONFIDENCE_Z * sqrt(variance / estimate->rated);
+	variance = MAX(estimate->sum_squares / estimate->ratings - mean(estimate) * mean(estimate),
+		       STDDEV_MIN * STDDEV_MIN);
+	return mean(estimate) - CONFIDENCE_Z * sqrt(variance / estimate->ratings);
 }
 
 static double mean(const struct estimate *estimate)
 {
-	return estimate->rated > 0 ? estimate->sum / estimate->rated : 0;
+	return estimate->ratings > 0 ? estimate->sum / estimate->ratings : 0;
 }
 
-static double cost_of(const struct estimate *estimate, double cost_per_1k)
+static double expected_cost(const struct estimate *estimate, double cost_per_1k)
 {
 	double tokens = estimate && estimate->answers > 0 ? estimate->tokens / estimate->answers
-							  : TOKENS_UNKNOWN;
+							  : DEFAULT_TOKENS;
 
 	return tokens * cost_per_1k / 1000;
 }
 
-static double pass_share(const struct estimate *estimate, double threshold, double *mean_passed)
+static double expected_pass_share(const struct estimate *estimate, double threshold,
+				  double *mean_passed)
 {
 	double passed = 0;
 	double sum = 0;
@@ -359,10 +363,10 @@
 		sum += estimate->bin_sums[i];
 	}
 	*mean_passed = passed > 0 ? sum / passed : 0;
-	return passed / estimate->rated;
+	return passed / estimate->ratings;
 }
 
-static size_t costliest(const struct cw_cascade_in *in)
+static size_t find_costliest(const struct cw_cascade_in *in)
 {
 	size_t best = 0;
 
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -2,18 +2,16 @@
 
 #include <string.h>
 
-#define CONNECT_TIMEOUT_MAX_MS                                                                     \
-	400 /* a way of 1 ms, and 300 ms of a server that is slow to accept */
-#define CONNECT_TIMEOUT_MIN_MS 100 /* a pause of this instance's own isn't taken for a cut */
-#define CONNECT_FAILURES_MAX   4   /* connections that fail before the request is given up */
-#define NON_REPEATABLE_REUSE_IDLE_MS                                                               \
-	1500 /* for what may run once: the shorter, the rarer a closed one */
-#define NO_CONFIG_RETRY_MS  500
-#define RETURN_PATH_MS	    15	 /* the way back to the caller */
-#define LAST_ATTEMPT_GAP_MS 4000 /* between events, where the stream can go nowhere else */
-#define URGENCY_MAX	    9
-#define SERVICE_HASH_SEED   0x5e41 /* a session's service says nothing of its place in a roll-out */
-#define TIME_LEFT_MIN_MS    20	   /* less time than this left: nothing can be answered */
+#define CONNECT_TIMEOUT_MAX_MS	     400  /* 1 ms round trip, 300 ms for a slow accept */
+#define CONNECT_TIMEOUT_MIN_MS	     100  /* longer than a scheduling pause of this instance */
+#define CONNECT_FAILURES_MAX	     4	  /* failed connections before the request is rejected */
+#define NON_REPEATABLE_REUSE_IDLE_MS 1500 /* short, so that few reused connections are closed */
+#define NO_CONFIG_RETRY_MS	     500
+#define RETURN_PATH_MS		     15	  /* from the router back to the caller */
+#define LAST_ATTEMPT_GAP_MS	     4000 /* smallest event gap limit with no attempt left */
+#define URGENCY_MAX		     9
+#define SERVICE_HASH_SEED	     0x5e41 /* independent of the hash of a roll-out */
+#define TIME_LEFT_MIN_MS	     20	    /* too short for another attempt */
 
 static int resolve_target(struct cw_call *call, struct cw_step *step);
 static void dispatch_first(struct cw_call *call, int64_t now_ms, struct cw_step *step);
@@ -87,7 +85,7 @@
 	if (answer->is_not_run) {
 		release_server(call, now_ms, 0);
 		call_model_fall_back(call);
-		/* Another server at a reused address says nothing of room. */
+		/* A different server at a reused address is no evidence of overload. */
 		if (!answer->is_stranger)
 			gate_count_rejected(call->gate, call->service_name, now_ms);
 		if (take_retry(call, now_ms) && dispatch_attempt(call, now_ms, step))
@@ -124,8 +122,7 @@
 		size_t small = call->model_index;
 
 		call->model_index = call->route->model_count - 1;
-		call->tried_count =
-			0; /* none has failed: the same server may run the other model */
+		call->tried_count = 0; /* no server failed: the same one may run the other model */
 		if (switch_server(call, now_ms, step))
 			return;
 		step->reason = "no_server";
@@ -207,7 +204,7 @@
 	step->run = call->may_have_run || call->attempts > 0 ? CW_RUN_UNKNOWN : CW_RUN_NOT;
 }
 
-/* A copy that waits in a server's queue ends that server too, unless it is taken out in time. */
+/* A copy waiting in a server's queue would crash that server too, so the attempt is cancelled. */
 void cw_call_stop(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	memset(step, 0, sizeof(*step));
@@ -229,7 +226,7 @@
 	g_free(call);
 }
 
-/* With no attempt left, a server that may only seem to be cut off is better than none. */
+/* With no attempt left, a server that only seems unreachable is better than none. */
 int cw_call_may_leave(const struct cw_call *call)
 {
 	return is_retriable(call) && (int)call->attempts < call->route->max_attempts;
@@ -277,7 +274,10 @@
 	return call->predicted_ms;
 }
 
-/* Less time is left to a caller that asks again than its route's callers have at first. */
+/*
+ * A caller that retries has less time left than the longest limit on its route; the difference
+ * estimates how long it has been waiting.
+ */
 static void record_wait(const struct cw_call *call)
 {
 	int64_t waited_ms;
@@ -291,7 +291,7 @@
 			  call->opened_ms - waited_ms, call->opened_ms);
 }
 
-/* Route, organisation and service; 0: refused. */
+/* Sets route, organisation and service; 0: rejected. */
 static int resolve_target(struct cw_call *call, struct cw_step *step)
 {
 	const struct cw_config *config = call->config;
@@ -337,11 +337,11 @@
 		call_reject_unsent(call, step, now_ms);
 		return;
 	}
-	/* Counted before, requests that were refused unsent let others be sent more often. */
+	/* Counted after the send: a request rejected unsent must not add to the retry budget. */
 	cw_repeats_first(gate_get_retry_budget(call->gate, call->service_name), now_ms);
 }
 
-/* What the trial of a new version learns of the routes. */
+/* Classifies the route's requests for the trial of a new version. */
 static void report_route_kinds(struct cw_call *call)
 {
 	struct cw_rollout_request request = call_rollout_request(call);
@@ -356,7 +356,7 @@
 			 call->service ? call->service->slots : 0);
 }
 
-/* 1: step is SEND. */
+/* Starts an attempt; 1: step is SEND, 0: no server may take the request. */
 static int dispatch_attempt(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	const struct cw_policy *policy = call->gate->policy;
@@ -388,7 +388,10 @@
 	return 1;
 }
 
-/* What was not sent may go elsewhere, whatever its kind, while that can still be on time. */
+/*
+ * An unsent request of any kind may go to another server, so the timeout is a part of the route's
+ * latency objective that leaves time for a second attempt.
+ */
 static int64_t connect_timeout_ms(const struct cw_call *call)
 {
 	double part_ms = call->gate->policy->connect_part * (double)call->route->objective_ms;
@@ -396,7 +399,7 @@
 	return (int64_t)CLAMP(part_ms, CONNECT_TIMEOUT_MIN_MS, CONNECT_TIMEOUT_MAX_MS);
 }
 
-/* Leaves the server that answered, once another is found; 0: none is, the answer stands. */
+/* Moves from the server that answered to another; 0: none is available, the answer stands. */
 static int switch_server(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	struct cw_server *previous = call->server;
@@ -432,8 +435,8 @@
 }
 
 /*
- * How long an attempt may stay without a byte. A server that hangs while its health is good shows
- * only by this; another may then still answer in time.
+ * Longest time an attempt may go without a byte. Only this timeout finds a server that hangs while
+ * its health checks pass, early enough for another server to answer in time.
  */
 static int64_t idle_timeout_ms(const struct cw_call *call, int64_t now_ms)
 {
@@ -450,8 +453,8 @@
 }
 
 /*
- * How long a stream may pause. One that hangs is taken up elsewhere while it can still be on time;
- * with no attempt left it is waited for.
+ * Longest gap between two events of a stream. A stream that hangs is resumed on another server
+ * while it can still be on time; with no attempt left the gap is at least LAST_ATTEMPT_GAP_MS.
  */
 static int64_t event_gap_timeout_ms(const struct cw_call *call)
 {
@@ -473,7 +476,7 @@
 	cw_pool_ended(server, now_ms, is_answered ? (double)(now_ms - call->sent_ms) : -1);
 }
 
-/* It may still run there, and end the server. */
+/* The request may still run on the server, and crash it. */
 static void abandon_attempt(struct cw_call *call, int64_t now_ms)
 {
 	call_record_abandoned(call, call->server, now_ms);
@@ -482,7 +485,7 @@
 
 static void record_failure(struct cw_call *call, int64_t now_ms)
 {
-	/* A cut says nothing of the server or of what it runs, nor does an earlier start of it. */
+	/* A network partition or an earlier incarnation is no evidence against the server. */
 	if (!call->server->is_unreachable && !call->server->has_ended &&
 	    cw_pool_broke(call->server, now_ms) &&
 	    !cw_quarantine_doubts(call->gate->quarantine, call->server->id, now_ms))
@@ -490,7 +493,7 @@
 	cw_pool_failed(call->server, now_ms, gate_random(call->gate));
 }
 
-/* May it run a second time? Only by its kind, never by its name. */
+/* May the request run twice? Decided by the route's setting, never by its path or name. */
 static int is_retriable(const struct cw_call *call)
 {
 	switch (call->route->repeat) {
--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -1,13 +1,13 @@
 /*
- * Which server an attempt goes to: of the versions that its session may have, by the pool's choice;
- * and what is done when none of them can be had.
+ * Choice of the server for an attempt: the pool chooses among servers of the versions that the
+ * session may use, and the constraints are relaxed step by step when none is available.
  */
 #include "gate_internal.h"
 
 #include <string.h>
 
-#define TRIAL_FILL_TARGET 0.7  /* of a server on trial: past half, with room for others' */
-#define TRIAL_FULL_TARGET 0.95 /* to which the full server is asked: short of a queue */
+#define TRIAL_FILL_TARGET 0.7  /* of a trial server's slots: above half, room for others */
+#define TRIAL_FULL_TARGET 0.95 /* of its slots, for light requests: just short of queueing */
 
 static struct cw_server *choose_begun_version(const struct cw_call *call,
 					      const struct cw_choice *choice);
@@ -55,14 +55,14 @@
 	server = choose_begun_version(call, &choice);
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
-	/* All others are gone or tried: one that failed before is better than none. */
+	/* All others are removed or tried: a server that failed before is better than none. */
 	choice.is_desperate = 1;
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
 	choice.tried_count = 0;
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
-	/* Neither version is barred, unless it was found bad: the other one answers as well. */
+	/* Unless the roll-out found a version bad, the other version may answer as well. */
 	if (!server && !cw_rollouts_is_bad(gate->rollouts, call->service_name)) {
 		choice.only_software = choice.not_software = choice.not_yet = NULL;
 		server = cw_pool_choose(gate->pool, &choice);
@@ -78,7 +78,7 @@
 	return cw_pool_cold_wait_ms(call->gate->pool, &choice);
 }
 
-/* All but what a roll-out says. */
+/* Fills all fields except those of the roll-out. */
 static void fill_choice(struct cw_call *call, int64_t now_ms, struct cw_choice *choice)
 {
 	struct cw_gate *gate = call->gate;
@@ -101,8 +101,9 @@
 }
 
 /*
- * What the caller was shown a part of goes on at the version that began it, though its session may
- * have moved meanwhile; unless that one was taken back or has no server left. NULL: as any other.
+ * A partly forwarded answer is resumed on the version that began it, even if its session has moved
+ * to another one meanwhile. NULL: nothing was forwarded, the version was rolled back, or it has no
+ * server left; the choice is then made as for any other attempt.
  */
 static struct cw_server *choose_begun_version(const struct cw_call *call,
 					      const struct cw_choice *choice)
@@ -116,7 +117,7 @@
 	return cw_pool_choose(call->gate->pool, &begun);
 }
 
-/* The longest beginning that is shared: all parts but the last, which is the request's own. */
+/* Key of the longest prompt prefix: all segments but the last, which is the request's own. */
 static uint64_t prefix_key(const struct cw_facts *facts)
 {
 	uint64_t key = 0;
--- a/packages/gate/src/call_held.c
+++ b/packages/gate/src/call_held.c
@@ -1,4 +1,4 @@
-/* A request that may end servers: what the list of held ones is told of it, and what it forbids. */
+/* Quarantine of requests that may crash servers: what is recorded, and what is refused. */
 #include "gate_internal.h"
 
 static int start_trial(struct cw_call *call);
@@ -15,8 +15,8 @@
 }
 
 /*
- * Each server that begins to run it ends, with all that it was running. Its caller is told that it
- * was not run, and no time to come back at: it would be refused again.
+ * Each server that starts a poison request crashes, with all other requests on it. The answer says
+ * that the request was not run and gives no Retry-After, for a retry would be rejected again.
  */
 int call_reject_quarantined(struct cw_call *call, struct cw_step *step)
 {
@@ -28,7 +28,7 @@
 	return 1;
 }
 
-/* By one instance of all that hear of each other: a trial may cost a server. */
+/* Only one of the instances that know each other runs a trial, since it may crash a server. */
 static int start_trial(struct cw_call *call)
 {
 	struct cw_quarantine *quarantine = call->gate->quarantine;
@@ -47,7 +47,7 @@
 			   call_run_time_ms(call, now_ms), now_ms);
 }
 
-/* The connection broke. A server that leaves, or whose version was replaced, stops by plan. */
+/* A server that is leaving, or whose version was replaced, stops as planned: not a crash. */
 void call_record_crash(struct cw_call *call, int64_t now_ms)
 {
 	const struct cw_server *server = call->server;
@@ -69,7 +69,7 @@
 	};
 }
 
-/* From its first byte where one came: a request that waited in a queue was not run meanwhile. */
+/* Counted from the response head if there is one: time in a queue is not run time. */
 int64_t call_run_time_ms(const struct cw_call *call, int64_t now_ms)
 {
 	return now_ms - (call->is_head_seen ? call->head_ms : call->sent_ms);
--- a/packages/gate/src/call_model.c
+++ b/packages/gate/src/call_model.c
@@ -1,14 +1,13 @@
 /*
- * Which of a route's models answers: the smallest first, the largest in place of an answer with
- * little confidence. How much confidence is asked for follows the load.
+ * Choice among a route's models: the smallest answers first, and an answer with low confidence is
+ * replaced by the largest model's. The confidence threshold follows the load.
  */
 #include "gate_internal.h"
 
 #include <string.h>
 
-#define RAMP_START (1 / 3.0) /* of escalate_late_part: from here on less confidence is asked for   \
-			      */
-#define RAMP_END (16 / 9.0)  /* and here none: nobody is helped, the queue would only grow */
+#define RAMP_START (1 / 3.0)  /* of escalate_late_part: the threshold starts to fall */
+#define RAMP_END   (16 / 9.0) /* of it: 0 from here on, escalations only add queue */
 
 static const char *escalation_blocker(struct cw_call *call, const struct cw_answer_facts *answer,
 				      int64_t now_ms, struct cw_step *step);
@@ -18,8 +17,8 @@
 
 /*
  * Load pattern: a quiet hour, in which the small model's answers of 0.4 s don't fill half of one
- * engine. The largest model's last 3 s; it is asked at once for the second or two that the trial of
- * a new version takes.
+ * engine. The largest model's answers last 3 s, so requests start with it for the second or two
+ * that the trial of a new version takes.
  */
 int call_model_fills_trial(const struct cw_call *call, int64_t now_ms)
 {
@@ -29,16 +28,16 @@
 	return call->is_output_heavy && cw_rollouts_is_filler(rollouts, &request, now_ms);
 }
 
-/* Does the gate say which model answers, and is there a choice? */
+/* The caller named no model and the route has two or more. */
 int call_model_is_selectable(const struct cw_call *call)
 {
 	return call->route->model_count >= 2 && !strcmp(call->facts.model, CW_ANY_MODEL);
 }
 
 /*
- * Load pattern: engines so full that they refuse. The small model's doubtful answer was dropped for
- * the largest one's, which then nobody took: the caller got neither. The attempt that is left goes
- * to the small model again.
+ * Load pattern: engines so full that they reject requests. A low-confidence answer of the small
+ * model was dropped for the largest model, which no engine accepted, so the caller got neither. The
+ * remaining attempt goes back to the small model.
  */
 void call_model_fall_back(struct cw_call *call)
 {
@@ -48,8 +47,8 @@
 }
 
 /*
- * A small model that doubts its answer is replaced by the largest one, before the caller was shown
- * anything. Escalations draw on the budget of repeats.
+ * A small model's answer with low confidence is replaced by the largest model's before anything is
+ * forwarded to the caller. Escalations draw on the retry budget.
  */
 int call_model_should_escalate(struct cw_call *call, const struct cw_answer_facts *answer,
 			       int64_t now_ms, struct cw_step *step)
@@ -58,7 +57,7 @@
 	return !step->reason;
 }
 
-/* NULL: a larger model is to be asked. The budget is looked at last, for asking it spends it. */
+/* NULL: escalate. The retry budget is checked last, because the check spends from it. */
 static const char *escalation_blocker(struct cw_call *call, const struct cw_answer_facts *answer,
 				      int64_t now_ms, struct cw_step *step)
 {
@@ -84,10 +83,10 @@
 }
 
 /*
- * Load pattern: a burst of seven times the usual. The large model's streams hold their slots for
- * seconds; begun while slots are still free, they leave none to the burst, and 73 in 100 arrivals
- * are rejected for 8 s. Less confidence is asked for as slots are taken, before any is rejected: of
- * a smaller burst's callers none was refused any more, 0.049 before.
+ * Load pattern: a burst of seven times the usual load. The large model's streams hold their slots
+ * for seconds; those begun while slots are free leave none for the burst, and 73 in 100 arrivals
+ * are rejected for 8 s. The confidence threshold falls with the slots taken, before any request is
+ * rejected; in a smaller burst that lowers the share of rejected callers from 0.049 to none.
  */
 static double slot_headroom(struct cw_call *call, int64_t now_ms)
 {
@@ -99,10 +98,12 @@
 }
 
 /*
- * Load pattern: more hard requests than the largest model can read in time (a cut failure domain, a
- * burst, servers gone). Each escalation then makes all others later, and a late answer is worth
- * less than a small model's that is half trusted. So the trust asked for falls once the large
- * model's answer is predicted to come late, and rises again by itself.
+ * Confidence below which an answer is escalated.
+ *
+ * Load pattern: more hard requests than the largest model can process in time (a partitioned
+ * failure domain, a burst, removed servers). Each escalation then delays all others, and a late
+ * answer is worth less than a small model's of medium confidence. So the threshold falls as the
+ * large model's answer is predicted to be late, and recovers with the queue.
  */
 static int required_confidence(struct cw_call *call, int64_t now_ms)
 {
@@ -130,7 +131,7 @@
 	return (int)(part * slot_headroom(call, now_ms));
 }
 
-/* The time to the first event, were the request sent now; what waits there counts by its weight. */
+/* Time to the first event if sent now; queued work counts by escalate_queue_weight. */
 static double predict_first_event_ms(struct cw_call *call, int64_t now_ms)
 {
 	int is_affinity_server = 0;
--- a/packages/gate/src/call_refuse.c
+++ b/packages/gate/src/call_refuse.c
@@ -1,21 +1,21 @@
-/* Who is turned away, with what word, and when to come back. */
+/* Rejection of requests: which ones, with which status and message, and when to retry. */
 #include "gate_internal.h"
 
-#define RETRY_BASE_MS	    150	      /* until another server or the next instance is known */
-#define RETRY_JITTER_MS	    250	      /* so that refused callers don't return in one moment */
-#define REJECT_PRIORITY	    2	      /* and later: as many are refused as servers reject */
-#define OVERLOAD_RETRY_MS   600	      /* at least, a queue's length; to twice as much */
-#define RETRY_WAIT_FRACTION (1 / 3.0) /* of the time left, that a caller waits at most */
-#define RETRY_WAIT_JITTER   0.4	      /* of that: refused callers don't return in one moment */
+#define RETRY_BASE_MS	    150 /* usual time until another server or the next instance is known */
+#define RETRY_JITTER_MS	    250 /* spreads the retries of rejected callers */
+#define REJECT_PRIORITY	    2	/* from this priority on, as many are rejected as servers reject */
+#define OVERLOAD_RETRY_MS   600 /* to twice as much: at least the length of a queue */
+#define RETRY_WAIT_FRACTION (1 / 3.0) /* of the time left: longest wait before a retry */
+#define RETRY_WAIT_JITTER   0.4	      /* of that wait: spreads the retries of rejected callers */
 
 static int64_t overload_retry_after_ms(struct cw_call *call, int64_t now_ms);
 static double max_retry_wait_ms(const struct cw_call *call, int64_t now_ms);
 
 /*
  * Load pattern: five times the usual requests. Servers reject half of what they are sent, each
- * rejected request tries two more, and the least urgent that got into a queue are overtaken there
- * until their time is up. As many of them as are rejected are refused at once, the more urgent ones
- * less, and the most urgent never.
+ * rejected request tries two more servers, and the least urgent requests in a queue are overtaken
+ * until their deadline. So requests are rejected at once: the least urgent with the probability
+ * that a server rejects them, more urgent ones with a lower one, and the most urgent never.
  */
 int call_should_reject(struct cw_call *call, int64_t now_ms)
 {
@@ -38,7 +38,7 @@
 	step->reason = reason;
 }
 
-/* 503 promises that the request has not run and never will: only said where that is known. */
+/* A 503 promises that the request has not run and never will, so it needs that to be known. */
 void call_reject_not_run(struct cw_call *call, struct cw_step *step, const char *reason,
 			 int64_t now_ms)
 {
@@ -51,8 +51,8 @@
 }
 
 /*
- * Load pattern: all servers of a service start again. They bear a few requests a second, and
- * whoever comes back before one may take it is refused again: it is told when that is.
+ * Load pattern: all servers of a service restart. Cold servers take a few requests a second, and a
+ * caller that retries too early is rejected again, so Retry-After says when a server may take it.
  */
 void call_reject_unsent(struct cw_call *call, struct cw_step *step, int64_t now_ms)
 {
@@ -79,10 +79,10 @@
 }
 
 /*
- * Load pattern: a burst of seven times the usual for 8 s. Callers that were told to come back after
- * 0.6 to 1.2 s met the same full servers with the only retry they had; what the servers can run in
- * a burst is the same whoever comes. The more is rejected, the later they are told to come, up to
- * the third of their time that they wait at most.
+ * Load pattern: a burst of seven times the usual load for 8 s. Callers that retry after 0.6 to 1.2
+ * s meet the same full servers with the only retry they have, and early retries don't add to what
+ * the servers can run in a burst. Retry-After grows with the share of rejected requests, up to a
+ * third of the caller's time left.
  */
 static int64_t overload_retry_after_ms(struct cw_call *call, int64_t now_ms)
 {
--- a/packages/gate/src/call_work.c
+++ b/packages/gate/src/call_work.c
@@ -3,30 +3,32 @@
 #include <math.h>
 #include <string.h>
 
-#define SMALL_MODEL_TOKEN_MS	0.005 /* a token, of the smallest model: measured 0.0045 to 0.006 */
-#define LARGE_MODEL_TOKEN_MS	0.05  /* of the largest: measured 0.045 to 0.055 */
+#define SMALL_MODEL_TOKEN_MS	0.005 /* per prompt token, smallest model: 0.0045 to 0.006 */
+#define LARGE_MODEL_TOKEN_MS	0.05  /* per prompt token, largest model: 0.045 to 0.055 */
 #define WORK_EWMA_GAIN		0.05
-#define SAMPLE_MIN_TOKENS	800  /* a shorter prompt's time says little of the pace */
-#define TOKEN_MS_GAIN_DOWN	0.3  /* the pace is that of an idle server: it falls fast, */
+#define SAMPLE_MIN_TOKENS	800 /* the fixed cost hides the time per token of shorter prompts */
+#define TOKEN_MS_GAIN_DOWN	0.3 /* queues only add time, so the estimate falls fast */
 #define TOKEN_MS_GAIN_UP	0.02 /* and rises slowly */
-#define IDLE_BACKLOG_MAX_MS	5.0  /* work before it that doesn't hide the pace */
-#define FIRST_TOKEN_OVERHEAD_MS 25.0 /* besides reading the prompt: a step of the batch, the ways  \
-				      */
-#define PLAIN_INITIAL_MS 50.0
-#define PLAIN_EWMA_GAIN	 0.05
-#define SLOW_MARGIN_MS	 40.0 /* of a prediction: the others' work that isn't known */
-#define SLOW_FACTOR	 4.0  /* times the usual make an answer bad evidence of a version; */
-/* the other version's share of such answers is the measure, so the factor may be low */
-#define PLAIN_SLOW_FACTOR	 2.0 /* of a plain service, which reads no prompts: 1 % are slower */
-#define STREAM_SAMPLE_MIN_EVENTS 4   /* of a stream, before its pace says something */
-#define EVENT_EWMA_GAIN		 0.05
-#define LOADED_FRACTION		 0.5  /* of a server's slots taken: from here on it is under load */
-#define LOAD_REPORT_MAX_AGE_MS	 2000 /* what a server told of its load holds for so long */
-#define QUICK_ANSWER_MS		 80 /* from a request to its answer's head: its load has not changed */
-#define LIGHT_PREFILL_MS	 25.0 /* of reading, as long as a step of a full engine */
-#define STREAM_BYTES		 4500 /* of a usual stream back to its caller */
-#define PLAIN_BYTES		 800
+#define IDLE_BACKLOG_MAX_MS	5.0 /* queued work small enough for a sample of the time per token */
+#define FIRST_TOKEN_OVERHEAD_MS 25.0 /* one batch step and the round trip */
+#define PLAIN_INITIAL_MS	50.0
+#define PLAIN_EWMA_GAIN		0.05
+#define SLOW_MARGIN_MS		40.0 /* for queued work of other instances not known here */
+/*
+ * An answer that takes this many times the usual is evidence against a version. The factor may be
+ * low, for the share of slow answers is compared with that of the other version.
+ */
+#define SLOW_FACTOR		 4.0
 
+#define PLAIN_SLOW_FACTOR	 2.0 /* of a plain service, without prompts: 1 % of answers are slower */
+#define STREAM_SAMPLE_MIN_EVENTS 4 /* shorter streams give no sample of the event gap */
+#define EVENT_EWMA_GAIN		 0.05
+#define LOADED_FRACTION		 0.5  /* of a server's slots taken: it is under load */
+#define LOAD_REPORT_MAX_AGE_MS	 2000 /* a server's load report is stale afterwards */
+#define QUICK_ANSWER_MS		 80   /* to the response head: load unchanged since the send */
+#define LIGHT_PREFILL_MS	 25.0 /* prompt processing no longer than a step of a full engine */
+#define STREAM_BYTES		 4500 /* of a usual stream back to the caller */
+#define PLAIN_BYTES		 800  /* of a usual plain answer */
 static int is_under_load(unsigned int running, unsigned int slots);
 static const char *timing_key(const struct cw_call *call);
 static double token_time_ms(const struct cw_call *call, const struct gate_timing *timing);
@@ -74,9 +76,9 @@
 }
 
 /*
- * Load pattern: long answers on engines so full that the large model's pace carries them past the
- * caller's deadline: a stream runs for 17 s and is then worth nothing. The small model's would be
- * whole in a tenth of the time.
+ * Load pattern: long answers on engines so full that the large model's event gap carries a stream
+ * past the caller's deadline: it runs for 17 s and is then worthless. The small model's stream
+ * would be complete in a tenth of the time.
  */
 int call_work_fits_deadline(const struct cw_call *call, int64_t now_ms)
 {
@@ -91,7 +93,7 @@
 	       call->gate->policy->escalate_whole_part * (double)(call->deadline_ms - now_ms);
 }
 
-/* By the usual shape of the route's requests against that of all of the service's. */
+/* Compares the usual ratio of output to prompt tokens of the route with that of the service. */
 int call_work_is_output_heavy(const struct cw_call *call)
 {
 	double ratio;
@@ -111,11 +113,11 @@
 }
 
 /*
- * A request counts among the running ones of an engine from its first token on; until then it is
- * queued or its prompt is read, and a version that fails under load doesn't yet. By the requests
- * sent there, 58 in 100 of the answers counted as given under load were not, and such versions
- * passed their trial. So the engine itself must have told of so many, just before the request was
- * sent or with an answer that took no time to begin, and again with the answer.
+ * An engine runs a request from its first token on; before that the request is queued or its prompt
+ * is processed, and a version that fails under load doesn't fail yet. Counting the requests sent
+ * marked 58 in 100 answers as given under load that were not, and such versions passed their trial.
+ * So the engine's own report must show the load with the answer, and also shortly before the send
+ * unless the answer began within QUICK_ANSWER_MS.
  */
 void call_work_load_reported(struct cw_call *call, const struct cw_load *load, int64_t now_ms)
 {
@@ -128,7 +130,7 @@
 		call->server_was_loaded = 0;
 }
 
-/* Of an engine: with this request, which is over where it failed. */
+/* For an engine; counts this request as well, which a failed server no longer reports. */
 static int is_under_load(unsigned int running, unsigned int slots)
 {
 	return running + 1 >= LOADED_FRACTION * slots;
@@ -176,7 +178,7 @@
 	report_to_rollout(call, is_plain && is_slow, is_slow, now_ms);
 }
 
-/* Slow servers show in the pace of long streams long before they show in first events. */
+/* The event gap of long streams shows slow servers long before the time to the first event. */
 void call_work_completed(struct cw_call *call, int64_t now_ms)
 {
 	struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
@@ -207,14 +209,13 @@
 	call->work_ms = 0;
 }
 
-/* What reads prompts at one pace: a model; or what answers alike: a plain service. */
+/* Timing is learned per model for prompts, and per service for plain requests. */
 static const char *timing_key(const struct cw_call *call)
 {
 	return call->facts.part_count > 0 ? cw_call_model(call) : call->service_name;
 }
 
-/* Until the first answers tell: between the smallest and the largest model's, by the model's place.
- */
+/* Without samples: between the smallest and the largest model's, by the model's position. */
 static double token_time_ms(const struct cw_call *call, const struct gate_timing *timing)
 {
 	size_t models = call->route->model_count;
@@ -236,7 +237,7 @@
 	return MAX(tokens, 1);
 }
 
-/* All parts but the last, which is the request's own. */
+/* Tokens of all prompt segments but the last, which is the request's own. */
 static double prefix_tokens(const struct cw_facts *facts)
 {
 	double tokens = 0;
@@ -247,8 +248,8 @@
 }
 
 /*
- * No configuration tells how fast a model reads. Queues only add to the time, so the pace follows
- * the quickest answers.
+ * The time per prompt token of a model is in no configuration. Queues only add to the time, so the
+ * estimate follows the quickest answers.
  */
 static void learn_timing(struct cw_call *call, double took_ms)
 {
@@ -273,7 +274,7 @@
 			(sample - timing->ms_per_token);
 }
 
-/* Does its server run the version that is being rolled out? The usual paces are the other's. */
+/* The server runs the version being rolled out; timings are learned from the other version. */
 static int is_on_target_version(const struct cw_call *call)
 {
 	const char *target = cw_rollouts_target(call->gate->rollouts, call->service_name);
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -3,10 +3,10 @@
 #include <math.h>
 #include <string.h>
 
-#define ROUTES_MAX	       4096 /* remembered; 300 KB for what is kept of each */
-#define LOAD_DECAY_MS	       1000.0 /* a rejection counts 1/e after it: a queue of so long may be gone */
-#define LOAD_PRIOR_REQUESTS    5.0  /* requests that were not rejected, before any are seen */
-#define OUTPUT_RATIO_EWMA_GAIN 0.05 /* of the newest request */
+#define ROUTES_MAX	       4096   /* remembered; 300 KB for each table */
+#define LOAD_DECAY_MS	       1000.0 /* to 1/e: about as long as a queue lasts */
+#define LOAD_PRIOR_REQUESTS    5.0    /* assumed accepted, so that few requests don't decide */
+#define OUTPUT_RATIO_EWMA_GAIN 0.05
 
 static struct gate_load_stats *get_load_stats(struct cw_gate *gate, const char *service,
 					      int64_t now_ms);
@@ -57,7 +57,7 @@
 	gate->instances = instances;
 }
 
-/* Records arrive twice and late: only a newer version replaces the one in force. */
+/* Records may arrive twice or late: only a newer version replaces the current one. */
 int cw_gate_configure(struct cw_gate *gate, struct cw_config *config)
 {
 	if (gate->config && cw_config_version(config) <= cw_config_version(gate->config))
@@ -114,7 +114,7 @@
 	return repeats;
 }
 
-/* The wait counts as well: a first request says the longest. */
+/* Includes this request; a first request states a longer limit than its retries. */
 int64_t gate_update_longest_wait(struct cw_gate *gate, const char *route, int64_t wait_ms)
 {
 	int64_t *longest;
@@ -148,8 +148,8 @@
 }
 
 /*
- * One instance of many hears of each server once in half a minute, but of some server several times
- * a second: their mean is the newest word on all of them.
+ * With many instances, one of them gets a report of each server once in half a minute, but of some
+ * server several times a second. The mean of these is the newest estimate for all of them.
  */
 double gate_slot_occupancy(struct cw_gate *gate, const char *service, int64_t now_ms)
 {
@@ -199,7 +199,7 @@
 	return get_or_create(gate->timings, name, sizeof(struct gate_timing), NULL);
 }
 
-/* Of size bytes, all zero when it is new; is_new may be NULL. */
+/* Value of size bytes, zeroed when created; is_new may be NULL. */
 static void *get_or_create(GHashTable *table, const char *name, size_t size, int *is_new)
 {
 	void *value = g_hash_table_lookup(table, name);
@@ -213,7 +213,7 @@
 	return value;
 }
 
-/* Routes come and go with configurations; what is forgotten is soon told again. */
+/* Routes change with configurations; entries dropped here are soon learned again. */
 static void clear_if_full(GHashTable *table)
 {
 	if (g_hash_table_size(table) >= ROUTES_MAX)
