--- a/packages/cascade/include/cw_cascade.h
+++ b/packages/cascade/include/cw_cascade.h
@@ -19,12 +19,12 @@
 };
 
 struct cw_plan {
-	size_t first; /* index of the option to ask first */
-	size_t then;  /* index to escalate to; equal to first: no escalation */
-	int check;    /* rate the first answer before it is shown */
-	int explores; /* exploration: not the best known plan */
-	double expect_cost;
-	double expect_quality;
+	size_t first;	    /* index of the option to ask first */
+	size_t then;	    /* index to escalate to; equal to first: no escalation */
+	int check;	    /* rate the first answer before it is shown */
+	int is_exploration; /* exploration: not the best known plan */
+	double expected_cost;
+	double expected_quality;
 };
 
 struct cw_cascade_in {
--- a/packages/cascade/src/cascade.c
+++ b/packages/cascade/src/cascade.c
@@ -47,7 +47,7 @@
 						   const struct cw_cascade_in *in, size_t index);
 static double lower_bound(const struct estimate *estimate);
 static double mean(const struct estimate *estimate);
-static double expected_cost(const struct estimate *estimate, double cost_per_1k);
+static double mean_answer_cost(const struct estimate *estimate, double cost_per_1k);
 static double expected_pass_share(const struct estimate *estimate, double threshold,
 				  double *mean_passed);
 static size_t find_costliest(const struct cw_cascade_in *in);
@@ -167,7 +167,7 @@
 		return;
 	plan->first = fallback;
 	plan->then = fallback;
-	plan->expect_cost = INFINITY;
+	plan->expected_cost = INFINITY;
 	for (size_t i = 0; i < in->count; i++)
 		consider_direct_plan(cascade, in, i, plan);
 	if (!in->may_check)
@@ -194,7 +194,8 @@
 
 /*
  * A version without enough ratings has no bound and would never be chosen, so a small bounded share
- * of requests explores it. Where possible its answers are checked, and poor ones are not shown.
+ * of requests is_exploration it. Where possible its answers are checked, and poor ones are not
+ * shown.
  */
 static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
 			    struct cw_plan *plan)
@@ -226,7 +227,7 @@
 	plan->first = candidates[in->random % count];
 	plan->then = in->may_check ? top : plan->first;
 	plan->check = in->may_check;
-	plan->explores = 1;
+	plan->is_exploration = 1;
 	return 1;
 }
 
@@ -246,19 +247,19 @@
 				 size_t index, struct cw_plan *best)
 {
 	const struct estimate *estimate = find_usable_estimate(cascade, in, index);
-	double cost = expected_cost(estimate, in->options[index].cost_per_1k);
+	double cost = mean_answer_cost(estimate, in->options[index].cost_per_1k);
 	int is_fallback = index == find_costliest(in);
 
 	/* The costliest version is the fallback until one is known to meet the target. */
 	if (lower_bound(estimate) < in->target && !is_fallback)
 		return;
-	if (cost >= best->expect_cost)
+	if (cost >= best->expected_cost)
 		return;
 	best->first = index;
 	best->then = index;
 	best->check = 0;
-	best->expect_cost = cost;
-	best->expect_quality = estimate ? mean(estimate) : 0;
+	best->expected_cost = cost;
+	best->expected_quality = estimate ? mean(estimate) : 0;
 }
 
 static void consider_checked_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
@@ -274,18 +275,18 @@
 	if (!cheap || cheap->ratings < RATINGS_MIN)
 		return;
 	passed = expected_pass_share(cheap, in->target - PASS_MARGIN, &passed_mean);
-	cost = expected_cost(cheap, in->options[first].cost_per_1k) +
-	       (1 - passed) * expected_cost(costly, in->options[then].cost_per_1k);
+	cost = mean_answer_cost(cheap, in->options[first].cost_per_1k) +
+	       (1 - passed) * mean_answer_cost(costly, in->options[then].cost_per_1k);
 	quality = passed * passed_mean +
 		  (1 - passed) *
 			  (costly && costly->ratings >= RATINGS_MIN ? mean(costly) : in->target);
-	if (quality < in->target || cost >= best->expect_cost)
+	if (quality < in->target || cost >= best->expected_cost)
 		return;
 	best->first = first;
 	best->then = then;
 	best->check = 1;
-	best->expect_cost = cost;
-	best->expect_quality = quality;
+	best->expected_cost = cost;
+	best->expected_quality = quality;
 }
 
 static uint64_t estimate_key(uint64_t task, uint64_t version)
@@ -342,7 +343,7 @@
 	return estimate->ratings > 0 ? estimate->sum / estimate->ratings : 0;
 }
 
-static double expected_cost(const struct estimate *estimate, double cost_per_1k)
+static double mean_answer_cost(const struct estimate *estimate, double cost_per_1k)
 {
 	double tokens = estimate && estimate->answers > 0 ? estimate->tokens / estimate->answers
 							  : DEFAULT_TOKENS;
--- a/packages/gate/include/cw_gate.h
+++ b/packages/gate/include/cw_gate.h
@@ -80,9 +80,10 @@
 struct cw_rollouts *cw_gate_rollouts(struct cw_gate *gate);
 struct cw_quarantine *cw_gate_quarantine(struct cw_gate *gate);
 
-struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_facts *facts,
-			     int64_t came_ms, /* arrival time, from which its time limits count */
-			     int64_t now_ms, struct cw_step *step);
+struct cw_call *
+cw_call_open(struct cw_gate *gate, const struct cw_facts *facts,
+	     int64_t arrived_ms, /* arrival time, from which its time limits count */
+	     int64_t now_ms, struct cw_step *step);
 void cw_call_turn_away(struct cw_call *call, int64_t now_ms, const char *reason,
 		       struct cw_step *step); /* right after cw_call_open: not run, retry later */
 void cw_call_head(struct cw_call *call, const struct cw_answer_facts *answer, int64_t now_ms,
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -32,7 +32,7 @@
 static void record_wait(const struct cw_call *call);
 static uint64_t session_key(const struct cw_call *call);
 
-struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_facts *facts, int64_t came_ms,
+struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_facts *facts, int64_t arrived_ms,
 			     int64_t now_ms, struct cw_step *step)
 {
 	struct cw_call *call = g_new0(struct cw_call, 1);
@@ -40,10 +40,10 @@
 	memset(step, 0, sizeof(*step));
 	call->gate = gate;
 	call->facts = *facts;
-	call->opened_ms = came_ms;
+	call->opened_ms = arrived_ms;
 	call->last_event = facts->last_event;
 	call->is_resumed = facts->last_event != CW_NO_EVENT;
-	call->deadline_ms = came_ms + (facts->allowed_ms >= 0 ? facts->allowed_ms : 0);
+	call->deadline_ms = arrived_ms + (facts->allowed_ms >= 0 ? facts->allowed_ms : 0);
 	if (!gate->config) {
 		call_reject(step, 503, "no configuration is known yet");
 		step->retry_after_ms = NO_CONFIG_RETRY_MS + call_retry_after_ms(call);
--- a/tests/unit/gate_bed.h
+++ b/tests/unit/gate_bed.h
@@ -1,7 +1,6 @@
 /*
- * What the tests of a request's decisions start from: a gate with two plain servers ("orders") and
- * two engines ("llm"), routes /once/, /read/, /read/deep/, /chat/ (two models) and /report/, one
- * organisation's key.
+ * Fixture of the gate's tests: a gate with two plain servers ("orders") and two engines ("llm"),
+ * routes /once/, /read/, /read/deep/, /chat/ (two models) and /report/, and one organisation's key.
  */
 #ifndef GATE_BED_H
 #define GATE_BED_H
@@ -23,7 +22,7 @@
 void bed_close(struct bed *bed);
 void bed_add_server(struct bed *bed, const char *name, const char *service, const char *software);
 struct cw_config *bed_make_config(uint64_t version);
-void bed_ask(struct bed *bed, const char *path); /* a new request; closes the one before */
+void bed_ask(struct bed *bed, const char *path); /* opens a request; closes the previous one */
 void bed_answer(struct bed *bed, unsigned int status, int is_sealed, int is_not_run);
 void bed_assert_refused(const struct bed *bed, unsigned int status, enum cw_run run);
 
--- a/tests/unit/test_gate.c
+++ b/tests/unit/test_gate.c
@@ -1,9 +1,9 @@
-/* One request's decisions: what may be sent again, what a caller is told, what the next step is. */
+/* Request state machine: next step, retries and the answer to the caller. */
 #include "gate_bed.h"
 
 #include <string.h>
 
-static void a_route_is_found_by_its_longest_prefix(void **state)
+static void the_route_with_the_longest_prefix_matches(void **state)
 {
 	struct bed bed;
 
@@ -18,8 +18,8 @@
 	bed_close(&bed);
 }
 
-/* An instance that knows no configuration can't say that a route or a key doesn't exist. */
-static void without_a_configuration_nothing_is_denied(void **state)
+/* Without a configuration an instance can't know that a route or a key doesn't exist. */
+static void requests_without_a_configuration_get_503(void **state)
 {
 	struct cw_gate_options options = {.failure_domain = "d1", .repeat_window_ms = 1000};
 	struct bed bed;
@@ -33,7 +33,7 @@
 	bed_close(&bed);
 }
 
-static void an_older_configuration_never_replaces_a_newer_one(void **state)
+static void an_older_configuration_is_ignored(void **state)
 {
 	struct cw_config *older = bed_make_config(4);
 	struct cw_config *newer = bed_make_config(9);
@@ -50,11 +50,10 @@
 }
 
 /*
- * Symptom: a fabric order was cut twice.
- * Sequence: the server takes the order, the connection breaks, the caller is told 503 and returns.
- * Cause: a broken connection was taken for a request that had not run.
+ * Guards against an order that runs twice: the server accepts the order, the connection breaks, and
+ * the caller retries after a 503, because the request was assumed not to have run.
  */
-static void an_order_that_may_have_run_is_neither_repeated_nor_called_not_run(void **state)
+static void a_non_idempotent_request_that_may_have_run_is_not_retried(void **state)
 {
 	struct bed bed;
 
@@ -67,7 +66,7 @@
 	bed_close(&bed);
 }
 
-static void an_order_that_was_never_sent_goes_to_another_server(void **state)
+static void a_non_idempotent_request_moves_on_if_it_was_not_sent(void **state)
 {
 	const struct cw_server *first;
 	struct bed bed;
@@ -81,7 +80,7 @@
 	bed_close(&bed);
 }
 
-static void an_order_that_the_server_did_not_run_is_refused_as_not_run(void **state)
+static void a_request_the_server_did_not_run_is_rejected_as_not_run(void **state)
 {
 	struct bed bed;
 
@@ -93,8 +92,8 @@
 	bed_close(&bed);
 }
 
-/* A failed read may run again; when no attempt is left, it is not said to have not run. */
-static void a_read_is_tried_again_as_often_as_its_route_allows(void **state)
+/* A failed read may be retried; with no attempt left its outcome is reported as unknown. */
+static void an_idempotent_request_is_retried_up_to_the_limit_of_its_route(void **state)
 {
 	struct bed bed;
 
@@ -110,8 +109,8 @@
 	bed_close(&bed);
 }
 
-/* A success without the server's signature, or in another encoding, is not the server's answer. */
-static void an_answer_that_is_not_the_servers_own_is_not_shown(void **state)
+/* A success without the server's signature, or with a content encoding, is not forwarded. */
+static void an_unsigned_or_encoded_answer_is_not_forwarded(void **state)
 {
 	struct cw_answer_facts encoded = {
 		.status = 200, .is_sealed = 1, .is_encoded = 1, .confidence = -1};
@@ -127,8 +126,8 @@
 	bed_close(&bed);
 }
 
-/* Nothing that was shown may be taken back: a stream goes on where it stopped, elsewhere. */
-static void a_broken_stream_goes_on_after_its_last_event(void **state)
+/* Forwarded events can't be withdrawn: another server resumes the stream after the last one. */
+static void a_broken_stream_resumes_after_its_last_event(void **state)
 {
 	struct cw_answer_facts sure = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 90};
@@ -150,7 +149,7 @@
 	bed_close(&bed);
 }
 
-static void the_time_that_a_server_gets_is_what_is_left(void **state)
+static void the_server_is_given_the_remaining_time(void **state)
 {
 	struct bed bed;
 
@@ -170,7 +169,7 @@
 	bed_close(&bed);
 }
 
-static void a_leaving_server_gets_nothing_more(void **state)
+static void a_leaving_server_gets_no_new_requests(void **state)
 {
 	struct cw_server *server;
 	struct bed bed;
@@ -188,7 +187,7 @@
 	bed_close(&bed);
 }
 
-static void only_a_bad_version_is_barred_when_no_other_server_is_left(void **state)
+static void only_a_bad_version_is_excluded_without_other_servers(void **state)
 {
 	struct cw_rollout_order order = {"orders", "v1", 20000};
 	struct cw_rollout_status back = {"orders", "v1", CW_ROLLOUT_BACK};
@@ -205,10 +204,9 @@
 }
 
 /*
- * Symptom: running streams were cut beside a change of configuration.
- * Sequence: a server with a full queue takes no connection in time and counts as cut off; the
- * stream has used its attempts and has nowhere to go. Cause: it was left all the same, on a
- * suspicion.
+ * Guards against streams aborted during a change of configuration: a server with a full queue
+ * accepts no connection in time and counts as unreachable, and a stream without attempts left was
+ * moved away from the suspect server although no other one could take it.
  */
 static void a_stream_without_attempts_left_stays_with_its_server(void **state)
 {
@@ -231,13 +229,11 @@
 }
 
 /*
- * Symptom: an order was answered 502 though it had reached nobody, and a stream did not go back to
- * a server that was there again.
- * Sequence: the server starts again while a stream runs there; the stream is given up at the
- * earlier start and goes on, the other server is leaving.
- * Cause: the new start counted as tried, for it has the same name.
+ * Guards against an order that reached no server but is answered 502, and against a stream that
+ * doesn't return to a restarted server: the server restarts while the stream runs there, the other
+ * server is leaving, and the new incarnation counted as tried because it has the same name.
  */
-static void a_stream_may_go_on_at_the_same_server_started_again(void **state)
+static void a_stream_may_resume_on_a_restarted_server(void **state)
 {
 	struct cw_answer_facts sure = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 90};
@@ -267,8 +263,8 @@
 	bed_close(&bed);
 }
 
-/* A server that takes no connection must be left while another can still answer in time. */
-static void a_server_that_is_cut_off_is_left_with_time_to_spare(void **state)
+/* The connect timeout must leave time for an answer of another server. */
+static void the_connect_timeout_leaves_time_for_another_server(void **state)
 {
 	struct bed bed;
 
@@ -278,11 +274,11 @@
 	bed_close(&bed);
 }
 
-/* One request to an engine that told of so many running before, and tells of so many now. */
-static void be_told(struct bed *bed, unsigned int before, unsigned int now, int64_t took_ms,
-		    int64_t now_ms)
+/* Sends one request to an engine that reports its running requests before and in its answer. */
+static void run_request_with_load(struct bed *bed, unsigned int before, unsigned int now,
+				  int64_t took_ms, int64_t now_ms)
 {
-	struct cw_load told = {.running = before, .slots = 8};
+	struct cw_load reported = {.running = before, .slots = 8};
 	struct cw_answer_facts head = {.status = 200,
 				       .is_sealed = 1,
 				       .is_events = 1,
@@ -294,7 +290,7 @@
 	struct cw_server *server;
 
 	TAILQ_FOREACH(server, servers, link)
-		cw_pool_reported(server, &told, now_ms - 1);
+		cw_pool_reported(server, &reported, now_ms - 1);
 	cw_call_close(bed->call, now_ms);
 	bed->facts.path = "/chat/x";
 	bed->facts.part_count = 2;
@@ -304,12 +300,12 @@
 }
 
 /*
- * Symptom: versions that fail only under load were completed, 16 of 120 of them.
- * Sequence: forty requests are sent to an engine of 64 slots within 0.3 s; most wait or have their
- * prompts read while their answers are counted as given under load, and none of them fails.
- * Cause: requests sent counted as running. An engine runs a request from its first token on.
+ * Guards against completed roll-outs of versions that fail only under load, 16 of 120: forty
+ * requests are sent to an engine of 64 slots within 0.3 s, most are queued or have their prompts
+ * processed, and none fails, while requests sent counted as running. An engine runs a request from
+ * its first token on.
  */
-static void an_answer_is_given_under_load_if_the_engine_told_so(void **state)
+static void an_answer_counts_as_loaded_only_by_the_engines_report(void **state)
 {
 	static const struct {
 		unsigned int before, now;
@@ -325,7 +321,8 @@
 
 		bed_open(&bed);
 		cw_rollouts_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW);
-		be_told(&bed, cases[i].before, cases[i].now, cases[i].took_ms, now_ms);
+		run_request_with_load(&bed, cases[i].before, cases[i].now, cases[i].took_ms,
+				      now_ms);
 		cw_rollouts_tell(cw_gate_rollouts(bed.gate), now_ms + cases[i].took_ms, &news, 1);
 		assert_int_equal(news.kind_count, 1);
 		assert_int_equal(news.kinds[0].is_loaded, cases[i].is_loaded);
@@ -334,11 +331,11 @@
 }
 
 /*
- * Symptom: sessions of the old version ran on the new one in the first seconds of its roll-out.
- * Sequence: the new version's servers are listed; the order to bring it in becomes known 3 s later.
- * Cause: without an order, any server of the service was as good as the others.
+ * Guards against sessions of the old version on the new one in the first seconds of a roll-out: the
+ * new version's servers are listed 3 s before the roll-out order is known, and without an order any
+ * server of the service was eligible.
  */
-static void a_version_without_a_known_order_gets_nothing_yet(void **state)
+static void a_new_version_waits_for_its_rollout_order(void **state)
 {
 	struct cw_rollout_order order = {"llm", "v2", 20000};
 	struct cw_rollout_request old = {.service = "llm"};
@@ -358,7 +355,7 @@
 					&bed.step);
 		assert_string_equal(bed.step.server->software, "v1");
 	}
-	/* With its order known the roll-out says who goes there. */
+	/* Once the order is known the roll-out assigns sessions to the new version. */
 	cw_rollouts_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW + 5200);
 	for (int i = 0; !used && i < 1000; i++) {
 		old.session = (uint64_t)i << 50;
@@ -367,7 +364,7 @@
 	}
 	assert_true(used);
 	bed_close(&bed);
-	/* Servers of a version that nobody orders are used after a while. */
+	/* Servers of a version without a roll-out order are used after a while. */
 	bed_open(&bed);
 	bed.facts.path = "/chat/x";
 	cw_pool_list(cw_gate_pool(bed.gate), &entry, BED_NOW + 5000);
@@ -384,23 +381,23 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_route_is_found_by_its_longest_prefix),
-		cmocka_unit_test(without_a_configuration_nothing_is_denied),
-		cmocka_unit_test(an_older_configuration_never_replaces_a_newer_one),
-		cmocka_unit_test(an_order_that_may_have_run_is_neither_repeated_nor_called_not_run),
-		cmocka_unit_test(an_order_that_was_never_sent_goes_to_another_server),
-		cmocka_unit_test(an_order_that_the_server_did_not_run_is_refused_as_not_run),
-		cmocka_unit_test(a_read_is_tried_again_as_often_as_its_route_allows),
-		cmocka_unit_test(an_answer_that_is_not_the_servers_own_is_not_shown),
-		cmocka_unit_test(a_broken_stream_goes_on_after_its_last_event),
-		cmocka_unit_test(the_time_that_a_server_gets_is_what_is_left),
-		cmocka_unit_test(a_leaving_server_gets_nothing_more),
-		cmocka_unit_test(only_a_bad_version_is_barred_when_no_other_server_is_left),
+		cmocka_unit_test(the_route_with_the_longest_prefix_matches),
+		cmocka_unit_test(requests_without_a_configuration_get_503),
+		cmocka_unit_test(an_older_configuration_is_ignored),
+		cmocka_unit_test(a_non_idempotent_request_that_may_have_run_is_not_retried),
+		cmocka_unit_test(a_non_idempotent_request_moves_on_if_it_was_not_sent),
+		cmocka_unit_test(a_request_the_server_did_not_run_is_rejected_as_not_run),
+		cmocka_unit_test(an_idempotent_request_is_retried_up_to_the_limit_of_its_route),
+		cmocka_unit_test(an_unsigned_or_encoded_answer_is_not_forwarded),
+		cmocka_unit_test(a_broken_stream_resumes_after_its_last_event),
+		cmocka_unit_test(the_server_is_given_the_remaining_time),
+		cmocka_unit_test(a_leaving_server_gets_no_new_requests),
+		cmocka_unit_test(only_a_bad_version_is_excluded_without_other_servers),
 		cmocka_unit_test(a_stream_without_attempts_left_stays_with_its_server),
-		cmocka_unit_test(a_server_that_is_cut_off_is_left_with_time_to_spare),
-		cmocka_unit_test(a_stream_may_go_on_at_the_same_server_started_again),
-		cmocka_unit_test(an_answer_is_given_under_load_if_the_engine_told_so),
-		cmocka_unit_test(a_version_without_a_known_order_gets_nothing_yet),
+		cmocka_unit_test(the_connect_timeout_leaves_time_for_another_server),
+		cmocka_unit_test(a_stream_may_resume_on_a_restarted_server),
+		cmocka_unit_test(an_answer_counts_as_loaded_only_by_the_engines_report),
+		cmocka_unit_test(a_new_version_waits_for_its_rollout_order),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_gate_drain.c
+++ b/tests/unit/test_gate_drain.c
@@ -1,15 +1,15 @@
-/* Where a request may go: not into a drained failure domain, nor out of its home regions. */
+/* Placement limits: no request enters a drained failure domain or leaves its home regions. */
 #include "gate_bed.h"
 
 #include <string.h>
 
-static const struct cw_answer_facts sure = {
+static const struct cw_answer_facts high_confidence = {
 	.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 90};
-static const struct cw_answer_facts unsure = {
+static const struct cw_answer_facts low_confidence = {
 	.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 3};
 
-static void list_in(struct bed *bed, const char *name, const char *service, const char *domain,
-		    int64_t cold_ms)
+static void list_server(struct bed *bed, const char *name, const char *service, const char *domain,
+			int64_t cold_ms)
 {
 	struct cw_server_entry entry = {.slots = 8, .cold_ms = cold_ms};
 
@@ -30,16 +30,15 @@
 	cw_pool_drain(cw_gate_pool(bed->gate), &order, BED_NOW);
 }
 
-/* Each attempt of a request must stay out: the first, a retry, a resumed stream, a larger model's.
- */
-static void no_attempt_of_any_kind_goes_into_a_drained_domain(void **state)
+/* Covers the sent attempt, a retry, a resumed stream and an escalation. */
+static void no_attempt_enters_a_drained_failure_domain(void **state)
 {
 	struct bed bed;
 
 	bed_open(&bed);
-	list_in(&bed, "e3", "llm", "d2", 0);
-	list_in(&bed, "e4", "llm", "d2", 0);
-	list_in(&bed, "s3", "orders", "d2", 0);
+	list_server(&bed, "e3", "llm", "d2", 0);
+	list_server(&bed, "e4", "llm", "d2", 0);
+	list_server(&bed, "s3", "orders", "d2", 0);
 	drain(&bed, "d1", 5, 1);
 	for (int i = 0; i < 4; i++) {
 		bed_ask(&bed, "/read/x");
@@ -49,10 +48,10 @@
 		assert_string_equal(bed.step.server->failure_domain, "d2");
 		bed_ask(&bed, "/chat/x");
 		assert_string_equal(bed.step.server->failure_domain, "d2");
-		cw_call_head(bed.call, &unsure, BED_NOW + 10, &bed.step);
+		cw_call_head(bed.call, &low_confidence, BED_NOW + 10, &bed.step);
 		assert_int_equal(bed.step.kind, CW_STEP_SEND);
 		assert_string_equal(bed.step.server->failure_domain, "d2");
-		cw_call_head(bed.call, &sure, BED_NOW + 20, &bed.step);
+		cw_call_head(bed.call, &high_confidence, BED_NOW + 20, &bed.step);
 		cw_call_event(bed.call, 1, BED_NOW + 21);
 		cw_call_broken(bed.call, CW_BREAK_BROKEN, BED_NOW + 25, &bed.step);
 		assert_int_equal(bed.step.kind, CW_STEP_SEND);
@@ -62,7 +61,7 @@
 	bed_close(&bed);
 }
 
-static void with_all_domains_drained_a_request_is_refused_at_once(void **state)
+static void requests_are_rejected_with_all_failure_domains_drained(void **state)
 {
 	struct bed bed;
 
@@ -77,24 +76,24 @@
 	bed_close(&bed);
 }
 
-/* What runs there as the order comes is finished; a server that is listed later is out as well. */
-static void what_runs_in_a_drained_domain_is_finished(void **state)
+/* Running requests finish after the drain order; servers listed later are excluded as well. */
+static void running_requests_in_a_drained_failure_domain_finish(void **state)
 {
 	struct bed bed;
 
 	bed_open(&bed);
 	bed_ask(&bed, "/chat/x");
 	drain(&bed, "d1", 5, 1);
-	cw_call_head(bed.call, &sure, BED_NOW + 10, &bed.step);
+	cw_call_head(bed.call, &high_confidence, BED_NOW + 10, &bed.step);
 	assert_int_equal(bed.step.kind, CW_STEP_SHOW);
 	cw_call_done(bed.call, BED_NOW + 20);
-	list_in(&bed, "s9", "orders", "d1", 0);
+	list_server(&bed, "s9", "orders", "d1", 0);
 	bed_ask(&bed, "/once/x");
 	bed_assert_refused(&bed, 503, CW_RUN_NOT);
 	bed_close(&bed);
 }
 
-static void set_rate(struct bed *bed, uint64_t version, double per_s)
+static void set_warmup_rate(struct bed *bed, uint64_t version, double per_s)
 {
 	struct cw_config *config = bed_make_config(version);
 
@@ -103,21 +102,21 @@
 	cw_config_unref(config);
 }
 
-/* Servers that return from a drain start cold: the rush to whoever looks empty ends them. */
-static void servers_whose_drain_was_taken_back_are_cold_until_they_say_otherwise(void **state)
+/* Servers restored from a drain are cold: a rush to the idle servers would crash them. */
+static void restored_servers_are_cold_until_they_report_otherwise(void **state)
 {
 	int sent = 0;
 	struct bed bed;
 
 	bed_open(&bed);
-	set_rate(&bed, 6, 4);
+	set_warmup_rate(&bed, 6, 4);
 	drain(&bed, "d1", 5, 1);
 	drain(&bed, "d1", 6, 0);
 	for (int i = 0; i < 40; i++) {
 		bed_ask(&bed, "/read/x");
 		sent += bed.step.kind == CW_STEP_SEND;
 	}
-	/* Two servers that bear four a second each. */
+	/* Two servers with a warm-up rate of four requests a second each. */
 	assert_in_range(sent, 2, 8);
 	bed_assert_refused(&bed, 503, CW_RUN_NOT);
 	assert_string_equal(bed.step.reason, "the backend servers are warming up");
@@ -125,25 +124,25 @@
 	bed_close(&bed);
 }
 
-/* A server's own word counts from then on, also in an answer. */
-static void an_answer_may_say_that_its_server_is_cold(void **state)
+/* A warm-up time reported with an answer limits the requests from then on. */
+static void an_answer_may_report_that_its_server_is_cold(void **state)
 {
 	struct cw_answer_facts cold = {
 		.status = 200, .is_sealed = 1, .has_cold = 1, .cold_ms = 3000};
-	int first = 0;
+	int sent = 0;
 	struct bed bed;
 
 	bed_open(&bed);
-	set_rate(&bed, 6, 4);
+	set_warmup_rate(&bed, 6, 4);
 	cw_pool_find_name(cw_gate_pool(bed.gate), "s2")->leaving = 1;
 	bed_ask(&bed, "/read/x");
 	cw_call_head(bed.call, &cold, BED_NOW, &bed.step);
 	cw_call_done(bed.call, BED_NOW);
 	for (int i = 0; i < 40; i++) {
 		bed_ask(&bed, "/read/x");
-		first += bed.step.kind == CW_STEP_SEND;
+		sent += bed.step.kind == CW_STEP_SEND;
 	}
-	assert_in_range(first, 0, 4);
+	assert_in_range(sent, 0, 4);
 	bed_close(&bed);
 }
 
@@ -163,14 +162,14 @@
 	cw_config_unref(config);
 }
 
-/* A request whose home can't be reached must be refused, and not run elsewhere. */
+/* A request without a server in its home regions is rejected and runs nowhere else. */
 static void a_request_runs_in_its_home_regions_only(void **state)
 {
 	struct bed bed;
 
 	bed_open(&bed);
 	cw_pool_set_region(cw_gate_pool(bed.gate), "d2", "south");
-	list_in(&bed, "s3", "orders", "d2", 0);
+	list_server(&bed, "s3", "orders", "d2", 0);
 	set_homes(&bed, 6, "south", NULL);
 	for (int i = 0; i < 20; i++) {
 		bed_ask(&bed, "/once/x");
@@ -192,12 +191,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(no_attempt_of_any_kind_goes_into_a_drained_domain),
-		cmocka_unit_test(with_all_domains_drained_a_request_is_refused_at_once),
-		cmocka_unit_test(what_runs_in_a_drained_domain_is_finished),
-		cmocka_unit_test(
-			servers_whose_drain_was_taken_back_are_cold_until_they_say_otherwise),
-		cmocka_unit_test(an_answer_may_say_that_its_server_is_cold),
+		cmocka_unit_test(no_attempt_enters_a_drained_failure_domain),
+		cmocka_unit_test(requests_are_rejected_with_all_failure_domains_drained),
+		cmocka_unit_test(running_requests_in_a_drained_failure_domain_finish),
+		cmocka_unit_test(restored_servers_are_cold_until_they_report_otherwise),
+		cmocka_unit_test(an_answer_may_report_that_its_server_is_cold),
 		cmocka_unit_test(a_request_runs_in_its_home_regions_only),
 	};
 
--- a/tests/unit/test_gate_quarantine.c
+++ b/tests/unit/test_gate_quarantine.c
@@ -1,12 +1,12 @@
-/* What the gate does about requests that end the servers that run them. */
+/* Quarantine in the gate: requests that crash the servers that run them. */
 #include "gate_bed.h"
 
 #include <string.h>
 
 #define BODY 77
 
-/* Sends the request until it is answered finally; every server ends under it. */
-static unsigned int ask_deadly(struct bed *bed, const char *path)
+/* Sends a poison request until its final answer; every server crashes while running it. */
+static unsigned int send_poison_request(struct bed *bed, const char *path)
 {
 	unsigned int sends = 0;
 
@@ -25,8 +25,8 @@
 	return sends;
 }
 
-/* Its answer is awaited as a peer tells that it is held. */
-static void ask_and_hear_held(struct bed *bed)
+/* A peer announces the quarantine of the request while its answer is awaited. */
+static void quarantine_in_flight(struct bed *bed)
 {
 	struct cw_quarantine_record record = {.ends = 3};
 
@@ -38,16 +38,16 @@
 }
 
 /*
- * Symptom: the caller of such a request got 502 each time and asked again, at once. Sequence: its
- * third server had ended, the fourth instance sent it on. Cause: nothing was remembered. Now it is
- * told that the request was not run, and no time to come back at.
+ * Guards against poison requests that are run again and again: the caller got 502 and retried at
+ * once, and after three server crashes a fourth instance still sent the request on. A quarantined
+ * request is rejected as not run, without Retry-After.
  */
-static void a_held_request_is_refused_unsent_without_a_time_to_return(void **state)
+static void a_quarantined_request_is_rejected_unsent_without_retry_after(void **state)
 {
 	struct bed bed;
 
 	bed_open(&bed);
-	assert_int_equal(ask_deadly(&bed, "/chat/x"), 3);
+	assert_int_equal(send_poison_request(&bed, "/chat/x"), 3);
 	bed_assert_refused(&bed, 502, CW_RUN_UNKNOWN);
 	bed_ask(&bed, "/chat/x");
 	bed_assert_refused(&bed, 503, CW_RUN_NOT);
@@ -59,17 +59,17 @@
 	bed_close(&bed);
 }
 
-/* Another instance's news comes while the answer is awaited: no further server is risked. */
-static void a_request_that_is_held_meanwhile_is_not_sent_again(void **state)
+/* Another instance's announcement arrives while the answer is awaited: no further send. */
+static void a_request_quarantined_in_flight_is_not_retried(void **state)
 {
-	struct cw_answer_facts unsure = {
+	struct cw_answer_facts low_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 0};
 	struct bed bed;
 
 	bed_open(&bed);
-	ask_and_hear_held(&bed);
+	quarantine_in_flight(&bed);
 	assert_true(cw_call_is_held(bed.call));
-	cw_call_head(bed.call, &unsure, BED_NOW + 20, &bed.step);
+	cw_call_head(bed.call, &low_confidence, BED_NOW + 20, &bed.step);
 	assert_int_equal(bed.step.kind, CW_STEP_SHOW);
 	assert_string_equal(bed.step.reason, "quarantined");
 	cw_call_broken(bed.call, CW_BREAK_BROKEN, BED_NOW + 30, &bed.step);
@@ -77,21 +77,21 @@
 	bed_close(&bed);
 }
 
-/* A copy in a server's queue is taken out before it can begin. */
-static void a_request_under_way_is_ended_as_it_is_held(void **state)
+/* A copy in a server's queue is cancelled before it can start. */
+static void a_request_in_flight_is_aborted_when_quarantined(void **state)
 {
 	struct bed bed;
 
 	bed_open(&bed);
-	ask_and_hear_held(&bed);
+	quarantine_in_flight(&bed);
 	cw_call_stop(bed.call, BED_NOW + 10, &bed.step);
 	bed_assert_refused(&bed, 502, CW_RUN_UNKNOWN);
 	assert_null(cw_call_server(bed.call));
 	bed_close(&bed);
 }
 
-/* Servers that leave break their last connections: a planned stop is no end. */
-static void servers_that_leave_say_nothing_against_what_they_ran(void **state)
+/* Leaving servers break their last connections: a planned stop is no crash. */
+static void a_leaving_server_is_no_evidence_against_its_requests(void **state)
 {
 	struct bed bed;
 
@@ -112,8 +112,8 @@
 	bed_close(&bed);
 }
 
-/* Rejected, not reached, silent, garbled: none of it is the end of a server. */
-static void only_a_connection_that_broke_counts(void **state)
+/* Rejection, failed connection, timeout and malformed answer are no server crash. */
+static void only_a_broken_connection_counts_as_a_crash(void **state)
 {
 	static const enum cw_break others[] = {CW_BREAK_UNSENT, CW_BREAK_REFUSED, CW_BREAK_GARBLED,
 					       CW_BREAK_SILENT};
@@ -133,23 +133,23 @@
 	}
 }
 
-/* The answer was dropped for a larger model's, and its server ends: it had begun there. */
-static void an_answer_that_was_dropped_counts_where_it_had_begun(void **state)
+/* The answer is dropped for an escalation and its server crashes: the request had run there. */
+static void a_dropped_answer_counts_on_the_server_that_began_it(void **state)
 {
-	struct cw_answer_facts unsure = {
+	struct cw_answer_facts low_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 0};
 	struct cw_quarantine_end ends[CW_QUARANTINE_ENDS];
-	struct cw_quarantine_end heard = {.fingerprint = 1, .answered_ms = CW_QUARANTINE_NEVER};
+	struct cw_quarantine_end received = {.fingerprint = 1, .answered_ms = CW_QUARANTINE_NEVER};
 	struct bed bed;
 	size_t count;
 
 	bed_open(&bed);
 	bed.facts.body = BODY;
 	bed_ask(&bed, "/chat/x");
-	heard.server = bed.step.server->id;
-	cw_call_head(bed.call, &unsure, BED_NOW + 20, &bed.step);
+	received.server = bed.step.server->id;
+	cw_call_head(bed.call, &low_confidence, BED_NOW + 20, &bed.step);
 	assert_int_equal(bed.step.kind, CW_STEP_SEND);
-	cw_quarantine_hear_end(cw_gate_quarantine(bed.gate), &heard, BED_NOW + 70);
+	cw_quarantine_hear_end(cw_gate_quarantine(bed.gate), &received, BED_NOW + 70);
 	count = cw_quarantine_tell_ends(cw_gate_quarantine(bed.gate), BED_NOW + 70, ends,
 					CW_QUARANTINE_ENDS);
 	assert_int_equal(count, 2);
@@ -157,8 +157,8 @@
 	bed_close(&bed);
 }
 
-/* Another body was at all of its three ends: which of the two ended the servers isn't known. */
-static void hold_in_doubt(struct bed *bed)
+/* Another request took part in all three crashes, so either may be the poison request. */
+static void quarantine_suspect(struct bed *bed)
 {
 	struct cw_quarantine *quarantine = cw_gate_quarantine(bed->gate);
 	struct cw_quarantine_request request = {.organisation = "museo", .target = "chat"};
@@ -167,11 +167,11 @@
 	bed_ask(bed, "/read/x");
 	request.fingerprint = cw_call_fingerprint(bed->call);
 	for (uint64_t server = 901; server <= 903; server++) {
-		struct cw_quarantine_request twin = request;
+		struct cw_quarantine_request alternative = request;
 
-		twin.fingerprint++;
+		alternative.fingerprint++;
 		cw_quarantine_broke(quarantine, &request, server, 5, 0, BED_NOW);
-		cw_quarantine_broke(quarantine, &twin, server, 900, 0, BED_NOW);
+		cw_quarantine_broke(quarantine, &alternative, server, 900, 0, BED_NOW);
 		cw_quarantine_gone(quarantine, server, BED_NOW);
 	}
 	for (int64_t now_ms = BED_NOW; now_ms < BED_NOW + 7000; now_ms += 100)
@@ -179,19 +179,19 @@
 	assert_true(cw_call_is_held(bed->call));
 }
 
-static void place_second(void *context, uint64_t key, struct cw_warmup_place *place)
+static void set_second_place(void *context, uint64_t key, struct cw_warmup_place *place)
 {
 	place->instances = 2;
 	place->rank = 1;
 }
 
-/* A held request in doubt must cost one server at most before it is known to be guilty. */
-static void a_held_request_in_doubt_is_tried_once_and_on_one_server(void **state)
+/* The trial of a suspect request must cost one server at most. */
+static void a_suspect_request_is_tried_once_on_one_server(void **state)
 {
 	struct bed bed;
 
 	bed_open(&bed);
-	hold_in_doubt(&bed);
+	quarantine_suspect(&bed);
 	bed_ask(&bed, "/read/x");
 	assert_int_equal(bed.step.kind, CW_STEP_SEND);
 	assert_false(cw_call_is_held(bed.call));
@@ -202,14 +202,14 @@
 	bed_close(&bed);
 }
 
-/* Each instance that tried it would cost a server. */
-static void an_instance_that_is_not_the_first_tries_nothing(void **state)
+/* Only the first instance runs the trial, since each trial may crash a server. */
+static void only_the_first_instance_runs_a_trial(void **state)
 {
 	struct bed bed;
 
 	bed_open(&bed);
-	hold_in_doubt(&bed);
-	cw_pool_set_places(cw_gate_pool(bed.gate), place_second, NULL);
+	quarantine_suspect(&bed);
+	cw_pool_set_places(cw_gate_pool(bed.gate), set_second_place, NULL);
 	bed_ask(&bed, "/read/x");
 	bed_assert_refused(&bed, 503, CW_RUN_NOT);
 	bed_close(&bed);
@@ -218,14 +218,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_held_request_is_refused_unsent_without_a_time_to_return),
-		cmocka_unit_test(a_request_that_is_held_meanwhile_is_not_sent_again),
-		cmocka_unit_test(a_request_under_way_is_ended_as_it_is_held),
-		cmocka_unit_test(servers_that_leave_say_nothing_against_what_they_ran),
-		cmocka_unit_test(only_a_connection_that_broke_counts),
-		cmocka_unit_test(an_answer_that_was_dropped_counts_where_it_had_begun),
-		cmocka_unit_test(a_held_request_in_doubt_is_tried_once_and_on_one_server),
-		cmocka_unit_test(an_instance_that_is_not_the_first_tries_nothing),
+		cmocka_unit_test(a_quarantined_request_is_rejected_unsent_without_retry_after),
+		cmocka_unit_test(a_request_quarantined_in_flight_is_not_retried),
+		cmocka_unit_test(a_request_in_flight_is_aborted_when_quarantined),
+		cmocka_unit_test(a_leaving_server_is_no_evidence_against_its_requests),
+		cmocka_unit_test(only_a_broken_connection_counts_as_a_crash),
+		cmocka_unit_test(a_dropped_answer_counts_on_the_server_that_began_it),
+		cmocka_unit_test(a_suspect_request_is_tried_once_on_one_server),
+		cmocka_unit_test(only_the_first_instance_runs_a_trial),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_overload.c
+++ b/tests/unit/test_overload.c
@@ -1,15 +1,13 @@
-/* More requests than the servers can run: who is refused, what is sent again, which model answers.
- */
+/* Overload: rejection, retries and the choice of the model when servers are full. */
 #include "gate_bed.h"
 
 #include <string.h>
 
 /*
- * Symptom: a service that failed was met by three times its load and did not recover.
- * Sequence: every answer fails, every request is sent as often as its route allows.
- * Cause: no budget over all requests.
+ * Guards against a retry storm: every answer of a failing service is retried as often as its route
+ * allows, which triples the load, and the service doesn't recover.
  */
-static void repeats_stop_when_their_budget_is_spent(void **state)
+static void retries_stop_when_the_budget_is_spent(void **state)
 {
 	int sends = 0;
 	struct bed bed;
@@ -27,30 +25,30 @@
 	bed_close(&bed);
 }
 
-static void a_small_model_that_doubts_is_replaced_by_the_largest(void **state)
+static void a_low_confidence_answer_is_escalated_to_the_largest_model(void **state)
 {
-	struct cw_answer_facts unsure = {
+	struct cw_answer_facts low_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 30};
-	struct cw_answer_facts sure = {
+	struct cw_answer_facts high_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 90};
 	struct bed bed;
 
 	bed_open(&bed);
 	bed_ask(&bed, "/chat/x");
 	assert_string_equal(bed.step.dispatch.model, "small");
-	cw_call_head(bed.call, &sure, BED_NOW + 20, &bed.step);
+	cw_call_head(bed.call, &high_confidence, BED_NOW + 20, &bed.step);
 	assert_int_equal(bed.step.kind, CW_STEP_SHOW);
 	bed_ask(&bed, "/chat/x");
-	cw_call_head(bed.call, &unsure, BED_NOW + 20, &bed.step);
+	cw_call_head(bed.call, &low_confidence, BED_NOW + 20, &bed.step);
 	assert_int_equal(bed.step.kind, CW_STEP_SEND);
 	assert_string_equal(bed.step.dispatch.model, "large");
-	cw_call_head(bed.call, &unsure, BED_NOW + 40, &bed.step);
+	cw_call_head(bed.call, &low_confidence, BED_NOW + 40, &bed.step);
 	assert_int_equal(bed.step.kind, CW_STEP_SHOW);
 	bed_close(&bed);
 }
 
-/* What follows from a small model's confidence, with so much waiting at every engine. */
-static enum cw_step_kind answered_with(double backlog_ms, int confidence)
+/* Step after a small model's answer of that confidence, with a backlog at every engine. */
+static enum cw_step_kind step_with_backlog(double backlog_ms, int confidence)
 {
 	struct cw_answer_facts answer = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = confidence};
@@ -71,33 +69,34 @@
 }
 
 /*
- * Symptom: at five times the usual load every second answer of a long prompt was late, 9 in 100
- * requests were refused by full engines.
- * Sequence: the large model's prompts queue for seconds; each answer with little confidence adds
- * one. Cause: a confidence below 25 was replaced however long the queue was.
+ * Guards against escalations into a long queue: at five times the usual load the large model's
+ * prompts queue for seconds, and each low-confidence answer adds one. With a fixed threshold of 25
+ * every second answer of a long prompt was late, and full engines rejected 9 in 100 requests.
  */
-static void the_trust_asked_for_falls_to_none_as_the_queue_grows(void **state)
+static void the_confidence_threshold_falls_to_zero_as_the_queue_grows(void **state)
 {
 	static const struct {
-		double backlog_ms; /* of an objective of 300 ms; the large model needs 25 more */
-		int least;	   /* confidence that is shown */
+		double backlog_ms; /* objective 300 ms, of which the large model needs 25 */
+		int least;	   /* lowest confidence that is forwarded */
 	} steps[] = {{0, 60}, {60, 44}, {115, 24}, {170, 11}, {230, 0}, {5000, 0}};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(steps); i++) {
 		if (steps[i].least > 0)
-			assert_int_equal(answered_with(steps[i].backlog_ms, steps[i].least - 4),
+			assert_int_equal(step_with_backlog(steps[i].backlog_ms, steps[i].least - 4),
 					 CW_STEP_SEND);
-		assert_int_equal(answered_with(steps[i].backlog_ms, MIN(steps[i].least + 4, 100)),
-				 CW_STEP_SHOW);
+		assert_int_equal(
+			step_with_backlog(steps[i].backlog_ms, MIN(steps[i].least + 4, 100)),
+			CW_STEP_SHOW);
 	}
-	assert_int_equal(answered_with(5000, 0), CW_STEP_SHOW);
+	assert_int_equal(step_with_backlog(5000, 0), CW_STEP_SHOW);
 }
 
 /*
- * The longest tenth of the reports were answered by the small model at idle engines: their own
- * reading took half of the objective, and passed for a queue.
+ * Guards against long prompts that get the small model on idle engines: the processing of the
+ * prompt itself takes half of the objective and was counted as a queue. It concerned the longest
+ * tenth of the report requests.
  */
-static void a_long_prompt_that_waits_for_nobody_gets_the_large_model(void **state)
+static void a_long_prompt_without_a_queue_gets_the_large_model(void **state)
 {
 	struct cw_answer_facts answer = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 35};
@@ -112,9 +111,9 @@
 	bed_close(&bed);
 }
 
-/* The small model's answer of that confidence, from an engine that tells of so many requests. */
-static enum cw_step_kind answered_by_engine(unsigned int running, unsigned int queued,
-					    int confidence)
+/* Step after the small model's answer, from an engine that reports the given load. */
+static enum cw_step_kind step_with_engine_load(unsigned int running, unsigned int queued,
+					       int confidence)
 {
 	struct cw_answer_facts answer = {.status = 200,
 					 .is_sealed = 1,
@@ -134,22 +133,22 @@
 }
 
 /*
- * Symptom: in a burst of seven times the usual 73 in 100 arrivals were rejected for 8 s.
- * Sequence: as the burst begins, slots are free and prompts are read at once; answers go on being
- * dropped for the large model's, which hold their slots for seconds; none is left.
- * Cause: only the time to the first event was predicted, not the slots.
+ * Guards against escalations that use up the slots at the start of a burst: prompts are still
+ * processed at once, the large model's streams hold their slots for seconds, and 73 in 100 arrivals
+ * were rejected for 8 s at seven times the usual load. Predicting only the time to the first event
+ * doesn't show that slots run out.
  */
-static void less_confidence_is_asked_for_as_slots_are_taken(void **state)
+static void the_confidence_threshold_falls_as_slots_are_taken(void **state)
 {
-	assert_int_equal(answered_by_engine(4, 0, 55), CW_STEP_SEND);
-	assert_int_equal(answered_by_engine(8, 0, 55), CW_STEP_SEND);
-	assert_int_equal(answered_by_engine(11, 0, 55), CW_STEP_SHOW);
-	assert_int_equal(answered_by_engine(11, 0, 20), CW_STEP_SEND);
-	assert_int_equal(answered_by_engine(15, 0, 20), CW_STEP_SHOW);
-	assert_int_equal(answered_by_engine(16, 30, 0), CW_STEP_SHOW);
+	assert_int_equal(step_with_engine_load(4, 0, 55), CW_STEP_SEND);
+	assert_int_equal(step_with_engine_load(8, 0, 55), CW_STEP_SEND);
+	assert_int_equal(step_with_engine_load(11, 0, 55), CW_STEP_SHOW);
+	assert_int_equal(step_with_engine_load(11, 0, 20), CW_STEP_SEND);
+	assert_int_equal(step_with_engine_load(15, 0, 20), CW_STEP_SHOW);
+	assert_int_equal(step_with_engine_load(16, 30, 0), CW_STEP_SHOW);
 }
 
-/* So many requests go out and are rejected by their first server, as in a burst. */
+/* Sends count requests that their first server rejects, as in a burst. */
 static void reject(struct bed *bed, int count)
 {
 	for (int i = 0; i < count; i++) {
@@ -160,12 +159,12 @@
 }
 
 /*
- * Symptom: in a burst of five times the usual load the least urgent half of the callers got neither
- * an answer nor a true refusal; each rejected request was sent to two more full servers. Sequence:
- * servers reject half of what they get, the rest waits behind more urgent requests. Cause: what the
- * servers had no room for was sent again and again.
+ * Guards against retries to full servers: at five times the usual load servers reject half of the
+ * requests and the rest queue behind more urgent ones. Each rejected request went to two more full
+ * servers, and the least urgent half of the callers got neither an answer nor a rejection as not
+ * run.
  */
-static void the_least_urgent_are_refused_at_once_while_servers_reject(void **state)
+static void the_least_urgent_are_rejected_at_once_while_servers_reject(void **state)
 {
 	int refused[3] = {0};
 	struct bed bed;
@@ -194,8 +193,8 @@
 	assert_true(refused[2] > refused[1]);
 }
 
-/* What a refused caller of a stream is told to wait, after so many of 40 requests were rejected. */
-static int64_t told_to_wait(int rejected, int64_t limit_ms)
+/* Retry-After of a rejected stream request, after servers rejected that many of 40 requests. */
+static int64_t rejected_retry_after_ms(int rejected, int64_t limit_ms)
 {
 	int64_t wait_ms;
 	struct bed bed;
@@ -219,23 +218,23 @@
 }
 
 /*
- * Symptom: in a burst of 8 s, 3,000 callers a second were refused twice and got nothing.
- * Sequence: a caller is told to come back after a second, with the only retry that it has, and
- * meets the same full servers. Cause: the wait was the same whatever was rejected.
+ * Guards against retries within the same burst: with a fixed Retry-After of about a second a caller
+ * spent its only retry on the same full servers, and in a burst of 8 s 3,000 callers a second were
+ * rejected twice.
  */
-static void the_more_is_rejected_the_later_callers_return(void **state)
+static void retry_after_grows_with_the_share_of_rejected_requests(void **state)
 {
-	/* All servers are full: most of the third of its time that a caller waits at most. */
-	assert_in_range(told_to_wait(40, 24000), 3500, 8000);
-	assert_in_range(told_to_wait(40, 4800), 600, 1600);
-	/* Never longer than it waits, or it would not come at all. */
-	assert_in_range(told_to_wait(40, 900), 1, 300);
+	/* All servers are full: close to the longest wait, a third of the caller's time. */
+	assert_in_range(rejected_retry_after_ms(40, 24000), 3500, 8000);
+	assert_in_range(rejected_retry_after_ms(40, 4800), 600, 1600);
+	/* Never longer than a third of the caller's time, or it could not retry at all. */
+	assert_in_range(rejected_retry_after_ms(40, 900), 1, 300);
 	/* One server of several was full: another instance may know a free one at once. */
-	assert_in_range(told_to_wait(0, 24000), 150, 400);
+	assert_in_range(rejected_retry_after_ms(0, 24000), 150, 400);
 }
 
-/* An organisation's priority goes before its route's. */
-static void an_urgent_organisation_is_not_shed(void **state)
+/* An organisation's priority takes precedence over the route's. */
+static void requests_of_an_urgent_organisation_are_not_rejected(void **state)
 {
 	struct cw_organisation *organisation;
 	struct bed bed;
@@ -254,31 +253,31 @@
 }
 
 /*
- * Symptom: callers got 502 in place of the small model's answer that was there.
- * Sequence: a doubtful answer is dropped for the largest model's, and no engine has room for that.
- * Cause: the attempt that was left went to the largest model as well.
+ * Guards against a 502 in place of the small model's answer: a low-confidence answer is dropped for
+ * the largest model, no engine has room for that, and the last attempt asked the largest model
+ * again.
  */
-static void what_full_engines_refuse_is_asked_of_the_small_model_again(void **state)
+static void an_escalation_rejected_by_full_engines_returns_to_the_small_model(void **state)
 {
-	struct cw_answer_facts unsure = {
+	struct cw_answer_facts low_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 30};
 	struct bed bed;
 
 	bed_open(&bed);
 	bed_ask(&bed, "/chat/x");
-	cw_call_head(bed.call, &unsure, BED_NOW + 20, &bed.step);
+	cw_call_head(bed.call, &low_confidence, BED_NOW + 20, &bed.step);
 	assert_string_equal(bed.step.dispatch.model, "large");
 	bed_answer(&bed, 503, 0, 1);
 	assert_int_equal(bed.step.kind, CW_STEP_SEND);
 	assert_string_equal(bed.step.dispatch.model, "small");
-	cw_call_head(bed.call, &unsure, BED_NOW + 40, &bed.step);
+	cw_call_head(bed.call, &low_confidence, BED_NOW + 40, &bed.step);
 	assert_int_equal(bed.step.kind, CW_STEP_SHOW);
 	bed_close(&bed);
 }
 
-static void nothing_is_dropped_for_a_larger_model_while_engines_reject(void **state)
+static void answers_are_not_escalated_while_engines_reject(void **state)
 {
-	struct cw_answer_facts unsure = {
+	struct cw_answer_facts low_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 30};
 	struct bed bed;
 
@@ -288,17 +287,17 @@
 		bed_answer(&bed, 503, 0, 1);
 	}
 	bed_ask(&bed, "/chat/x");
-	cw_call_head(bed.call, &unsure, BED_NOW + 20, &bed.step);
+	cw_call_head(bed.call, &low_confidence, BED_NOW + 20, &bed.step);
 	assert_int_equal(bed.step.kind, CW_STEP_SHOW);
 	bed_close(&bed);
 }
 
 /*
- * Symptom: 25,155 sends beyond the first of 25,102 requests in 10 s, where 23,022 were allowed.
- * Sequence: 195 instances send to a service that rejects most of what it gets; each spends its part
- * of the budget. Cause: a part was the whole divided by 12, whatever the number of instances.
+ * Guards against a retry budget that grows with the number of instances: each instance used a
+ * twelfth of the budget whatever their number. 195 instances made 25,155 retries of 25,102 requests
+ * in 10 s to a service that rejected most of them, where 23,022 were allowed.
  */
-static void all_instances_together_keep_the_budget_of_repeats(void **state)
+static void all_instances_together_keep_the_retry_budget(void **state)
 {
 	static const size_t counts[] = {9, 66, 195, 350};
 	const double ratio = 0.5, slack = 10;
@@ -326,10 +325,10 @@
 	}
 }
 
-/* An instance that has just started doesn't know how many share the budget: one is all it takes. */
-static void an_instance_that_knows_no_others_takes_little_slack(void **state)
+/* An instance that has just started doesn't know how many share the retry budget. */
+static void an_instance_without_known_peers_uses_little_slack(void **state)
 {
-	int repeats = 0;
+	int retries = 0;
 	struct bed bed;
 
 	bed_open(&bed);
@@ -337,21 +336,21 @@
 	for (int i = 0; i < 4; i++) {
 		bed_ask(&bed, "/read/x");
 		while (bed.step.kind == CW_STEP_SEND) {
-			repeats++;
+			retries++;
 			bed_answer(&bed, 503, 0, 1);
 		}
-		repeats--;
+		retries--;
 	}
-	assert_int_equal(repeats, 4 / 2 + 2);
+	assert_int_equal(retries, 4 / 2 + 2);
 	bed_close(&bed);
 }
 
 /*
- * Symptom: the more callers were refused unsent, the more often others' requests were sent.
- * Sequence: servers reject, the least urgent are refused at once, the rest is sent again.
- * Cause: a request raised the budget when it came, not when it was sent.
+ * Guards against a retry budget raised by rejected requests: while servers reject, the least urgent
+ * requests are rejected unsent, and they raised the budget on arrival instead of on the first send,
+ * so that the other requests were retried more often.
  */
-static void a_request_that_is_refused_unsent_raises_no_budget(void **state)
+static void a_request_rejected_unsent_does_not_raise_the_retry_budget(void **state)
 {
 	int sends = 0, unsent = 0;
 	struct bed bed;
@@ -377,19 +376,19 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(repeats_stop_when_their_budget_is_spent),
-		cmocka_unit_test(a_small_model_that_doubts_is_replaced_by_the_largest),
-		cmocka_unit_test(the_trust_asked_for_falls_to_none_as_the_queue_grows),
-		cmocka_unit_test(a_long_prompt_that_waits_for_nobody_gets_the_large_model),
-		cmocka_unit_test(less_confidence_is_asked_for_as_slots_are_taken),
-		cmocka_unit_test(the_least_urgent_are_refused_at_once_while_servers_reject),
-		cmocka_unit_test(the_more_is_rejected_the_later_callers_return),
-		cmocka_unit_test(an_urgent_organisation_is_not_shed),
-		cmocka_unit_test(what_full_engines_refuse_is_asked_of_the_small_model_again),
-		cmocka_unit_test(nothing_is_dropped_for_a_larger_model_while_engines_reject),
-		cmocka_unit_test(all_instances_together_keep_the_budget_of_repeats),
-		cmocka_unit_test(an_instance_that_knows_no_others_takes_little_slack),
-		cmocka_unit_test(a_request_that_is_refused_unsent_raises_no_budget),
+		cmocka_unit_test(retries_stop_when_the_budget_is_spent),
+		cmocka_unit_test(a_low_confidence_answer_is_escalated_to_the_largest_model),
+		cmocka_unit_test(the_confidence_threshold_falls_to_zero_as_the_queue_grows),
+		cmocka_unit_test(a_long_prompt_without_a_queue_gets_the_large_model),
+		cmocka_unit_test(the_confidence_threshold_falls_as_slots_are_taken),
+		cmocka_unit_test(the_least_urgent_are_rejected_at_once_while_servers_reject),
+		cmocka_unit_test(retry_after_grows_with_the_share_of_rejected_requests),
+		cmocka_unit_test(requests_of_an_urgent_organisation_are_not_rejected),
+		cmocka_unit_test(an_escalation_rejected_by_full_engines_returns_to_the_small_model),
+		cmocka_unit_test(answers_are_not_escalated_while_engines_reject),
+		cmocka_unit_test(all_instances_together_keep_the_retry_budget),
+		cmocka_unit_test(an_instance_without_known_peers_uses_little_slack),
+		cmocka_unit_test(a_request_rejected_unsent_does_not_raise_the_retry_budget),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
