--- a/packages/gate/include/cw_gate.h
+++ b/packages/gate/include/cw_gate.h
@@ -3,7 +3,7 @@
  * choice of model and server, retries and failover, and the answer to the caller. The time and a
  * random seed are inputs and each call returns the next step; the I/O layer carries the step out.
  *
- * Call sequence of a request: cw_call_open, then for each SEND either cw_call_head or
+ * Call sequence of a request: cw_call_open, then for each CW_STEP_SEND either cw_call_head or
  * cw_call_broken (after a forwarded head: cw_call_broken or cw_call_done), and finally
  * cw_call_close.
  */
@@ -33,16 +33,16 @@
 	enum cw_step_kind kind;
 	struct cw_server *server;
 	struct cw_dispatch dispatch;
-	struct cw_rollout_assignment assignment; /* SEND */
+	struct cw_rollout_assignment assignment; /* of CW_STEP_SEND */
 	int64_t reuse_idle_ms; /* a kept-alive connection idle for less may be reused */
 	int64_t connect_ms;    /* timeout of a new connection */
 	int64_t silence_ms;    /* idle timeout: longest wait for the next byte */
-	unsigned int status;   /* REFUSE */
+	unsigned int status;   /* of CW_STEP_REFUSE */
 	enum cw_run run;
 	int64_t retry_after_ms; /* -1: none */
-	const char *reason;	/* REFUSE: message; SHOW: why no larger model was asked */
+	const char *reason;	/* CW_STEP_REFUSE: message; CW_STEP_SHOW: why not escalated */
 	int was_loaded;		/* after an answer: the server was under load when it answered */
-	int asked_confidence;	/* SHOW: escalation threshold that applied; -1: none did */
+	int asked_confidence;	/* CW_STEP_SHOW: threshold that applied; -1: none did */
 };
 
 /* How an attempt failed. */
--- a/tests/unit/test_gate_drain.c
+++ b/tests/unit/test_gate_drain.c
@@ -30,7 +30,7 @@
 	cw_pool_drain(cw_gate_pool(bed->gate), &order, BED_NOW);
 }
 
-/* Covers the sent attempt, a retry, a resumed stream and an escalation. */
+/* Covers the first attempt, a retry, a resumed stream and an escalation. */
 static void no_attempt_enters_a_drained_failure_domain(void **state)
 {
 	struct bed bed;
