--- a/packages/cascade/src/cascade.c
+++ b/packages/cascade/src/cascade.c
@@ -15,8 +15,8 @@
 #define EXPLORE_LOSS		0.5   /* assumed quality loss of an answer of an unrated version */
 #define EXPLORE_SHARE_MIN	0.005 /* of requests: minimum of unchecked exploration */
 #define DEFAULT_TOKENS		500.0 /* tokens per answer before any was counted */
-#define SCORE_BINS		20 /* of the histogram of ratings, to predict how many answers pass */
-#define PASS_MARGIN		0.05 /* a checked answer passes this much below the target */
+#define SCORE_BINS		20    /* of the histogram of ratings, for the share that passes */
+#define PASS_MARGIN		0.05 /* a checked answer passes down to this far below the target */
 #define RATINGS_MEMORY		2000 /* effective number of ratings: older ones decay */
 
 struct estimate {
@@ -194,7 +194,7 @@
 
 /*
  * A version without enough ratings has no bound and would never be chosen, so a small bounded share
- * of requests is_exploration it. Where possible its answers are checked, and poor ones are not
+ * of requests explores it. Where possible its answers are checked, and poor ones are not
  * shown.
  */
 static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
--- a/packages/gate/include/cw_gate.h
+++ b/packages/gate/include/cw_gate.h
@@ -60,7 +60,7 @@
 	double repeat_ratio;	  /* retries allowed per request of a service */
 	double repeat_slack;	  /* plus a fixed number, for all instances together */
 	int64_t repeat_window_ms; /* window of the retry budget */
-	double cold_factor;	  /* limit of a cold service: its warm-up rate times this*/
+	double cold_factor;	  /* limit of a cold service: its warm-up rate times this */
 	double cold_slack;	  /* plus so many requests a second */
 	struct cw_rollout_options rollouts;
 	const struct cw_policy *policy; /* NULL: the default; outlives the gate */
@@ -80,16 +80,14 @@
 struct cw_rollouts *cw_gate_rollouts(struct cw_gate *gate);
 struct cw_quarantine *cw_gate_quarantine(struct cw_gate *gate);
 
-struct cw_call *
-cw_call_open(struct cw_gate *gate, const struct cw_facts *facts,
-	     int64_t arrived_ms, /* arrival time, from which its time limits count */
-	     int64_t now_ms, struct cw_step *step);
+struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_facts *facts,
+			     int64_t arrived_ms, /* its time limits count from then */
+			     int64_t now_ms, struct cw_step *step);
 void cw_call_turn_away(struct cw_call *call, int64_t now_ms, const char *reason,
 		       struct cw_step *step); /* right after cw_call_open: not run, retry later */
 void cw_call_head(struct cw_call *call, const struct cw_answer_facts *answer, int64_t now_ms,
 		  struct cw_step *step);
-int cw_call_wants_event(const struct cw_call *call,
-			int64_t event); /* 0: the caller has it already */
+int cw_call_wants_event(const struct cw_call *call, int64_t event);	 /* 0: the caller has it */
 void cw_call_event(struct cw_call *call, int64_t event, int64_t now_ms); /* was forwarded */
 void cw_call_broken(struct cw_call *call, enum cw_break how, int64_t now_ms, struct cw_step *step);
 void cw_call_done(struct cw_call *call, int64_t now_ms); /* the forwarded answer is complete */
@@ -108,7 +106,6 @@
 uint64_t
 cw_call_fingerprint(const struct cw_call *call); /* cw_quarantine_fingerprint; 0: no route */
 unsigned int cw_call_attempts(const struct cw_call *call);
-double
-cw_call_predicted_ms(const struct cw_call *call); /* of the attempt, until the response head */
+double cw_call_predicted_ms(const struct cw_call *call); /* until the response head */
 
 #endif
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -3,14 +3,14 @@
 #include <string.h>
 
 #define CONNECT_TIMEOUT_MAX_MS	     400  /* 1 ms round trip, 300 ms for a slow accept */
-#define CONNECT_TIMEOUT_MIN_MS	     100  /* longer than a scheduling pause of this instance */
+#define CONNECT_TIMEOUT_MIN_MS	     100  /* a pause of this instance is no partition */
 #define CONNECT_FAILURES_MAX	     4	  /* failed connections before the request is rejected */
-#define NON_REPEATABLE_REUSE_IDLE_MS 1500 /* short, so that few reused connections are closed */
+#define NON_REPEATABLE_REUSE_IDLE_MS 1500 /* short, so that the server has rarely closed it */
 #define NO_CONFIG_RETRY_MS	     500
 #define RETURN_PATH_MS		     15	  /* from the router back to the caller */
 #define LAST_ATTEMPT_GAP_MS	     4000 /* smallest event gap limit with no attempt left */
 #define URGENCY_MAX		     9
-#define SERVICE_HASH_SEED	     0x5e41 /* independent of the hash of a roll-out */
+#define SERVICE_HASH_SEED	     0x5e41 /* makes the hash independent of that of roll-outs */
 #define TIME_LEFT_MIN_MS	     20	    /* too short for another attempt */
 
 static int resolve_target(struct cw_call *call, struct cw_step *step);
@@ -90,7 +90,7 @@
 			gate_count_rejected(call->gate, call->service_name, now_ms);
 		if (take_retry(call, now_ms) && dispatch_attempt(call, now_ms, step))
 			return;
-		if (call->is_shown)
+		if (call->has_forwarded)
 			step->kind = CW_STEP_ABORT;
 		else
 			call_reject_not_run(call, step, "the backend servers did not take it",
@@ -107,7 +107,7 @@
 		if (is_retriable(call) && take_retry(call, now_ms) &&
 		    switch_server(call, now_ms, step))
 			return;
-		if (call->is_shown) {
+		if (call->has_forwarded) {
 			step->kind = CW_STEP_ABORT;
 			return;
 		}
@@ -118,15 +118,15 @@
 	}
 	if (answer->status < 500)
 		call_work_head_received(call, now_ms);
-	if (!call->is_shown && call_model_should_escalate(call, answer, now_ms, step)) {
-		size_t small = call->model_index;
+	if (!call->has_forwarded && call_model_should_escalate(call, answer, now_ms, step)) {
+		size_t small_index = call->model_index;
 
 		call->model_index = call->route->model_count - 1;
 		call->tried_count = 0; /* no server failed: the same one may run the other model */
 		if (switch_server(call, now_ms, step))
 			return;
 		step->reason = "no_server";
-		call->model_index = small;
+		call->model_index = small_index;
 	}
 	step->kind = CW_STEP_SHOW;
 	step->silence_ms = call->route->repeat == CW_REPEAT_STREAM ? event_gap_timeout_ms(call)
@@ -140,8 +140,8 @@
 
 void cw_call_event(struct cw_call *call, int64_t event, int64_t now_ms)
 {
-	call->is_shown = 1;
-	call->events_shown++;
+	call->has_forwarded = 1;
+	call->events_forwarded++;
 	if (event >= 0)
 		call->last_event = event;
 }
@@ -160,7 +160,7 @@
 		    now_ms + TIME_LEFT_MIN_MS < call->deadline_ms &&
 		    dispatch_attempt(call, now_ms, step))
 			return;
-		if (call->is_shown)
+		if (call->has_forwarded)
 			step->kind = CW_STEP_ABORT;
 		else
 			call_reject_not_run(call, step, "no backend server could be reached",
@@ -196,7 +196,7 @@
 	memset(step, 0, sizeof(*step));
 	if (call->server)
 		abandon_attempt(call, now_ms);
-	if (call->is_shown) {
+	if (call->has_forwarded) {
 		step->kind = CW_STEP_ABORT;
 		return;
 	}
@@ -210,7 +210,7 @@
 	memset(step, 0, sizeof(*step));
 	if (call->server)
 		abandon_attempt(call, now_ms);
-	if (call->is_shown)
+	if (call->has_forwarded)
 		step->kind = CW_STEP_ABORT;
 	else
 		call_fail(call, step, "quarantined: servers ended under it");
@@ -356,7 +356,7 @@
 			 call->service ? call->service->slots : 0);
 }
 
-/* Starts an attempt; 1: step is SEND, 0: no server may take the request. */
+/* Starts an attempt; 1: step is CW_STEP_SEND, 0: no server may take the request. */
 static int dispatch_attempt(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	const struct cw_policy *policy = call->gate->policy;
@@ -366,7 +366,7 @@
 	if (!server)
 		return 0;
 	step->assignment = call->assignment;
-	call->is_resumed |= call->is_shown;
+	call->is_resumed |= call->has_forwarded;
 	call->server = server;
 	g_strlcpy(call->software, server->software, sizeof(call->software));
 	call->sent_ms = now_ms;
@@ -403,13 +403,13 @@
 static int switch_server(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	struct cw_server *previous = call->server;
-	int64_t previous_ran_ms = call_run_time_ms(call, now_ms);
+	int64_t previous_run_time_ms = call_run_time_ms(call, now_ms);
 
 	call_work_end(call);
 	if (!dispatch_attempt(call, now_ms, step))
 		return 0;
-	cw_quarantine_left(call->gate->quarantine, call->fingerprint, previous->id, previous_ran_ms,
-			   now_ms);
+	cw_quarantine_left(call->gate->quarantine, call->fingerprint, previous->id,
+			   previous_run_time_ms, now_ms);
 	cw_pool_ended(previous, now_ms, -1);
 	return 1;
 }
@@ -498,7 +498,7 @@
 {
 	switch (call->route->repeat) {
 	case CW_REPEAT_ANY:
-		return !call->is_shown;
+		return !call->has_forwarded;
 	case CW_REPEAT_STREAM:
 		return call->route->is_resumable;
 	case CW_REPEAT_NEVER:
@@ -520,7 +520,7 @@
 {
 	if (is_retriable(call) && take_retry(call, now_ms) && dispatch_attempt(call, now_ms, step))
 		return;
-	if (call->is_shown)
+	if (call->has_forwarded)
 		step->kind = CW_STEP_ABORT;
 	else
 		call_fail(call, step, reason);
--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -110,7 +110,7 @@
 {
 	struct cw_choice begun = *choice;
 
-	if (!call->is_shown || cw_rollouts_is_bad(call->gate->rollouts, call->service_name))
+	if (!call->has_forwarded || cw_rollouts_is_bad(call->gate->rollouts, call->service_name))
 		return NULL;
 	begun.only_software = call->software;
 	begun.not_software = NULL;
--- a/packages/gate/src/call_model.c
+++ b/packages/gate/src/call_model.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define RAMP_START (1 / 3.0)  /* of escalate_late_part: the threshold starts to fall */
-#define RAMP_END   (16 / 9.0) /* of it: 0 from here on, escalations only add queue */
+#define RAMP_END   (16 / 9.0) /* of escalate_late_part: 0, for escalations would only add queue */
 
 static const char *escalation_blocker(struct cw_call *call, const struct cw_answer_facts *answer,
 				      int64_t now_ms, struct cw_step *step);
@@ -42,7 +42,7 @@
 void call_model_fall_back(struct cw_call *call)
 {
 	if (call->gate->policy->rejected_to_small > 0 && call_model_is_selectable(call) &&
-	    !call->is_shown)
+	    !call->has_forwarded)
 		call->model_index = 0;
 }
 
@@ -109,26 +109,26 @@
 {
 	const struct cw_policy *policy = call->gate->policy;
 	double late = policy->escalate_late_part;
-	double early = late * RAMP_START;
-	double lost = late * RAMP_END;
-	size_t small = call->model_index;
+	double ramp_start = late * RAMP_START;
+	double ramp_end = late * RAMP_END;
+	size_t small_index = call->model_index;
 	double predicted_ms;
-	double part;
+	double ratio;
 
 	call->model_index = call->route->model_count - 1;
 	predicted_ms = predict_first_event_ms(call, now_ms);
-	call->model_index = small;
-	part = (predicted_ms + (double)(now_ms - call->opened_ms)) /
-	       (double)MAX(call->route->objective_ms, 1);
-	if (part > late) {
-		part = CLAMP((part - late) / (lost - late), 0, 1);
-		return (int)((1 - part) * policy->escalate_below_late *
+	call->model_index = small_index;
+	ratio = (predicted_ms + (double)(now_ms - call->opened_ms)) /
+		(double)MAX(call->route->objective_ms, 1);
+	if (ratio > late) {
+		ratio = CLAMP((ratio - late) / (ramp_end - late), 0, 1);
+		return (int)((1 - ratio) * policy->escalate_below_late *
 			     slot_headroom(call, now_ms));
 	}
-	part = CLAMP((part - early) / (late - early), 0, 1);
-	part = policy->escalate_below +
-	       part * (policy->escalate_below_late - policy->escalate_below);
-	return (int)(part * slot_headroom(call, now_ms));
+	ratio = CLAMP((ratio - ramp_start) / (late - ramp_start), 0, 1);
+	ratio = policy->escalate_below +
+		ratio * (policy->escalate_below_late - policy->escalate_below);
+	return (int)(ratio * slot_headroom(call, now_ms));
 }
 
 /* Time to the first event if sent now; queued work counts by escalate_queue_weight. */
--- a/packages/gate/src/call_refuse.c
+++ b/packages/gate/src/call_refuse.c
@@ -22,11 +22,12 @@
 	const struct cw_organisation *organisation = call->organisation;
 	int priority = organisation && organisation->has_priority ? organisation->priority
 								  : call->route->priority;
-	double part = gate_rejected_fraction(call->gate, call->service_name, now_ms);
+	double rejected = gate_rejected_fraction(call->gate, call->service_name, now_ms);
 	const struct cw_policy *policy = call->gate->policy;
-	double chance = policy->shed_part * part * MIN(priority, REJECT_PRIORITY) / REJECT_PRIORITY;
+	double chance =
+		policy->shed_part * rejected * MIN(priority, REJECT_PRIORITY) / REJECT_PRIORITY;
 
-	return part > policy->full_part && gate_random_fraction(call->gate) < chance;
+	return rejected > policy->full_part && gate_random_fraction(call->gate) < chance;
 }
 
 void call_reject(struct cw_step *step, unsigned int status, const char *reason)
@@ -79,22 +80,22 @@
 }
 
 /*
- * Load pattern: a burst of seven times the usual load for 8 s. Callers that retry after 0.6 to 1.2
- * s meet the same full servers with the only retry they have, and early retries don't add to what
+ * Load pattern: a burst of seven times the usual load for 8 s. Callers that retry after 600 to 1200
+ * ms meet the same full servers with the only retry they have, and early retries don't add to what
  * the servers can run in a burst. Retry-After grows with the share of rejected requests, up to a
  * third of the caller's time left.
  */
 static int64_t overload_retry_after_ms(struct cw_call *call, int64_t now_ms)
 {
-	double part = gate_rejected_fraction(call->gate, call->service_name, now_ms);
+	double rejected = gate_rejected_fraction(call->gate, call->service_name, now_ms);
 	double longest_ms = max_retry_wait_ms(call, now_ms);
 	double random = gate_random_fraction(call->gate);
 	double wait_ms = OVERLOAD_RETRY_MS * (1 + random);
 
-	if (part <= call->gate->policy->full_part)
+	if (rejected <= call->gate->policy->full_part)
 		return call_retry_after_ms(call);
 	if (longest_ms > wait_ms)
-		wait_ms += part * (longest_ms * (1 - RETRY_WAIT_JITTER * random) - wait_ms);
+		wait_ms += rejected * (longest_ms * (1 - RETRY_WAIT_JITTER * random) - wait_ms);
 	return (int64_t)CLAMP(wait_ms, 1, longest_ms);
 }
 
--- a/packages/gate/src/call_work.c
+++ b/packages/gate/src/call_work.c
@@ -9,7 +9,7 @@
 #define SAMPLE_MIN_TOKENS	800 /* the fixed cost hides the time per token of shorter prompts */
 #define TOKEN_MS_GAIN_DOWN	0.3 /* queues only add time, so the estimate falls fast */
 #define TOKEN_MS_GAIN_UP	0.02 /* and rises slowly */
-#define IDLE_BACKLOG_MAX_MS	5.0 /* queued work small enough for a sample of the time per token */
+#define IDLE_BACKLOG_MAX_MS	5.0  /* queued work that leaves the time per token measurable */
 #define FIRST_TOKEN_OVERHEAD_MS 25.0 /* one batch step and the round trip */
 #define PLAIN_INITIAL_MS	50.0
 #define PLAIN_EWMA_GAIN		0.05
@@ -20,8 +20,8 @@
  */
 #define SLOW_FACTOR		 4.0
 
-#define PLAIN_SLOW_FACTOR	 2.0 /* of a plain service, without prompts: 1 % of answers are slower */
-#define STREAM_SAMPLE_MIN_EVENTS 4 /* shorter streams give no sample of the event gap */
+#define PLAIN_SLOW_FACTOR	 2.0 /* of a plain service, without prompts: 1 % are slower */
+#define STREAM_SAMPLE_MIN_EVENTS 4   /* shorter streams give no sample of the event gap */
 #define EVENT_EWMA_GAIN		 0.05
 #define LOADED_FRACTION		 0.5  /* of a server's slots taken: it is under load */
 #define LOAD_REPORT_MAX_AGE_MS	 2000 /* a server's load report is stale afterwards */
@@ -114,10 +114,10 @@
 
 /*
  * An engine runs a request from its first token on; before that the request is queued or its prompt
- * is processed, and a version that fails under load doesn't fail yet. Counting the requests sent
- * marked 58 in 100 answers as given under load that were not, and such versions passed their trial.
- * So the engine's own report must show the load with the answer, and also shortly before the send
- * unless the answer began within QUICK_ANSWER_MS.
+ * is processed, and a version that fails under load doesn't fail yet. Judged by the requests sent,
+ * 58 in 100 of the answers counted as given under load were not, and such versions passed their
+ * trial. So the engine's own report must show the load with the answer, and also shortly before the
+ * send unless the answer began within QUICK_ANSWER_MS.
  */
 void call_work_load_reported(struct cw_call *call, const struct cw_load *load, int64_t now_ms)
 {
@@ -143,7 +143,7 @@
 	struct gate_timing *work;
 
 	call->is_head_seen = 0;
-	call->events_shown = 0;
+	call->events_forwarded = 0;
 	call->server_was_loaded = cw_pool_load(server, now_ms) >= LOADED_FRACTION * server->slots;
 	call->server_reported_loaded = server->sampled_ms >= 0 &&
 				       now_ms - server->sampled_ms <= LOAD_REPORT_MAX_AGE_MS &&
@@ -185,9 +185,9 @@
 	struct cw_rollout_answer answer = rollout_evidence(call);
 	double gap_ms;
 
-	if (call->events_shown < STREAM_SAMPLE_MIN_EVENTS)
+	if (call->events_forwarded < STREAM_SAMPLE_MIN_EVENTS)
 		return;
-	gap_ms = (double)(now_ms - call->head_ms) / call->events_shown;
+	gap_ms = (double)(now_ms - call->head_ms) / call->events_forwarded;
 	if (timing->event_gap_ms > 0 && gap_ms > SLOW_FACTOR * timing->event_gap_ms)
 		cw_rollouts_spoiled(call->gate->rollouts, &answer, now_ms);
 	if (timing->event_gap_ms <= 0)
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -144,7 +144,7 @@
 	if (load->slots == 0)
 		return;
 	stats->load_reports += 1;
-	stats->reported_occupancy += (double)(load->running + load->queued) / load->slots;
+	stats->occupancy_sum += (double)(load->running + load->queued) / load->slots;
 }
 
 /*
@@ -155,7 +155,7 @@
 {
 	const struct gate_load_stats *stats = get_load_stats(gate, service, now_ms);
 
-	return stats->load_reports > 0 ? stats->reported_occupancy / stats->load_reports : 0;
+	return stats->load_reports > 0 ? stats->occupancy_sum / stats->load_reports : 0;
 }
 
 double gate_rejected_fraction(struct cw_gate *gate, const char *service, int64_t now_ms)
@@ -175,7 +175,7 @@
 	stats->sent *= factor;
 	stats->rejected *= factor;
 	stats->load_reports *= factor;
-	stats->reported_occupancy *= factor;
+	stats->occupancy_sum *= factor;
 	stats->updated_ms = now_ms;
 	return stats;
 }
--- a/packages/gate/src/gate_internal.h
+++ b/packages/gate/src/gate_internal.h
@@ -18,11 +18,11 @@
 
 /* Load of one service in the last second or so; all counters decay exponentially. */
 struct gate_load_stats {
-	double sent;		   /* requests */
-	double rejected;	   /* of them, by servers without room */
-	double load_reports;	   /* answers that reported their server's load */
-	double reported_occupancy; /* sum of (running + queued) / slots over load_reports */
-	int64_t updated_ms;	   /* time that the counters are decayed to */
+	double sent;	      /* requests */
+	double rejected;      /* of them, by servers without room */
+	double load_reports;  /* answers that reported their server's load */
+	double occupancy_sum; /* sum of (running + queued) / slots over load_reports */
+	int64_t updated_ms;   /* time that the counters are decayed to */
 };
 
 struct cw_gate {
@@ -61,9 +61,9 @@
 	unsigned int attempts;	       /* sends that reached a server */
 	unsigned int connect_failures; /* attempts of which no byte was sent */
 	int may_have_run;
-	int is_shown;
-	int is_resumed; /* the answer consists of more than one run */
-	int is_trial;	/* trial of a quarantined request: sent once */
+	int has_forwarded; /* a part of the answer went to the caller */
+	int is_resumed;	   /* the answer consists of more than one run */
+	int is_trial;	   /* trial of a quarantined request: sent once */
 	int64_t last_event;
 	size_t model_index; /* among the route's models, when it has any */
 	uint64_t session;
@@ -77,8 +77,8 @@
 	int server_was_loaded;	    /* half of its slots or more were taken */
 	int server_reported_loaded; /* the same, by the server's last report before the send */
 	int is_head_seen;
-	int64_t head_ms;	   /* time of the response head */
-	unsigned int events_shown; /* of the attempt */
+	int64_t head_ms;	       /* time of the response head */
+	unsigned int events_forwarded; /* of the attempt */
 };
 
 uint64_t gate_random(struct cw_gate *gate);
--- a/tests/unit/test_overload.c
+++ b/tests/unit/test_overload.c
@@ -76,7 +76,7 @@
 static void the_confidence_threshold_falls_to_zero_as_the_queue_grows(void **state)
 {
 	static const struct {
-		double backlog_ms; /* objective 300 ms, of which the large model needs 25 */
+		double backlog_ms; /* the large model adds 25; the objective is 300 */
 		int least;	   /* lowest confidence that is forwarded */
 	} steps[] = {{0, 60}, {60, 44}, {115, 24}, {170, 11}, {230, 0}, {5000, 0}};
 
@@ -294,8 +294,8 @@
 
 /*
  * Guards against a retry budget that grows with the number of instances: each instance used a
- * twelfth of the budget whatever their number. 195 instances made 25,155 retries of 25,102 requests
- * in 10 s to a service that rejected most of them, where 23,022 were allowed.
+ * twelfth of the budget whatever their number. 195 instances made 25,155 retries for 25,102
+ * requests in 10 s to a service that rejected most of them, where 23,022 were allowed.
  */
 static void all_instances_together_keep_the_retry_budget(void **state)
 {
