--- a/tests/unit/test_gate.c
+++ b/tests/unit/test_gate.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-static void the_route_with_the_longest_prefix_matches(void **state)
+static void a_route_is_found_by_its_longest_prefix(void **state)
 {
 	struct bed bed;
 
@@ -19,7 +19,7 @@
 }
 
 /* Without a configuration an instance can't know that a route or a key doesn't exist. */
-static void requests_without_a_configuration_get_503(void **state)
+static void without_a_configuration_nothing_is_denied(void **state)
 {
 	struct cw_gate_options options = {.failure_domain = "d1", .repeat_window_ms = 1000};
 	struct bed bed;
@@ -33,7 +33,7 @@
 	bed_close(&bed);
 }
 
-static void an_older_configuration_is_ignored(void **state)
+static void an_older_configuration_never_replaces_a_newer_one(void **state)
 {
 	struct cw_config *older = bed_make_config(4);
 	struct cw_config *newer = bed_make_config(9);
@@ -53,7 +53,7 @@
  * Guards against an order that runs twice: the server accepts the order, the connection breaks, and
  * the caller retries after a 503, because the request was assumed not to have run.
  */
-static void a_non_idempotent_request_that_may_have_run_is_not_retried(void **state)
+static void an_order_that_may_have_run_is_neither_repeated_nor_called_not_run(void **state)
 {
 	struct bed bed;
 
@@ -66,7 +66,7 @@
 	bed_close(&bed);
 }
 
-static void a_non_idempotent_request_moves_on_if_it_was_not_sent(void **state)
+static void an_order_that_was_never_sent_goes_to_another_server(void **state)
 {
 	const struct cw_server *first;
 	struct bed bed;
@@ -80,7 +80,7 @@
 	bed_close(&bed);
 }
 
-static void a_request_the_server_did_not_run_is_rejected_as_not_run(void **state)
+static void an_order_that_the_server_did_not_run_is_refused_as_not_run(void **state)
 {
 	struct bed bed;
 
@@ -93,7 +93,7 @@
 }
 
 /* A failed read may be retried; with no attempt left its outcome is reported as unknown. */
-static void an_idempotent_request_is_retried_up_to_the_limit_of_its_route(void **state)
+static void a_read_is_tried_again_as_often_as_its_route_allows(void **state)
 {
 	struct bed bed;
 
@@ -110,7 +110,7 @@
 }
 
 /* A success without the server's signature, or with a content encoding, is not forwarded. */
-static void an_unsigned_or_encoded_answer_is_not_forwarded(void **state)
+static void an_answer_that_is_not_the_servers_own_is_not_shown(void **state)
 {
 	struct cw_answer_facts encoded = {
 		.status = 200, .is_sealed = 1, .is_encoded = 1, .confidence = -1};
@@ -127,7 +127,7 @@
 }
 
 /* Forwarded events can't be withdrawn: another server resumes the stream after the last one. */
-static void a_broken_stream_resumes_after_its_last_event(void **state)
+static void a_broken_stream_goes_on_after_its_last_event(void **state)
 {
 	struct cw_answer_facts sure = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 90};
@@ -149,7 +149,7 @@
 	bed_close(&bed);
 }
 
-static void the_server_is_given_the_remaining_time(void **state)
+static void the_time_that_a_server_gets_is_what_is_left(void **state)
 {
 	struct bed bed;
 
@@ -169,7 +169,7 @@
 	bed_close(&bed);
 }
 
-static void a_leaving_server_gets_no_new_requests(void **state)
+static void a_leaving_server_gets_nothing_more(void **state)
 {
 	struct cw_server *server;
 	struct bed bed;
@@ -187,7 +187,7 @@
 	bed_close(&bed);
 }
 
-static void only_a_bad_version_is_excluded_without_other_servers(void **state)
+static void only_a_bad_version_is_barred_when_no_other_server_is_left(void **state)
 {
 	struct cw_rollout_order order = {"orders", "v1", 20000};
 	struct cw_rollout_status back = {"orders", "v1", CW_ROLLOUT_BACK};
@@ -233,7 +233,7 @@
  * doesn't return to a restarted server: the server restarts while the stream runs there, the other
  * server is leaving, and the new incarnation counted as tried because it has the same name.
  */
-static void a_stream_may_resume_on_a_restarted_server(void **state)
+static void a_stream_may_go_on_at_the_same_server_started_again(void **state)
 {
 	struct cw_answer_facts sure = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 90};
@@ -264,7 +264,7 @@
 }
 
 /* The connect timeout must leave time for an answer of another server. */
-static void the_connect_timeout_leaves_time_for_another_server(void **state)
+static void a_server_that_is_cut_off_is_left_with_time_to_spare(void **state)
 {
 	struct bed bed;
 
@@ -305,7 +305,7 @@
  * processed, and none fails, while requests sent counted as running. An engine runs a request from
  * its first token on.
  */
-static void an_answer_counts_as_loaded_only_by_the_engines_report(void **state)
+static void an_answer_is_given_under_load_if_the_engine_told_so(void **state)
 {
 	static const struct {
 		unsigned int before, now;
@@ -335,7 +335,7 @@
  * new version's servers are listed 3 s before the roll-out order is known, and without an order any
  * server of the service was eligible.
  */
-static void a_new_version_waits_for_its_rollout_order(void **state)
+static void a_version_without_a_known_order_gets_nothing_yet(void **state)
 {
 	struct cw_rollout_order order = {"llm", "v2", 20000};
 	struct cw_rollout_request old = {.service = "llm"};
@@ -381,23 +381,23 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(the_route_with_the_longest_prefix_matches),
-		cmocka_unit_test(requests_without_a_configuration_get_503),
-		cmocka_unit_test(an_older_configuration_is_ignored),
-		cmocka_unit_test(a_non_idempotent_request_that_may_have_run_is_not_retried),
-		cmocka_unit_test(a_non_idempotent_request_moves_on_if_it_was_not_sent),
-		cmocka_unit_test(a_request_the_server_did_not_run_is_rejected_as_not_run),
-		cmocka_unit_test(an_idempotent_request_is_retried_up_to_the_limit_of_its_route),
-		cmocka_unit_test(an_unsigned_or_encoded_answer_is_not_forwarded),
-		cmocka_unit_test(a_broken_stream_resumes_after_its_last_event),
-		cmocka_unit_test(the_server_is_given_the_remaining_time),
-		cmocka_unit_test(a_leaving_server_gets_no_new_requests),
-		cmocka_unit_test(only_a_bad_version_is_excluded_without_other_servers),
+		cmocka_unit_test(a_route_is_found_by_its_longest_prefix),
+		cmocka_unit_test(without_a_configuration_nothing_is_denied),
+		cmocka_unit_test(an_older_configuration_never_replaces_a_newer_one),
+		cmocka_unit_test(an_order_that_may_have_run_is_neither_repeated_nor_called_not_run),
+		cmocka_unit_test(an_order_that_was_never_sent_goes_to_another_server),
+		cmocka_unit_test(an_order_that_the_server_did_not_run_is_refused_as_not_run),
+		cmocka_unit_test(a_read_is_tried_again_as_often_as_its_route_allows),
+		cmocka_unit_test(an_answer_that_is_not_the_servers_own_is_not_shown),
+		cmocka_unit_test(a_broken_stream_goes_on_after_its_last_event),
+		cmocka_unit_test(the_time_that_a_server_gets_is_what_is_left),
+		cmocka_unit_test(a_leaving_server_gets_nothing_more),
+		cmocka_unit_test(only_a_bad_version_is_barred_when_no_other_server_is_left),
 		cmocka_unit_test(a_stream_without_attempts_left_stays_with_its_server),
-		cmocka_unit_test(the_connect_timeout_leaves_time_for_another_server),
-		cmocka_unit_test(a_stream_may_resume_on_a_restarted_server),
-		cmocka_unit_test(an_answer_counts_as_loaded_only_by_the_engines_report),
-		cmocka_unit_test(a_new_version_waits_for_its_rollout_order),
+		cmocka_unit_test(a_server_that_is_cut_off_is_left_with_time_to_spare),
+		cmocka_unit_test(a_stream_may_go_on_at_the_same_server_started_again),
+		cmocka_unit_test(an_answer_is_given_under_load_if_the_engine_told_so),
+		cmocka_unit_test(a_version_without_a_known_order_gets_nothing_yet),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_gate_drain.c
+++ b/tests/unit/test_gate_drain.c
@@ -31,7 +31,7 @@
 }
 
 /* Covers the first attempt, a retry, a resumed stream and an escalation. */
-static void no_attempt_enters_a_drained_failure_domain(void **state)
+static void no_attempt_of_any_kind_goes_into_a_drained_domain(void **state)
 {
 	struct bed bed;
 
@@ -61,7 +61,7 @@
 	bed_close(&bed);
 }
 
-static void requests_are_rejected_with_all_failure_domains_drained(void **state)
+static void with_all_domains_drained_a_request_is_refused_at_once(void **state)
 {
 	struct bed bed;
 
@@ -77,7 +77,7 @@
 }
 
 /* Running requests finish after the drain order; servers listed later are excluded as well. */
-static void running_requests_in_a_drained_failure_domain_finish(void **state)
+static void what_runs_in_a_drained_domain_is_finished(void **state)
 {
 	struct bed bed;
 
@@ -103,7 +103,7 @@
 }
 
 /* Servers restored from a drain are cold: a rush to the idle servers would crash them. */
-static void restored_servers_are_cold_until_they_report_otherwise(void **state)
+static void servers_whose_drain_was_taken_back_are_cold_until_they_say_otherwise(void **state)
 {
 	int sent = 0;
 	struct bed bed;
@@ -125,7 +125,7 @@
 }
 
 /* A warm-up time reported with an answer limits the requests from then on. */
-static void an_answer_may_report_that_its_server_is_cold(void **state)
+static void an_answer_may_say_that_its_server_is_cold(void **state)
 {
 	struct cw_answer_facts cold = {
 		.status = 200, .is_sealed = 1, .has_cold = 1, .cold_ms = 3000};
@@ -191,11 +191,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(no_attempt_enters_a_drained_failure_domain),
-		cmocka_unit_test(requests_are_rejected_with_all_failure_domains_drained),
-		cmocka_unit_test(running_requests_in_a_drained_failure_domain_finish),
-		cmocka_unit_test(restored_servers_are_cold_until_they_report_otherwise),
-		cmocka_unit_test(an_answer_may_report_that_its_server_is_cold),
+		cmocka_unit_test(no_attempt_of_any_kind_goes_into_a_drained_domain),
+		cmocka_unit_test(with_all_domains_drained_a_request_is_refused_at_once),
+		cmocka_unit_test(what_runs_in_a_drained_domain_is_finished),
+		cmocka_unit_test(
+			servers_whose_drain_was_taken_back_are_cold_until_they_say_otherwise),
+		cmocka_unit_test(an_answer_may_say_that_its_server_is_cold),
 		cmocka_unit_test(a_request_runs_in_its_home_regions_only),
 	};
 
--- a/tests/unit/test_gate_quarantine.c
+++ b/tests/unit/test_gate_quarantine.c
@@ -42,7 +42,7 @@
  * once, and after three server crashes a fourth instance still sent the request on. A quarantined
  * request is rejected as not run, without Retry-After.
  */
-static void a_quarantined_request_is_rejected_unsent_without_retry_after(void **state)
+static void a_held_request_is_refused_unsent_without_a_time_to_return(void **state)
 {
 	struct bed bed;
 
@@ -60,7 +60,7 @@
 }
 
 /* Another instance's announcement arrives while the answer is awaited: no further send. */
-static void a_request_quarantined_in_flight_is_not_retried(void **state)
+static void a_request_that_is_held_meanwhile_is_not_sent_again(void **state)
 {
 	struct cw_answer_facts low_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 0};
@@ -78,7 +78,7 @@
 }
 
 /* A copy in a server's queue is cancelled before it can start. */
-static void a_request_in_flight_is_aborted_when_quarantined(void **state)
+static void a_request_under_way_is_ended_as_it_is_held(void **state)
 {
 	struct bed bed;
 
@@ -91,7 +91,7 @@
 }
 
 /* Leaving servers break their last connections: a planned stop is no crash. */
-static void a_leaving_server_is_no_evidence_against_its_requests(void **state)
+static void servers_that_leave_say_nothing_against_what_they_ran(void **state)
 {
 	struct bed bed;
 
@@ -113,7 +113,7 @@
 }
 
 /* Rejection, failed connection, timeout and malformed answer are no server crash. */
-static void only_a_broken_connection_counts_as_a_crash(void **state)
+static void only_a_connection_that_broke_counts(void **state)
 {
 	static const enum cw_break others[] = {CW_BREAK_UNSENT, CW_BREAK_REFUSED, CW_BREAK_GARBLED,
 					       CW_BREAK_SILENT};
@@ -134,7 +134,7 @@
 }
 
 /* The answer is dropped for an escalation and its server crashes: the request had run there. */
-static void a_dropped_answer_counts_on_the_server_that_began_it(void **state)
+static void an_answer_that_was_dropped_counts_where_it_had_begun(void **state)
 {
 	struct cw_answer_facts low_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 0};
@@ -186,7 +186,7 @@
 }
 
 /* The trial of a suspect request must cost one server at most. */
-static void a_suspect_request_is_tried_once_on_one_server(void **state)
+static void a_held_request_in_doubt_is_tried_once_and_on_one_server(void **state)
 {
 	struct bed bed;
 
@@ -203,7 +203,7 @@
 }
 
 /* Only the first instance runs the trial, since each trial may crash a server. */
-static void only_the_first_instance_runs_a_trial(void **state)
+static void an_instance_that_is_not_the_first_tries_nothing(void **state)
 {
 	struct bed bed;
 
@@ -218,14 +218,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_quarantined_request_is_rejected_unsent_without_retry_after),
-		cmocka_unit_test(a_request_quarantined_in_flight_is_not_retried),
-		cmocka_unit_test(a_request_in_flight_is_aborted_when_quarantined),
-		cmocka_unit_test(a_leaving_server_is_no_evidence_against_its_requests),
-		cmocka_unit_test(only_a_broken_connection_counts_as_a_crash),
-		cmocka_unit_test(a_dropped_answer_counts_on_the_server_that_began_it),
-		cmocka_unit_test(a_suspect_request_is_tried_once_on_one_server),
-		cmocka_unit_test(only_the_first_instance_runs_a_trial),
+		cmocka_unit_test(a_held_request_is_refused_unsent_without_a_time_to_return),
+		cmocka_unit_test(a_request_that_is_held_meanwhile_is_not_sent_again),
+		cmocka_unit_test(a_request_under_way_is_ended_as_it_is_held),
+		cmocka_unit_test(servers_that_leave_say_nothing_against_what_they_ran),
+		cmocka_unit_test(only_a_connection_that_broke_counts),
+		cmocka_unit_test(an_answer_that_was_dropped_counts_where_it_had_begun),
+		cmocka_unit_test(a_held_request_in_doubt_is_tried_once_and_on_one_server),
+		cmocka_unit_test(an_instance_that_is_not_the_first_tries_nothing),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_overload.c
+++ b/tests/unit/test_overload.c
@@ -7,7 +7,7 @@
  * Guards against a retry storm: every answer of a failing service is retried as often as its route
  * allows, which triples the load, and the service doesn't recover.
  */
-static void retries_stop_when_the_budget_is_spent(void **state)
+static void repeats_stop_when_their_budget_is_spent(void **state)
 {
 	int sends = 0;
 	struct bed bed;
@@ -25,7 +25,7 @@
 	bed_close(&bed);
 }
 
-static void a_low_confidence_answer_is_escalated_to_the_largest_model(void **state)
+static void a_small_model_that_doubts_is_replaced_by_the_largest(void **state)
 {
 	struct cw_answer_facts low_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 30};
@@ -73,7 +73,7 @@
  * prompts queue for seconds, and each low-confidence answer adds one. With a fixed threshold of 25
  * every second answer of a long prompt was late, and full engines rejected 9 in 100 requests.
  */
-static void the_confidence_threshold_falls_to_zero_as_the_queue_grows(void **state)
+static void the_trust_asked_for_falls_to_none_as_the_queue_grows(void **state)
 {
 	static const struct {
 		double backlog_ms; /* the large model adds 25; the objective is 300 */
@@ -96,7 +96,7 @@
  * prompt itself takes half of the objective and was counted as a queue. It concerned the longest
  * tenth of the report requests.
  */
-static void a_long_prompt_without_a_queue_gets_the_large_model(void **state)
+static void a_long_prompt_that_waits_for_nobody_gets_the_large_model(void **state)
 {
 	struct cw_answer_facts answer = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 35};
@@ -138,7 +138,7 @@
  * were rejected for 8 s at seven times the usual load. Predicting only the time to the first event
  * doesn't show that slots run out.
  */
-static void the_confidence_threshold_falls_as_slots_are_taken(void **state)
+static void less_confidence_is_asked_for_as_slots_are_taken(void **state)
 {
 	assert_int_equal(step_with_engine_load(4, 0, 55), CW_STEP_SEND);
 	assert_int_equal(step_with_engine_load(8, 0, 55), CW_STEP_SEND);
@@ -164,7 +164,7 @@
  * servers, and the least urgent half of the callers got neither an answer nor a rejection as not
  * run.
  */
-static void the_least_urgent_are_rejected_at_once_while_servers_reject(void **state)
+static void the_least_urgent_are_refused_at_once_while_servers_reject(void **state)
 {
 	int refused[3] = {0};
 	struct bed bed;
@@ -222,7 +222,7 @@
  * spent its only retry on the same full servers, and in a burst of 8 s 3,000 callers a second were
  * rejected twice.
  */
-static void retry_after_grows_with_the_share_of_rejected_requests(void **state)
+static void the_more_is_rejected_the_later_callers_return(void **state)
 {
 	/* All servers are full: close to the longest wait, a third of the caller's time. */
 	assert_in_range(rejected_retry_after_ms(40, 24000), 3500, 8000);
@@ -234,7 +234,7 @@
 }
 
 /* An organisation's priority takes precedence over the route's. */
-static void requests_of_an_urgent_organisation_are_not_rejected(void **state)
+static void an_urgent_organisation_is_not_shed(void **state)
 {
 	struct cw_organisation *organisation;
 	struct bed bed;
@@ -257,7 +257,7 @@
  * the largest model, no engine has room for that, and the last attempt asked the largest model
  * again.
  */
-static void an_escalation_rejected_by_full_engines_returns_to_the_small_model(void **state)
+static void what_full_engines_refuse_is_asked_of_the_small_model_again(void **state)
 {
 	struct cw_answer_facts low_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 30};
@@ -275,7 +275,7 @@
 	bed_close(&bed);
 }
 
-static void answers_are_not_escalated_while_engines_reject(void **state)
+static void nothing_is_dropped_for_a_larger_model_while_engines_reject(void **state)
 {
 	struct cw_answer_facts low_confidence = {
 		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 30};
@@ -297,7 +297,7 @@
  * twelfth of the budget whatever their number. 195 instances made 25,155 retries for 25,102
  * requests in 10 s to a service that rejected most of them, where 23,022 were allowed.
  */
-static void all_instances_together_keep_the_retry_budget(void **state)
+static void all_instances_together_keep_the_budget_of_repeats(void **state)
 {
 	static const size_t counts[] = {9, 66, 195, 350};
 	const double ratio = 0.5, slack = 10;
@@ -326,7 +326,7 @@
 }
 
 /* An instance that has just started doesn't know how many share the retry budget. */
-static void an_instance_without_known_peers_uses_little_slack(void **state)
+static void an_instance_that_knows_no_others_takes_little_slack(void **state)
 {
 	int retries = 0;
 	struct bed bed;
@@ -350,7 +350,7 @@
  * requests are rejected unsent, and they raised the budget on arrival instead of on the first send,
  * so that the other requests were retried more often.
  */
-static void a_request_rejected_unsent_does_not_raise_the_retry_budget(void **state)
+static void a_request_that_is_refused_unsent_raises_no_budget(void **state)
 {
 	int sends = 0, unsent = 0;
 	struct bed bed;
@@ -376,19 +376,19 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(retries_stop_when_the_budget_is_spent),
-		cmocka_unit_test(a_low_confidence_answer_is_escalated_to_the_largest_model),
-		cmocka_unit_test(the_confidence_threshold_falls_to_zero_as_the_queue_grows),
-		cmocka_unit_test(a_long_prompt_without_a_queue_gets_the_large_model),
-		cmocka_unit_test(the_confidence_threshold_falls_as_slots_are_taken),
-		cmocka_unit_test(the_least_urgent_are_rejected_at_once_while_servers_reject),
-		cmocka_unit_test(retry_after_grows_with_the_share_of_rejected_requests),
-		cmocka_unit_test(requests_of_an_urgent_organisation_are_not_rejected),
-		cmocka_unit_test(an_escalation_rejected_by_full_engines_returns_to_the_small_model),
-		cmocka_unit_test(answers_are_not_escalated_while_engines_reject),
-		cmocka_unit_test(all_instances_together_keep_the_retry_budget),
-		cmocka_unit_test(an_instance_without_known_peers_uses_little_slack),
-		cmocka_unit_test(a_request_rejected_unsent_does_not_raise_the_retry_budget),
+		cmocka_unit_test(repeats_stop_when_their_budget_is_spent),
+		cmocka_unit_test(a_small_model_that_doubts_is_replaced_by_the_largest),
+		cmocka_unit_test(the_trust_asked_for_falls_to_none_as_the_queue_grows),
+		cmocka_unit_test(a_long_prompt_that_waits_for_nobody_gets_the_large_model),
+		cmocka_unit_test(less_confidence_is_asked_for_as_slots_are_taken),
+		cmocka_unit_test(the_least_urgent_are_refused_at_once_while_servers_reject),
+		cmocka_unit_test(the_more_is_rejected_the_later_callers_return),
+		cmocka_unit_test(an_urgent_organisation_is_not_shed),
+		cmocka_unit_test(what_full_engines_refuse_is_asked_of_the_small_model_again),
+		cmocka_unit_test(nothing_is_dropped_for_a_larger_model_while_engines_reject),
+		cmocka_unit_test(all_instances_together_keep_the_budget_of_repeats),
+		cmocka_unit_test(an_instance_that_knows_no_others_takes_little_slack),
+		cmocka_unit_test(a_request_that_is_refused_unsent_raises_no_budget),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
