--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -493,7 +493,7 @@
 	cw_pool_failed(call->server, now_ms, gate_random(call->gate));
 }
 
-/* May the request run twice? Decided by the route's setting, never by its path or name. */
+/* Whether the request may run twice is the route's setting, never inferred from a name. */
 static int is_retriable(const struct cw_call *call)
 {
 	switch (call->route->repeat) {
