--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -1,19 +1,20 @@
 /*
- * Which server an attempt goes to: of the versions that its session may have, by the pool's choice;
- * and what is done when none of them can be had.
+ * Choice of the server for an attempt: the pool chooses among servers of the versions that the
+ * session may use, and the constraints are relaxed step by step when none is available.
  */
 #include "gate_internal.h"
 
 #include <string.h>
 
-#define FILL_PART 0.7  /* of a server on trial: past half, with room for others' */
-#define ASK_PART  0.95 /* to which the full server is asked: short of a queue */
+#define TRIAL_FILL_TARGET 0.7  /* of a trial server's slots: above half, room for others */
+#define TRIAL_FULL_TARGET 0.95 /* of its slots, for light requests: just short of queueing */
 
-static struct cw_server *choose_begun(const struct cw_call *call, const struct cw_choice *choice);
+static struct cw_server *choose_begun_version(const struct cw_call *call,
+					      const struct cw_choice *choice);
 static void fill_choice(struct cw_call *call, int64_t now_ms, struct cw_choice *choice);
-static uint64_t prompt_key(const struct cw_facts *facts);
+static uint64_t prefix_key(const struct cw_facts *facts);
 
-struct cw_rollout_request call_as_request(const struct cw_call *call)
+struct cw_rollout_request call_rollout_request(const struct cw_call *call)
 {
 	return (struct cw_rollout_request){
 		.service = call->service_name,
@@ -22,17 +23,17 @@
 	};
 }
 
-struct cw_server *call_choose(struct cw_call *call, int64_t now_ms, int *is_home)
+struct cw_server *call_choose_server(struct cw_call *call, int64_t now_ms, int *is_affinity_server)
 {
 	struct cw_gate *gate = call->gate;
 	const char *target = cw_rollouts_target(gate->rollouts, call->service_name);
 	const char *newcomer = cw_pool_newcomer(gate->pool, call->service_name, now_ms);
-	struct cw_rollout_request request = call_as_request(call);
+	struct cw_rollout_request request = call_rollout_request(call);
 	struct cw_choice choice;
 	struct cw_server *server;
 
 	fill_choice(call, now_ms, &choice);
-	choice.is_home = is_home;
+	choice.is_home = is_affinity_server;
 	if (newcomer && (!target || strcmp(newcomer, target) != 0))
 		choice.not_yet = newcomer;
 	call->assignment = cw_rollouts_assign(gate->rollouts, &request, now_ms);
@@ -43,33 +44,33 @@
 	case CW_ROLLOUT_VARIANT_NEW:
 		choice.only_software = target;
 		choice.spread = call->assignment.share;
-		if (cw_rollouts_needs_load_trial(gate->rollouts, call->service_name, now_ms))
-			choice.fill_part = call->is_filling	      ? FILL_PART
-					   : call_work_is_light(call) ? ASK_PART
+		if (cw_rollouts_wants_load(gate->rollouts, call->service_name, now_ms))
+			choice.fill_part = call->is_output_heavy      ? TRIAL_FILL_TARGET
+					   : call_work_is_light(call) ? TRIAL_FULL_TARGET
 								      : 0;
 		break;
 	case CW_ROLLOUT_VARIANT_ANY:
 		break;
 	}
-	server = choose_begun(call, &choice);
+	server = choose_begun_version(call, &choice);
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
-	/* All others are gone or tried: one that failed before is better than none. */
+	/* All others are removed or tried: a server that failed before is better than none. */
 	choice.is_desperate = 1;
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
 	choice.tried_count = 0;
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
-	/* Neither version is barred, unless it was found bad: the other one answers as well. */
-	if (!server && !cw_rollouts_is_rolled_back(gate->rollouts, call->service_name)) {
+	/* Unless the roll-out found a version bad, the other version may answer as well. */
+	if (!server && !cw_rollouts_is_bad(gate->rollouts, call->service_name)) {
 		choice.only_software = choice.not_software = choice.not_yet = NULL;
 		server = cw_pool_choose(gate->pool, &choice);
 	}
 	return server;
 }
 
-int64_t call_cold_wait_ms(struct cw_call *call, int64_t now_ms)
+int64_t call_warmup_wait_ms(struct cw_call *call, int64_t now_ms)
 {
 	struct cw_choice choice;
 
@@ -77,14 +78,14 @@
 	return cw_pool_cold_wait_ms(call->gate->pool, &choice);
 }
 
-/* All but what a roll-out says. */
+/* Fills all fields except those of the roll-out. */
 static void fill_choice(struct cw_call *call, int64_t now_ms, struct cw_choice *choice)
 {
 	struct cw_gate *gate = call->gate;
 
 	*choice = (struct cw_choice){
 		.service = call->service_name,
-		.prefix = prompt_key(&call->facts),
+		.prefix = prefix_key(&call->facts),
 		.failure_domain = gate->failure_domain,
 		.tried = call->tried,
 		.tried_count = MIN(call->tried_count, CW_MAX_ATTEMPTS),
@@ -96,26 +97,28 @@
 		.route_homes = &call->route->homes,
 		.organisation_homes = call->organisation ? &call->organisation->homes : NULL,
 	};
-	call_work_fill(call, choice);
+	call_work_fill_choice(call, choice);
 }
 
 /*
- * What the caller was shown a part of goes on at the version that began it, though its session may
- * have moved meanwhile; unless that one was taken back or has no server left. NULL: as any other.
+ * A partly forwarded answer is resumed on the version that began it, even if its session has moved
+ * to another one meanwhile. NULL: nothing was forwarded, the version was rolled back, or it has no
+ * server left; the choice is then made as for any other attempt.
  */
-static struct cw_server *choose_begun(const struct cw_call *call, const struct cw_choice *choice)
+static struct cw_server *choose_begun_version(const struct cw_call *call,
+					      const struct cw_choice *choice)
 {
 	struct cw_choice begun = *choice;
 
-	if (!call->is_shown || cw_rollouts_is_rolled_back(call->gate->rollouts, call->service_name))
+	if (!call->has_forwarded || cw_rollouts_is_bad(call->gate->rollouts, call->service_name))
 		return NULL;
 	begun.only_software = call->software;
 	begun.not_software = NULL;
 	return cw_pool_choose(call->gate->pool, &begun);
 }
 
-/* The longest beginning that is shared: all parts but the last, which is the request's own. */
-static uint64_t prompt_key(const struct cw_facts *facts)
+/* Key of the longest prompt prefix: all segments but the last, which is the request's own. */
+static uint64_t prefix_key(const struct cw_facts *facts)
 {
 	uint64_t key = 0;
 
--- a/tests/unit/test_gate.c
+++ b/tests/unit/test_gate.c
@@ -1,4 +1,4 @@
-/* One request's decisions: what may be sent again, what a caller is told, what the next step is. */
+/* Request state machine: next step, retries and the answer to the caller. */
 #include "gate_bed.h"
 
 #include <string.h>
@@ -18,7 +18,7 @@
 	bed_close(&bed);
 }
 
-/* An instance that knows no configuration can't say that a route or a key doesn't exist. */
+/* Without a configuration an instance can't know that a route or a key doesn't exist. */
 static void without_a_configuration_nothing_is_denied(void **state)
 {
 	struct cw_gate_options options = {.failure_domain = "d1", .repeat_window_ms = 1000};
@@ -50,9 +50,8 @@
 }
 
 /*
- * Symptom: a fabric order was cut twice.
- * Sequence: the server takes the order, the connection breaks, the caller is told 503 and returns.
- * Cause: a broken connection was taken for a request that had not run.
+ * Guards against an order that runs twice: the server accepts the order, the connection breaks, and
+ * the caller retries after a 503, because the request was assumed not to have run.
  */
 static void an_order_that_may_have_run_is_neither_repeated_nor_called_not_run(void **state)
 {
@@ -93,7 +92,7 @@
 	bed_close(&bed);
 }
 
-/* A failed read may run again; when no attempt is left, it is not said to have not run. */
+/* A failed read may be retried; with no attempt left its outcome is reported as unknown. */
 static void a_read_is_tried_again_as_often_as_its_route_allows(void **state)
 {
 	struct bed bed;
@@ -110,7 +109,7 @@
 	bed_close(&bed);
 }
 
-/* A success without the server's signature, or in another encoding, is not the server's answer. */
+/* A success without the server's signature, or with a content encoding, is not forwarded. */
 static void an_answer_that_is_not_the_servers_own_is_not_shown(void **state)
 {
 	struct cw_answer_facts encoded = {
@@ -127,7 +126,7 @@
 	bed_close(&bed);
 }
 
-/* Nothing that was shown may be taken back: a stream goes on where it stopped, elsewhere. */
+/* Forwarded events can't be withdrawn: another server resumes the stream after the last one. */
 static void a_broken_stream_goes_on_after_its_last_event(void **state)
 {
 	struct cw_answer_facts sure = {
@@ -205,10 +204,9 @@
 }
 
 /*
- * Symptom: running streams were cut beside a change of configuration.
- * Sequence: a server with a full queue takes no connection in time and counts as cut off; the
- * stream has used its attempts and has nowhere to go. Cause: it was left all the same, on a
- * suspicion.
+ * Guards against streams aborted during a change of configuration: a server with a full queue
+ * accepts no connection in time and counts as unreachable, and a stream without attempts left was
+ * moved away from the suspect server although no other one could take it.
  */
 static void a_stream_without_attempts_left_stays_with_its_server(void **state)
 {
@@ -231,11 +229,9 @@
 }
 
 /*
- * Symptom: an order was answered 502 though it had reached nobody, and a stream did not go back to
- * a server that was there again.
- * Sequence: the server starts again while a stream runs there; the stream is given up at the
- * earlier start and goes on, the other server is leaving.
- * Cause: the new start counted as tried, for it has the same name.
+ * Guards against an order that reached no server but is answered 502, and against a stream that
+ * doesn't return to a restarted server: the server restarts while the stream runs there, the other
+ * server is leaving, and the new incarnation counted as tried because it has the same name.
  */
 static void a_stream_may_go_on_at_the_same_server_started_again(void **state)
 {
@@ -267,7 +263,7 @@
 	bed_close(&bed);
 }
 
-/* A server that takes no connection must be left while another can still answer in time. */
+/* The connect timeout must leave time for an answer of another server. */
 static void a_server_that_is_cut_off_is_left_with_time_to_spare(void **state)
 {
 	struct bed bed;
@@ -278,11 +274,11 @@
 	bed_close(&bed);
 }
 
-/* One request to an engine that told of so many running before, and tells of so many now. */
-static void be_told(struct bed *bed, unsigned int before, unsigned int now, int64_t took_ms,
-		    int64_t now_ms)
+/* Sends one request to an engine that reports its running requests before and in its answer. */
+static void run_request_with_load(struct bed *bed, unsigned int before, unsigned int now,
+				  int64_t took_ms, int64_t now_ms)
 {
-	struct cw_load told = {.running = before, .slots = 8};
+	struct cw_load reported = {.running = before, .slots = 8};
 	struct cw_answer_facts head = {.status = 200,
 				       .is_sealed = 1,
 				       .is_events = 1,
@@ -294,7 +290,7 @@
 	struct cw_server *server;
 
 	TAILQ_FOREACH(server, servers, link)
-		cw_pool_reported(server, &told, now_ms - 1);
+		cw_pool_reported(server, &reported, now_ms - 1);
 	cw_call_close(bed->call, now_ms);
 	bed->facts.path = "/chat/x";
 	bed->facts.part_count = 2;
@@ -304,10 +300,10 @@
 }
 
 /*
- * Symptom: versions that fail only under load were completed, 16 of 120 of them.
- * Sequence: forty requests are sent to an engine of 64 slots within 0.3 s; most wait or have their
- * prompts read while their answers are counted as given under load, and none of them fails.
- * Cause: requests sent counted as running. An engine runs a request from its first token on.
+ * Guards against completed roll-outs of versions that fail only under load, 16 of 120: forty
+ * requests are sent to an engine of 64 slots within 0.3 s, most are queued or have their prompts
+ * processed, and none fails, while requests sent counted as running. An engine runs a request from
+ * its first token on.
  */
 static void an_answer_is_given_under_load_if_the_engine_told_so(void **state)
 {
@@ -324,10 +320,10 @@
 		int64_t now_ms = BED_NOW + 5000;
 
 		bed_open(&bed);
-		cw_rollouts_apply_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW);
-		be_told(&bed, cases[i].before, cases[i].now, cases[i].took_ms, now_ms);
-		cw_rollouts_announce(cw_gate_rollouts(bed.gate), now_ms + cases[i].took_ms, &news,
-				     1);
+		cw_rollouts_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW);
+		run_request_with_load(&bed, cases[i].before, cases[i].now, cases[i].took_ms,
+				      now_ms);
+		cw_rollouts_tell(cw_gate_rollouts(bed.gate), now_ms + cases[i].took_ms, &news, 1);
 		assert_int_equal(news.kind_count, 1);
 		assert_int_equal(news.kinds[0].is_loaded, cases[i].is_loaded);
 		bed_close(&bed);
@@ -335,9 +331,9 @@
 }
 
 /*
- * Symptom: sessions of the old version ran on the new one in the first seconds of its roll-out.
- * Sequence: the new version's servers are listed; the order to bring it in becomes known 3 s later.
- * Cause: without an order, any server of the service was as good as the others.
+ * Guards against sessions of the old version on the new one in the first seconds of a roll-out: the
+ * new version's servers are listed 3 s before the roll-out order is known, and without an order any
+ * server of the service was eligible.
  */
 static void a_version_without_a_known_order_gets_nothing_yet(void **state)
 {
@@ -359,8 +355,8 @@
 					&bed.step);
 		assert_string_equal(bed.step.server->software, "v1");
 	}
-	/* With its order known the roll-out says who goes there. */
-	cw_rollouts_apply_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW + 5200);
+	/* Once the order is known the roll-out assigns sessions to the new version. */
+	cw_rollouts_order(cw_gate_rollouts(bed.gate), &order, 3, BED_NOW + 5200);
 	for (int i = 0; !used && i < 1000; i++) {
 		old.session = (uint64_t)i << 50;
 		used = cw_rollouts_choose_variant(cw_gate_rollouts(bed.gate), &old,
@@ -368,7 +364,7 @@
 	}
 	assert_true(used);
 	bed_close(&bed);
-	/* Servers of a version that nobody orders are used after a while. */
+	/* Servers of a version without a roll-out order are used after a while. */
 	bed_open(&bed);
 	bed.facts.path = "/chat/x";
 	cw_pool_list(cw_gate_pool(bed.gate), &entry, BED_NOW + 5000);
