--- a/apps/corianderwalk/entry.c
+++ b/apps/corianderwalk/entry.c
@@ -121,9 +121,9 @@
 	struct cw_gate_options options = {
 		.failure_domain = settings->failure_domain,
 		.seed = uv_hrtime() ^ (uint64_t)getpid() << 32,
-		.repeat_ratio = settings->repeat_ratio * REPEAT_PART,
-		.repeat_slack = settings->repeat_slack * REPEAT_PART,
-		.repeat_window_ms = settings->repeat_window_ms,
+		.retry_ratio = settings->retry_ratio * REPEAT_PART,
+		.retry_slack = settings->retry_slack * REPEAT_PART,
+		.retry_window_ms = settings->retry_window_ms,
 		.cold_factor = settings->cold_factor,
 		.cold_slack = settings->cold_slack,
 		.rollouts = {.session_ms = settings->session_ms,
--- a/apps/corianderwalk/entry_peers.c
+++ b/apps/corianderwalk/entry_peers.c
@@ -181,7 +181,7 @@
 
 	cw_membership_forget(peers->membership, entry_now_ms(peers->entry), KEEP_MS);
 	count_loads(peers);
-	cw_gate_divide(peers->entry->gate, sharers(peers));
+	cw_gate_set_instances(peers->entry->gate, sharers(peers));
 	peers->answers_left = ANSWERS;
 	peers->introductions_left = INTRODUCTIONS;
 	peers_tell(peers);
--- a/apps/corianderwalk/entry_relay.c
+++ b/apps/corianderwalk/entry_relay.c
@@ -13,7 +13,7 @@
 	struct entry *entry;
 	struct cw_caller *caller;   /* NULL: it left */
 	struct cw_message *request; /* the caller's connection owns it */
-	struct cw_facts facts;
+	struct cw_request_info facts;
 	struct cw_call *call;
 	struct cw_exchange *exchange;
 	uv_timer_t limit;
@@ -32,7 +32,7 @@
 };
 
 static void on_head(void *context, const struct cw_message *answer);
-static void log_head(const struct relay *relay, const struct cw_answer_facts *facts,
+static void log_head(const struct relay *relay, const struct cw_response_head *facts,
 		     const struct cw_step *step, double predicted_ms, int64_t took_ms);
 static void on_data(void *context, const char *data, size_t size);
 static void on_end(void *context);
@@ -53,16 +53,16 @@
 static const struct cw_exchange_ops exchange_ops = {on_head, on_data, on_end, on_failed};
 
 static const char *const break_reasons[] = {
-	[CW_BREAK_UNSENT] = "unsent", [CW_BREAK_REFUSED] = "refused",
-	[CW_BREAK_BROKEN] = "broken", [CW_BREAK_GARBLED] = "garbled",
-	[CW_BREAK_SILENT] = "silent",
+	[CW_ATTEMPT_NO_CONNECTION] = "unsent",	 [CW_ATTEMPT_CONNECTION_REFUSED] = "refused",
+	[CW_ATTEMPT_CONNECTION_LOST] = "broken", [CW_ATTEMPT_MALFORMED] = "garbled",
+	[CW_ATTEMPT_TIMED_OUT] = "silent",
 };
 
 void relay_start(struct entry *entry, struct cw_caller *caller, struct cw_message *request)
 {
 	struct cw_error error = {0};
 	struct relay *relay;
-	struct cw_facts facts;
+	struct cw_request_info facts;
 
 	entry->last_request_ms = entry_now_ms(entry);
 	cw_count("requests", "", 1);
@@ -118,8 +118,8 @@
 
 	relay->call = cw_call_open(entry->gate, &relay->facts, relay->opened_ms, now_ms, &step);
 	if (cw_caller_is_late(relay->caller))
-		cw_call_turn_away(relay->call, now_ms, "this instance is stopping", &step);
-	limit_ms = cw_call_limit_ms(relay->call) - now_ms;
+		cw_call_reject(relay->call, now_ms, "this instance is stopping", &step);
+	limit_ms = cw_call_deadline_ms(relay->call) - now_ms;
 	uv_timer_start(&relay->limit, on_limit, (uint64_t)MAX(limit_ms, 1), 0);
 	take_step(relay, &step);
 }
@@ -177,7 +177,7 @@
 		struct relay *next = TAILQ_NEXT(relay, link);
 
 		if (relay->exchange && cw_call_server(relay->call) == server &&
-		    cw_call_may_leave(relay->call)) {
+		    cw_call_may_change_server(relay->call)) {
 			drop_exchange(relay);
 			on_failed(relay, CW_FLOW_SILENT);
 		}
@@ -193,8 +193,8 @@
 	while (relay) {
 		struct relay *next = TAILQ_NEXT(relay, link);
 
-		if (relay->call && cw_call_is_held(relay->call)) {
-			cw_call_stop(relay->call, entry_now_ms(entry), &step);
+		if (relay->call && cw_call_is_quarantined(relay->call)) {
+			cw_call_abort(relay->call, entry_now_ms(entry), &step);
 			take_step(relay, &step);
 		}
 		relay = next;
@@ -219,10 +219,10 @@
 	case CW_STEP_SEND:
 		send_attempt(relay, step);
 		break;
-	case CW_STEP_SHOW:
+	case CW_STEP_FORWARD:
 		cw_exchange_set_silence(relay->exchange, step->silence_ms);
 		break;
-	case CW_STEP_REFUSE:
+	case CW_STEP_REJECT:
 		refuse(relay, step);
 		break;
 	case CW_STEP_ABORT:
@@ -281,18 +281,18 @@
 static void on_head(void *context, const struct cw_message *answer)
 {
 	struct relay *relay = context;
-	struct cw_answer_facts facts;
+	struct cw_response_head facts;
 	struct cw_step step;
 	double predicted_ms = cw_call_predicted_ms(relay->call);
 	int64_t now_ms = entry_now_ms(relay->entry);
 
 	heard(relay);
 	cw_up_answer_read(answer, &facts);
-	cw_call_head(relay->call, &facts, now_ms, &step);
+	cw_call_handle_head(relay->call, &facts, now_ms, &step);
 	log_head(relay, &facts, &step, predicted_ms, now_ms - relay->sent_ms);
-	if (step.kind == CW_STEP_SHOW && !relay->is_started) {
+	if (step.kind == CW_STEP_FORWARD && !relay->is_started) {
 		relay->status = facts.status;
-		relay->is_stream = facts.is_events && facts.status == HTTP_STATUS_OK;
+		relay->is_stream = facts.is_event_stream && facts.status == HTTP_STATUS_OK;
 		if (relay->is_stream && !relay->events)
 			relay->events = cw_events_create();
 		g_string_truncate(relay->fields, 0);
@@ -301,23 +301,23 @@
 	take_step(relay, &step);
 }
 
-static void log_head(const struct relay *relay, const struct cw_answer_facts *facts,
+static void log_head(const struct relay *relay, const struct cw_response_head *facts,
 		     const struct cw_step *step, double predicted_ms, int64_t took_ms)
 {
 	static const char *const next[] = {
 		[CW_STEP_SEND] = "send_again",
-		[CW_STEP_SHOW] = "show",
-		[CW_STEP_REFUSE] = "end",
+		[CW_STEP_FORWARD] = "show",
+		[CW_STEP_REJECT] = "end",
 		[CW_STEP_ABORT] = "end",
 	};
 
 	cw_event("gate", "answer_head",
 		 "request=%s status=%u sealed=%d not_run=%d predicted_ms=%.0f took_ms=%ld "
 		 "running=%u queued=%u loaded=%d confidence=%d asked=%d next=%s why=%s",
-		 relay->facts.id, facts->status, facts->is_sealed, facts->is_not_run, predicted_ms,
-		 (long)took_ms, facts->running, facts->queued, step->was_loaded, facts->confidence,
-		 step->asked_confidence, next[step->kind],
-		 step->kind == CW_STEP_SHOW && step->reason ? step->reason : "-");
+		 relay->facts.id, facts->status, facts->is_signed, facts->is_not_run, predicted_ms,
+		 (long)took_ms, facts->running, facts->queued, step->was_under_load,
+		 facts->confidence, step->confidence_threshold, next[step->kind],
+		 step->kind == CW_STEP_FORWARD && step->reason ? step->reason : "-");
 }
 
 static void on_data(void *context, const char *data, size_t size)
@@ -337,7 +337,8 @@
 			return;
 	}
 	drop_exchange(relay);
-	cw_call_broken(relay->call, CW_BREAK_GARBLED, entry_now_ms(relay->entry), &step);
+	cw_call_handle_failure(relay->call, CW_ATTEMPT_MALFORMED, entry_now_ms(relay->entry),
+			       &step);
 	take_step(relay, &step);
 }
 
@@ -353,7 +354,7 @@
 	while (cw_events_next(relay->events, &event, &size, &id)) {
 		if (!cw_call_wants_event(relay->call, id))
 			continue;
-		cw_call_event(relay->call, id, now_ms);
+		cw_call_add_event(relay->call, id, now_ms);
 		if (relay->event_ms)
 			relay->pause_ms = MAX(relay->pause_ms, now_ms - relay->event_ms);
 		relay->event_ms = now_ms;
@@ -380,11 +381,11 @@
 
 	relay->exchange = NULL;
 	if (relay->is_stream && cw_events_left(relay->events) > 0) {
-		cw_call_broken(relay->call, CW_BREAK_BROKEN, now_ms, &step);
+		cw_call_handle_failure(relay->call, CW_ATTEMPT_CONNECTION_LOST, now_ms, &step);
 		take_step(relay, &step);
 		return;
 	}
-	cw_call_done(relay->call, now_ms);
+	cw_call_complete(relay->call, now_ms);
 	if (!relay->is_started) {
 		int is_bare = relay->facts.is_head || relay->status == HTTP_STATUS_NO_CONTENT ||
 			      relay->status == HTTP_STATUS_NOT_MODIFIED;
@@ -399,10 +400,12 @@
 
 static void on_failed(void *context, enum cw_flow_failure failure)
 {
-	static const enum cw_break breaks[] = {
-		[CW_FLOW_UNSENT] = CW_BREAK_UNSENT, [CW_FLOW_REFUSED] = CW_BREAK_REFUSED,
-		[CW_FLOW_BROKEN] = CW_BREAK_BROKEN, [CW_FLOW_GARBLED] = CW_BREAK_GARBLED,
-		[CW_FLOW_SILENT] = CW_BREAK_SILENT,
+	static const enum cw_attempt_failure breaks[] = {
+		[CW_FLOW_UNSENT] = CW_ATTEMPT_NO_CONNECTION,
+		[CW_FLOW_REFUSED] = CW_ATTEMPT_CONNECTION_REFUSED,
+		[CW_FLOW_BROKEN] = CW_ATTEMPT_CONNECTION_LOST,
+		[CW_FLOW_GARBLED] = CW_ATTEMPT_MALFORMED,
+		[CW_FLOW_SILENT] = CW_ATTEMPT_TIMED_OUT,
 	};
 	struct relay *relay = context;
 	struct cw_server *server = cw_call_server(relay->call);
@@ -417,7 +420,7 @@
 		 relay->first_ms < 0 ? -1L : (long)(relay->first_ms - relay->opened_ms),
 		 (long)(entry_now_ms(relay->entry) - relay->sent_ms),
 		 (unsigned long)cw_call_fingerprint(relay->call));
-	cw_call_broken(relay->call, breaks[failure], entry_now_ms(relay->entry), &step);
+	cw_call_handle_failure(relay->call, breaks[failure], entry_now_ms(relay->entry), &step);
 	take_step(relay, &step);
 }
 
@@ -431,7 +434,7 @@
 		return;
 	}
 	drop_exchange(relay);
-	cw_call_expired(relay->call, entry_now_ms(relay->entry), &step);
+	cw_call_expire(relay->call, entry_now_ms(relay->entry), &step);
 	take_step(relay, &step);
 }
 
--- a/packages/cascade/include/cw_cascade.h
+++ b/packages/cascade/include/cw_cascade.h
@@ -13,7 +13,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-struct cw_option {
+struct cw_cascade_option {
 	uint64_t version;   /* cw_pool_version */
 	double cost_per_1k; /* from the version table; an empty cell counts as 0 */
 };
@@ -27,38 +27,41 @@
 	double expected_quality;
 };
 
-struct cw_cascade_in {
+struct cw_cascade_request {
 	uint64_t task;	 /* hash of organisation and task */
 	uint64_t common; /* hash of the task alone: used while the organisation has few ratings */
-	const struct cw_option *options;
+	const struct cw_cascade_option *options;
 	size_t count;
 	double target; /* quality 0 to 1 */
-	int may_check; /* 0: streamed as generated, so no answer can be replaced */
+	int can_check; /* 0: streamed as generated, so no answer can be replaced */
 	uint64_t random;
 };
 
 struct cw_cascade_policy {
 	const char *name;
-	void (*plan)(const void *cascade, const struct cw_cascade_in *in, struct cw_plan *plan);
+	void (*plan)(const void *cascade, const struct cw_cascade_request *in,
+		     struct cw_plan *plan);
 };
 
 extern const struct cw_cascade_policy cw_cascade_learned;
-extern const struct cw_cascade_policy cw_cascade_costly; /* baseline: the costliest version */
-extern const struct cw_cascade_policy cw_cascade_cheap;	 /* baseline: the cheapest version */
+extern const struct cw_cascade_policy
+	cw_cascade_always_costliest; /* baseline: the costliest version */
+extern const struct cw_cascade_policy
+	cw_cascade_always_cheapest; /* baseline: the cheapest version */
 const struct cw_cascade_policy *cw_cascade_policy_find(const char *name); /* NULL: unknown */
 
 struct cw_cascade;
 
 struct cw_cascade *cw_cascade_create(const struct cw_cascade_policy *policy);
 void cw_cascade_destroy(struct cw_cascade *cascade);
-uint64_t cw_cascade_task(const char *organisation, const char *task);
-void cw_cascade_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
+uint64_t cw_cascade_task_key(const char *organisation, const char *task);
+void cw_cascade_plan(const struct cw_cascade *cascade, const struct cw_cascade_request *in,
 		     struct cw_plan *plan);
-void cw_cascade_rated(struct cw_cascade *cascade, uint64_t task, uint64_t common, uint64_t version,
-		      double score);
-void cw_cascade_cost(struct cw_cascade *cascade, uint64_t task, uint64_t common, uint64_t version,
-		     double tokens);
-int cw_cascade_falls_short(const struct cw_cascade_in *in, double score); /* 1: escalate */
+void cw_cascade_add_rating(struct cw_cascade *cascade, uint64_t task, uint64_t common,
+			   uint64_t version, double score);
+void cw_cascade_add_cost(struct cw_cascade *cascade, uint64_t task, uint64_t common,
+			 uint64_t version, double tokens);
+int cw_cascade_should_escalate(const struct cw_cascade_request *in, double score); /* 1: escalate */
 double cw_cascade_sample_rate(const struct cw_cascade *cascade, uint64_t task,
 			      uint64_t version); /* share of answers to rate after delivery */
 
--- a/packages/cascade/src/cascade.c
+++ b/packages/cascade/src/cascade.c
@@ -32,9 +32,11 @@
 	GHashTable *estimates;
 };
 
-static void plan_learned(const void *data, const struct cw_cascade_in *in, struct cw_plan *plan);
-static void plan_costly(const void *data, const struct cw_cascade_in *in, struct cw_plan *plan);
-static void plan_cheap(const void *data, const struct cw_cascade_in *in, struct cw_plan *plan);
+static void plan_learned(const void *data, const struct cw_cascade_request *in,
+			 struct cw_plan *plan);
+static void plan_costly(const void *data, const struct cw_cascade_request *in,
+			struct cw_plan *plan);
+static void plan_cheap(const void *data, const struct cw_cascade_request *in, struct cw_plan *plan);
 static void add_rating(struct estimate *estimate, double score);
 static void add_cost(struct estimate *estimate, double tokens);
 static double max_unchecked_share(const struct estimate *best, double target);
@@ -44,28 +46,31 @@
 static const struct estimate *find_estimate(const struct cw_cascade *cascade, uint64_t task,
 					    uint64_t version);
 static const struct estimate *find_usable_estimate(const struct cw_cascade *cascade,
-						   const struct cw_cascade_in *in, size_t index);
+						   const struct cw_cascade_request *in,
+						   size_t index);
 static double lower_bound(const struct estimate *estimate);
 static double mean(const struct estimate *estimate);
 static double mean_answer_cost(const struct estimate *estimate, double cost_per_1k);
 static double expected_pass_share(const struct estimate *estimate, double threshold,
 				  double *mean_passed);
-static size_t find_costliest(const struct cw_cascade_in *in);
-static void consider_direct_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
-				 size_t index, struct cw_plan *best);
-static void consider_checked_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
-				  size_t first, size_t then, struct cw_plan *best);
-static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
+static size_t find_costliest(const struct cw_cascade_request *in);
+static void consider_direct_plan(const struct cw_cascade *cascade,
+				 const struct cw_cascade_request *in, size_t index,
+				 struct cw_plan *best);
+static void consider_checked_plan(const struct cw_cascade *cascade,
+				  const struct cw_cascade_request *in, size_t first, size_t then,
+				  struct cw_plan *best);
+static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_request *in,
 			    struct cw_plan *plan);
 
 const struct cw_cascade_policy cw_cascade_learned = {"learned", plan_learned};
-const struct cw_cascade_policy cw_cascade_costly = {"always_costly", plan_costly};
-const struct cw_cascade_policy cw_cascade_cheap = {"always_cheap", plan_cheap};
+const struct cw_cascade_policy cw_cascade_always_costliest = {"always_costly", plan_costly};
+const struct cw_cascade_policy cw_cascade_always_cheapest = {"always_cheap", plan_cheap};
 
 const struct cw_cascade_policy *cw_cascade_policy_find(const char *name)
 {
 	static const struct cw_cascade_policy *const policies[] = {
-		&cw_cascade_learned, &cw_cascade_costly, &cw_cascade_cheap};
+		&cw_cascade_learned, &cw_cascade_always_costliest, &cw_cascade_always_cheapest};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(policies); i++)
 		if (!strcmp(policies[i]->name, name))
@@ -90,33 +95,33 @@
 	g_free(cascade);
 }
 
-uint64_t cw_cascade_task(const char *organisation, const char *task)
+uint64_t cw_cascade_task_key(const char *organisation, const char *task)
 {
 	return cw_hash_text(task, cw_hash_text(organisation, 6));
 }
 
-void cw_cascade_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
+void cw_cascade_plan(const struct cw_cascade *cascade, const struct cw_cascade_request *in,
 		     struct cw_plan *plan)
 {
 	memset(plan, 0, sizeof(*plan));
 	cascade->policy->plan(cascade, in, plan);
 }
 
-void cw_cascade_rated(struct cw_cascade *cascade, uint64_t task, uint64_t common, uint64_t version,
-		      double score)
+void cw_cascade_add_rating(struct cw_cascade *cascade, uint64_t task, uint64_t common,
+			   uint64_t version, double score)
 {
 	add_rating(get_or_create_estimate(cascade, task, version), score);
 	add_rating(get_or_create_estimate(cascade, common, version), score);
 }
 
-void cw_cascade_cost(struct cw_cascade *cascade, uint64_t task, uint64_t common, uint64_t version,
-		     double tokens)
+void cw_cascade_add_cost(struct cw_cascade *cascade, uint64_t task, uint64_t common,
+			 uint64_t version, double tokens)
 {
 	add_cost(get_or_create_estimate(cascade, task, version), tokens);
 	add_cost(get_or_create_estimate(cascade, common, version), tokens);
 }
 
-int cw_cascade_falls_short(const struct cw_cascade_in *in, double score)
+int cw_cascade_should_escalate(const struct cw_cascade_request *in, double score)
 {
 	return score < in->target - PASS_MARGIN;
 }
@@ -158,7 +163,8 @@
 	estimate->tokens += tokens;
 }
 
-static void plan_learned(const void *data, const struct cw_cascade_in *in, struct cw_plan *plan)
+static void plan_learned(const void *data, const struct cw_cascade_request *in,
+			 struct cw_plan *plan)
 {
 	const struct cw_cascade *cascade = data;
 	size_t fallback = find_costliest(in);
@@ -170,7 +176,7 @@
 	plan->expected_cost = INFINITY;
 	for (size_t i = 0; i < in->count; i++)
 		consider_direct_plan(cascade, in, i, plan);
-	if (!in->may_check)
+	if (!in->can_check)
 		return;
 	for (size_t i = 0; i < in->count; i++)
 		for (size_t j = 0; j < in->count; j++)
@@ -178,13 +184,13 @@
 				consider_checked_plan(cascade, in, i, j, plan);
 }
 
-static void plan_costly(const void *data, const struct cw_cascade_in *in, struct cw_plan *plan)
+static void plan_costly(const void *data, const struct cw_cascade_request *in, struct cw_plan *plan)
 {
 	plan->first = find_costliest(in);
 	plan->then = plan->first;
 }
 
-static void plan_cheap(const void *data, const struct cw_cascade_in *in, struct cw_plan *plan)
+static void plan_cheap(const void *data, const struct cw_cascade_request *in, struct cw_plan *plan)
 {
 	for (size_t i = 1; i < in->count; i++)
 		if (in->options[i].cost_per_1k < in->options[plan->first].cost_per_1k)
@@ -197,7 +203,7 @@
  * of requests explores it. Where possible its answers are checked, and poor ones are not
  * shown.
  */
-static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
+static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_request *in,
 			    struct cw_plan *plan)
 {
 	double draw = cw_hash_part(in->random);
@@ -213,20 +219,20 @@
 			continue;
 		if (!estimate || estimate->ratings < RATINGS_MIN) {
 			candidates[count++] = i;
-			share = in->may_check ? EXPLORE_CHECKED_SHARE : EXPLORE_UNCHECKED_SHARE;
+			share = in->can_check ? EXPLORE_CHECKED_SHARE : EXPLORE_UNCHECKED_SHARE;
 		} else if (mean(estimate) >= in->target - 2 * PASS_MARGIN &&
 			   lower_bound(estimate) < in->target) {
 			candidates[count++] = i;
 		}
 	}
-	if (!in->may_check)
+	if (!in->can_check)
 		share = MIN(share, max_unchecked_share(find_usable_estimate(cascade, in, top),
 						       in->target));
 	if (count == 0 || draw >= share)
 		return 0;
 	plan->first = candidates[in->random % count];
-	plan->then = in->may_check ? top : plan->first;
-	plan->check = in->may_check;
+	plan->then = in->can_check ? top : plan->first;
+	plan->check = in->can_check;
 	plan->is_exploration = 1;
 	return 1;
 }
@@ -243,8 +249,9 @@
 	return MAX(margin / EXPLORE_LOSS, EXPLORE_SHARE_MIN);
 }
 
-static void consider_direct_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
-				 size_t index, struct cw_plan *best)
+static void consider_direct_plan(const struct cw_cascade *cascade,
+				 const struct cw_cascade_request *in, size_t index,
+				 struct cw_plan *best)
 {
 	const struct estimate *estimate = find_usable_estimate(cascade, in, index);
 	double cost = mean_answer_cost(estimate, in->options[index].cost_per_1k);
@@ -262,8 +269,9 @@
 	best->expected_quality = estimate ? mean(estimate) : 0;
 }
 
-static void consider_checked_plan(const struct cw_cascade *cascade, const struct cw_cascade_in *in,
-				  size_t first, size_t then, struct cw_plan *best)
+static void consider_checked_plan(const struct cw_cascade *cascade,
+				  const struct cw_cascade_request *in, size_t first, size_t then,
+				  struct cw_plan *best)
 {
 	const struct estimate *cheap = find_usable_estimate(cascade, in, first);
 	const struct estimate *costly = find_usable_estimate(cascade, in, then);
@@ -318,7 +326,8 @@
 
 /* The organisation's own ratings if there are enough, otherwise those of all organisations. */
 static const struct estimate *find_usable_estimate(const struct cw_cascade *cascade,
-						   const struct cw_cascade_in *in, size_t index)
+						   const struct cw_cascade_request *in,
+						   size_t index)
 {
 	const struct estimate *own = find_estimate(cascade, in->task, in->options[index].version);
 
@@ -367,7 +376,7 @@
 	return passed / estimate->ratings;
 }
 
-static size_t find_costliest(const struct cw_cascade_in *in)
+static size_t find_costliest(const struct cw_cascade_request *in)
 {
 	size_t best = 0;
 
--- a/packages/gate/include/cw_facts.h
+++ b/packages/gate/include/cw_facts.h
@@ -8,47 +8,47 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_PROMPT_PARTS 8   /* prompt segments of one request that placement considers */
-#define CW_KEY_MAX	128 /* bytes of a caller's API key */
-#define CW_NO_EVENT	(-1)
-#define CW_ANY_MODEL	"*"
+#define CW_PROMPT_SEGMENTS_MAX 8   /* prompt segments of one request that placement considers */
+#define CW_KEY_MAX	       128 /* bytes of a caller's API key */
+#define CW_NO_EVENT	       (-1)
+#define CW_ANY_MODEL	       "*"
 
 /* A segment of a prompt, which an engine may hold in its prefix cache. */
-struct cw_prompt_part {
+struct cw_prompt_segment {
 	uint64_t id;
 	unsigned int tokens;
 };
 
 /* A request as its caller sent it. */
-struct cw_facts {
+struct cw_request_info {
 	char id[CW_ID_MAX]; /* of this attempt of the caller; a caller's retry has another one */
 	char host[CW_NAME_MAX * 2];
 	const char *path; /* with the query string; points into the message */
 	char key[CW_KEY_MAX];
 	int64_t allowed_ms; /* time limit given by the caller; -1: none given */
 	int64_t last_event; /* last event id the caller has of an earlier answer; CW_NO_EVENT */
-	char model[CW_NAME_MAX]; /* CW_ANY_MODEL: the gate chooses */
-	double read_tokens;	 /* prompt tokens */
-	double made_tokens;	 /* upper limit of output tokens */
-	double hint_tokens;	 /* caller's median estimate of output tokens; 0: none */
-	size_t part_count;
-	struct cw_prompt_part parts[CW_PROMPT_PARTS];
+	char model[CW_NAME_MAX];	/* CW_ANY_MODEL: the gate chooses */
+	double read_tokens;		/* prompt tokens */
+	double max_output_tokens;	/* upper limit of output tokens */
+	double estimated_output_tokens; /* caller's median estimate of output tokens; 0: none */
+	size_t segment_count;
+	struct cw_prompt_segment segments[CW_PROMPT_SEGMENTS_MAX];
 	char session[CW_ID_MAX]; /* empty: none */
-	size_t sent_bytes;	 /* size of the request body */
+	size_t body_bytes;	 /* size of the request body */
 	uint64_t body;		 /* cw_hash of the request body */
 	int is_head;		 /* HEAD request: the answer has no body */
 };
 
 /* The head of a backend server's response. */
-struct cw_answer_facts {
+struct cw_response_head {
 	unsigned int status;
-	int is_sealed;	 /* carries the server's own signature */
-	int is_not_run;	 /* the server states that it did not run the request and never will */
-	int is_stranger; /* another server has the address now */
-	int is_encoded;	 /* content encoding was applied: not the server's own body */
-	int is_events;	 /* an event stream */
-	int confidence;	 /* the model's confidence in its answer, 0 to 100; -1: not given */
-	int has_cold;
+	int is_signed;	     /* carries the server's own signature */
+	int is_not_run;	     /* the server states that it did not run the request and never will */
+	int is_other_server; /* another server has the address now */
+	int is_encoded;	     /* content encoding was applied: not the server's own body */
+	int is_event_stream; /* an event stream */
+	int confidence;	     /* the model's confidence in its answer, 0 to 100; -1: not given */
+	int has_warmup_time;
 	int64_t cold_ms; /* remaining warm-up time, in which the server bears few requests */
 	int has_load;
 	unsigned int running, queued, slots;
--- a/packages/gate/include/cw_gate.h
+++ b/packages/gate/include/cw_gate.h
@@ -3,9 +3,9 @@
  * choice of model and server, retries and failover, and the answer to the caller. The time and a
  * random seed are inputs and each call returns the next step; the I/O layer carries the step out.
  *
- * Call sequence of a request: cw_call_open, then for each CW_STEP_SEND either cw_call_head or
- * cw_call_broken (after a forwarded head: cw_call_broken or cw_call_done), and finally
- * cw_call_close.
+ * Call sequence of a request: cw_call_open, then for each CW_STEP_SEND either cw_call_handle_head
+ * or cw_call_handle_failure (after a forwarded head: cw_call_handle_failure or cw_call_complete),
+ * and finally cw_call_close.
  */
 #ifndef CW_GATE_H
 #define CW_GATE_H
@@ -23,10 +23,10 @@
 
 /* The next step of the I/O layer. */
 enum cw_step_kind {
-	CW_STEP_SEND,	/* send to step.server; cancel an exchange in progress first */
-	CW_STEP_SHOW,	/* forward the answer to the caller */
-	CW_STEP_REFUSE, /* the router answers itself; nothing was forwarded before */
-	CW_STEP_ABORT,	/* end a partly forwarded answer so that it can't look complete */
+	CW_STEP_SEND,	 /* send to step.server; cancel an exchange in progress first */
+	CW_STEP_FORWARD, /* forward the answer to the caller */
+	CW_STEP_REJECT,	 /* the router answers itself; nothing was forwarded before */
+	CW_STEP_ABORT,	 /* end a partly forwarded answer so that it can't look complete */
 };
 
 struct cw_step {
@@ -37,31 +37,31 @@
 	int64_t reuse_idle_ms; /* a kept-alive connection idle for less may be reused */
 	int64_t connect_ms;    /* timeout of a new connection */
 	int64_t silence_ms;    /* idle timeout: longest wait for the next byte */
-	unsigned int status;   /* of CW_STEP_REFUSE */
+	unsigned int status;   /* of CW_STEP_REJECT */
 	enum cw_run run;
-	int64_t retry_after_ms; /* -1: none */
-	const char *reason;	/* CW_STEP_REFUSE: message; CW_STEP_SHOW: why not escalated */
-	int was_loaded;		/* after an answer: the server was under load when it answered */
-	int asked_confidence;	/* CW_STEP_SHOW: threshold that applied; -1: none did */
+	int64_t retry_after_ms;	  /* -1: none */
+	const char *reason;	  /* CW_STEP_REJECT: message; CW_STEP_FORWARD: why not escalated */
+	int was_under_load;	  /* after an answer: the server was under load when it answered */
+	int confidence_threshold; /* CW_STEP_FORWARD: threshold that applied; -1: none did */
 };
 
 /* How an attempt failed. */
-enum cw_break {
-	CW_BREAK_UNSENT,  /* no byte sent: the host did not answer */
-	CW_BREAK_REFUSED, /* no byte sent: the host refused the connection */
-	CW_BREAK_BROKEN,  /* connection lost after the request was sent */
-	CW_BREAK_GARBLED, /* malformed, unsigned or encoded response */
-	CW_BREAK_SILENT,  /* idle timeout */
+enum cw_attempt_failure {
+	CW_ATTEMPT_NO_CONNECTION,      /* no byte sent: the host did not answer */
+	CW_ATTEMPT_CONNECTION_REFUSED, /* no byte sent: the host refused the connection */
+	CW_ATTEMPT_CONNECTION_LOST,    /* connection lost after the request was sent */
+	CW_ATTEMPT_MALFORMED,	       /* malformed, unsigned or encoded response */
+	CW_ATTEMPT_TIMED_OUT,	       /* idle timeout */
 };
 
 struct cw_gate_options {
 	const char *failure_domain;
 	uint64_t seed;
-	double repeat_ratio;	  /* retries allowed per request of a service */
-	double repeat_slack;	  /* plus a fixed number, for all instances together */
-	int64_t repeat_window_ms; /* window of the retry budget */
-	double cold_factor;	  /* limit of a cold service: its warm-up rate times this */
-	double cold_slack;	  /* plus so many requests a second */
+	double retry_ratio;	 /* retries allowed per request of a service */
+	double retry_slack;	 /* plus a fixed number, for all instances together */
+	int64_t retry_window_ms; /* window of the retry budget */
+	double cold_factor;	 /* limit of a cold service: its warm-up rate times this */
+	double cold_slack;	 /* plus so many requests a second */
 	struct cw_rollout_options rollouts;
 	const struct cw_policy *policy; /* NULL: the default; outlives the gate */
 };
@@ -71,8 +71,8 @@
 
 struct cw_gate *cw_gate_create(const struct cw_gate_options *options);
 void cw_gate_destroy(struct cw_gate *gate); /* all its calls must be closed */
-void cw_gate_divide(struct cw_gate *gate,
-		    size_t instances); /* that share fleet-wide budgets; 0: not known yet */
+void cw_gate_set_instances(struct cw_gate *gate,
+			   size_t instances); /* that share fleet-wide budgets; 0: not known yet */
 int cw_gate_configure(struct cw_gate *gate,
 		      struct cw_config *config); /* takes a reference; 0: not newer, ignored */
 const struct cw_config *cw_gate_config(const struct cw_gate *gate); /* NULL: none yet */
@@ -80,25 +80,26 @@
 struct cw_rollouts *cw_gate_rollouts(struct cw_gate *gate);
 struct cw_quarantine *cw_gate_quarantine(struct cw_gate *gate);
 
-struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_facts *facts,
+struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_request_info *facts,
 			     int64_t arrived_ms, /* its time limits count from then */
 			     int64_t now_ms, struct cw_step *step);
-void cw_call_turn_away(struct cw_call *call, int64_t now_ms, const char *reason,
-		       struct cw_step *step); /* right after cw_call_open: not run, retry later */
-void cw_call_head(struct cw_call *call, const struct cw_answer_facts *answer, int64_t now_ms,
-		  struct cw_step *step);
-int cw_call_wants_event(const struct cw_call *call, int64_t event);	 /* 0: the caller has it */
-void cw_call_event(struct cw_call *call, int64_t event, int64_t now_ms); /* was forwarded */
-void cw_call_broken(struct cw_call *call, enum cw_break how, int64_t now_ms, struct cw_step *step);
-void cw_call_done(struct cw_call *call, int64_t now_ms); /* the forwarded answer is complete */
-void cw_call_expired(struct cw_call *call, int64_t now_ms,
-		     struct cw_step *step);	 /* at cw_call_limit_ms */
-int cw_call_is_held(const struct cw_call *call); /* its request is quarantined now */
-void cw_call_stop(struct cw_call *call, int64_t now_ms,
-		  struct cw_step *step); /* of a quarantined request; the step ends it */
-void cw_call_close(struct cw_call *call, int64_t now_ms); /* also after the caller disconnected */
-int cw_call_may_leave(const struct cw_call *call);	  /* may move to another server */
-int64_t cw_call_limit_ms(const struct cw_call *call);	  /* deadline of the final answer */
+void cw_call_reject(struct cw_call *call, int64_t now_ms, const char *reason,
+		    struct cw_step *step); /* right after cw_call_open: not run, retry later */
+void cw_call_handle_head(struct cw_call *call, const struct cw_response_head *answer,
+			 int64_t now_ms, struct cw_step *step);
+int cw_call_wants_event(const struct cw_call *call, int64_t event); /* 0: the caller has it */
+void cw_call_add_event(struct cw_call *call, int64_t event, int64_t now_ms); /* was forwarded */
+void cw_call_handle_failure(struct cw_call *call, enum cw_attempt_failure how, int64_t now_ms,
+			    struct cw_step *step);
+void cw_call_complete(struct cw_call *call, int64_t now_ms); /* the forwarded answer is complete */
+void cw_call_expire(struct cw_call *call, int64_t now_ms,
+		    struct cw_step *step);		/* at cw_call_deadline_ms */
+int cw_call_is_quarantined(const struct cw_call *call); /* its request is quarantined now */
+void cw_call_abort(struct cw_call *call, int64_t now_ms,
+		   struct cw_step *step); /* of a quarantined request; the step ends it */
+void cw_call_close(struct cw_call *call, int64_t now_ms);  /* also after the caller disconnected */
+int cw_call_may_change_server(const struct cw_call *call); /* may move to another server */
+int64_t cw_call_deadline_ms(const struct cw_call *call);   /* deadline of the final answer */
 const struct cw_route *cw_call_route(const struct cw_call *call);
 const char *cw_call_organisation(const struct cw_call *call);
 const char *cw_call_model(const struct cw_call *call);
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -32,8 +32,8 @@
 static void record_wait(const struct cw_call *call);
 static uint64_t session_key(const struct cw_call *call);
 
-struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_facts *facts, int64_t arrived_ms,
-			     int64_t now_ms, struct cw_step *step)
+struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_request_info *facts,
+			     int64_t arrived_ms, int64_t now_ms, struct cw_step *step)
 {
 	struct cw_call *call = g_new0(struct cw_call, 1);
 
@@ -55,8 +55,7 @@
 	return call;
 }
 
-void cw_call_turn_away(struct cw_call *call, int64_t now_ms, const char *reason,
-		       struct cw_step *step)
+void cw_call_reject(struct cw_call *call, int64_t now_ms, const char *reason, struct cw_step *step)
 {
 	if (step->kind != CW_STEP_SEND)
 		return;
@@ -66,27 +65,27 @@
 	call_reject_not_run(call, step, reason, now_ms);
 }
 
-void cw_call_head(struct cw_call *call, const struct cw_answer_facts *answer, int64_t now_ms,
-		  struct cw_step *step)
+void cw_call_handle_head(struct cw_call *call, const struct cw_response_head *answer,
+			 int64_t now_ms, struct cw_step *step)
 {
 	struct cw_load load = {
 		.running = answer->running, .queued = answer->queued, .slots = answer->slots};
 
 	memset(step, 0, sizeof(*step));
-	step->asked_confidence = -1;
+	step->confidence_threshold = -1;
 	if (answer->has_load) {
 		cw_pool_reported(call->server, &load, now_ms);
 		gate_add_load_report(call->gate, call->service_name, &load, now_ms);
 		call_work_load_reported(call, &load, now_ms);
 	}
-	if (answer->has_cold)
+	if (answer->has_warmup_time)
 		cw_warmup_told(&call->server->warmup, answer->cold_ms, now_ms);
-	step->was_loaded = call->server_was_loaded;
+	step->was_under_load = call->server_was_loaded;
 	if (answer->is_not_run) {
 		release_server(call, now_ms, 0);
 		call_model_fall_back(call);
 		/* A different server at a reused address is no evidence of overload. */
-		if (!answer->is_stranger)
+		if (!answer->is_other_server)
 			gate_count_rejected(call->gate, call->service_name, now_ms);
 		if (take_retry(call, now_ms) && dispatch_attempt(call, now_ms, step))
 			return;
@@ -98,8 +97,8 @@
 		return;
 	}
 	call->may_have_run = 1;
-	if (answer->is_encoded || (answer->status < 400 && !answer->is_sealed)) {
-		cw_call_broken(call, CW_BREAK_GARBLED, now_ms, step);
+	if (answer->is_encoded || (answer->status < 400 && !answer->is_signed)) {
+		cw_call_handle_failure(call, CW_ATTEMPT_MALFORMED, now_ms, step);
 		return;
 	}
 	if (answer->status >= 500) {
@@ -111,7 +110,7 @@
 			step->kind = CW_STEP_ABORT;
 			return;
 		}
-		if (!answer->is_sealed) {
+		if (!answer->is_signed) {
 			call_fail(call, step, "a backend server failed");
 			return;
 		}
@@ -128,9 +127,10 @@
 		step->reason = "no_server";
 		call->model_index = small_index;
 	}
-	step->kind = CW_STEP_SHOW;
-	step->silence_ms = call->route->repeat == CW_REPEAT_STREAM ? event_gap_timeout_ms(call)
-								   : idle_timeout_ms(call, now_ms);
+	step->kind = CW_STEP_FORWARD;
+	step->silence_ms = call->route->retry_policy == CW_RETRY_STREAM
+				   ? event_gap_timeout_ms(call)
+				   : idle_timeout_ms(call, now_ms);
 }
 
 int cw_call_wants_event(const struct cw_call *call, int64_t event)
@@ -138,7 +138,7 @@
 	return event < 0 || event > call->last_event;
 }
 
-void cw_call_event(struct cw_call *call, int64_t event, int64_t now_ms)
+void cw_call_add_event(struct cw_call *call, int64_t event, int64_t now_ms)
 {
 	call->has_forwarded = 1;
 	call->events_forwarded++;
@@ -146,11 +146,12 @@
 		call->last_event = event;
 }
 
-void cw_call_broken(struct cw_call *call, enum cw_break how, int64_t now_ms, struct cw_step *step)
+void cw_call_handle_failure(struct cw_call *call, enum cw_attempt_failure how, int64_t now_ms,
+			    struct cw_step *step)
 {
 	memset(step, 0, sizeof(*step));
-	if (how == CW_BREAK_UNSENT || how == CW_BREAK_REFUSED) {
-		if (how == CW_BREAK_UNSENT)
+	if (how == CW_ATTEMPT_NO_CONNECTION || how == CW_ATTEMPT_CONNECTION_REFUSED) {
+		if (how == CW_ATTEMPT_NO_CONNECTION)
 			cw_pool_unheard(call->server);
 		cw_pool_refused(call->server, now_ms, gate_random(call->gate));
 		cw_quarantine_gone(call->gate->quarantine, call->server->id, now_ms);
@@ -168,7 +169,7 @@
 		return;
 	}
 	call->may_have_run = 1;
-	if (how == CW_BREAK_BROKEN)
+	if (how == CW_ATTEMPT_CONNECTION_LOST)
 		call_record_crash(call, now_ms);
 	else
 		call_record_abandoned(call, call->server, now_ms);
@@ -177,7 +178,7 @@
 	retry_or_fail(call, now_ms, step, "the backend server's answer was not whole");
 }
 
-void cw_call_done(struct cw_call *call, int64_t now_ms)
+void cw_call_complete(struct cw_call *call, int64_t now_ms)
 {
 	if (!call->server)
 		return;
@@ -191,7 +192,7 @@
 	release_server(call, now_ms, 1);
 }
 
-void cw_call_expired(struct cw_call *call, int64_t now_ms, struct cw_step *step)
+void cw_call_expire(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	memset(step, 0, sizeof(*step));
 	if (call->server)
@@ -205,7 +206,7 @@
 }
 
 /* A copy waiting in a server's queue would crash that server too, so the attempt is cancelled. */
-void cw_call_stop(struct cw_call *call, int64_t now_ms, struct cw_step *step)
+void cw_call_abort(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	memset(step, 0, sizeof(*step));
 	if (call->server)
@@ -227,12 +228,12 @@
 }
 
 /* With no attempt left, a server that only seems unreachable is better than none. */
-int cw_call_may_leave(const struct cw_call *call)
+int cw_call_may_change_server(const struct cw_call *call)
 {
 	return is_retriable(call) && (int)call->attempts < call->route->max_attempts;
 }
 
-int64_t cw_call_limit_ms(const struct cw_call *call)
+int64_t cw_call_deadline_ms(const struct cw_call *call)
 {
 	return call->deadline_ms;
 }
@@ -287,8 +288,8 @@
 	waited_ms =
 		gate_update_longest_wait(call->gate, call->route->name, call->facts.allowed_ms) -
 		call->facts.allowed_ms;
-	cw_rollouts_asked(call->gate->rollouts, call->service_name, call->session,
-			  call->opened_ms - waited_ms, call->opened_ms);
+	cw_rollouts_record_retry(call->gate->rollouts, call->service_name, call->session,
+				 call->opened_ms - waited_ms, call->opened_ms);
 }
 
 /* Sets route, organisation and service; 0: rejected. */
@@ -313,10 +314,10 @@
 		call->facts.body);
 	call->session = session_key(call);
 	call->route_hash = cw_hash_text(call->route->name, 0);
-	call->service_name = cw_route_service(
+	call->service_name = cw_route_choose_service(
 		call->route, cw_hash(&call->session, sizeof(call->session), SERVICE_HASH_SEED));
 	record_wait(call);
-	call->service = cw_config_service(config, call->service_name);
+	call->service = cw_config_find_service(config, call->service_name);
 	return 1;
 }
 
@@ -349,7 +350,7 @@
 
 	call->is_output_heavy = call_work_is_output_heavy(call);
 	if (call->is_output_heavy)
-		kinds |= CW_ROLLOUT_FILLING;
+		kinds |= CW_ROLLOUT_LONG_RUNNING;
 	if (call_work_is_light(call))
 		kinds |= CW_ROLLOUT_SHORT_PROMPT;
 	cw_rollouts_record_arrival(call->gate->rollouts, &request, kinds,
@@ -372,15 +373,15 @@
 	call->sent_ms = now_ms;
 	gate_count_sent(call->gate, call->service_name, now_ms);
 	call_work_begin(call, is_affinity_server, now_ms);
-	cw_rollouts_used(call->gate->rollouts, call->service_name, call->session, server->software,
-			 now_ms);
+	cw_rollouts_record_dispatch(call->gate->rollouts, call->service_name, call->session,
+				    server->software, now_ms);
 	call->attempts++;
 	call->tried[call->tried_count++ % CW_MAX_ATTEMPTS] = server->id;
 	cw_pool_dispatched(server, now_ms);
 	step->kind = CW_STEP_SEND;
 	step->server = server;
 	step->connect_ms = connect_timeout_ms(call);
-	step->reuse_idle_ms = call->route->repeat == CW_REPEAT_NEVER
+	step->reuse_idle_ms = call->route->retry_policy == CW_RETRY_NEVER
 				      ? NON_REPEATABLE_REUSE_IDLE_MS
 				      : (int64_t)policy->reuse_idle_ms;
 	step->silence_ms = idle_timeout_ms(call, now_ms);
@@ -460,7 +461,7 @@
 {
 	double pause_ms = call->gate->policy->pause_part * (double)call->route->pause_ms;
 
-	if (!cw_call_may_leave(call))
+	if (!cw_call_may_change_server(call))
 		return MAX((int64_t)pause_ms, LAST_ATTEMPT_GAP_MS);
 	return MAX((int64_t)pause_ms, 1);
 }
@@ -496,10 +497,10 @@
 /* Whether the request may run twice is the route's setting, never inferred from a name. */
 static int is_retriable(const struct cw_call *call)
 {
-	switch (call->route->repeat) {
-	case CW_REPEAT_ANY:
+	switch (call->route->retry_policy) {
+	case CW_RETRY_ANY:
 		return !call->has_forwarded;
-	case CW_REPEAT_STREAM:
+	case CW_RETRY_STREAM:
 		return call->route->is_resumable;
 	case CW_RETRY_NEVER:
 		break;
--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -12,7 +12,7 @@
 static struct cw_server *choose_begun_version(const struct cw_call *call,
 					      const struct cw_choice *choice);
 static void fill_choice(struct cw_call *call, int64_t now_ms, struct cw_choice *choice);
-static uint64_t prefix_key(const struct cw_facts *facts);
+static uint64_t prefix_key(const struct cw_request_info *facts);
 
 struct cw_rollout_request call_rollout_request(const struct cw_call *call)
 {
@@ -44,7 +44,7 @@
 	case CW_ROLLOUT_VARIANT_NEW:
 		choice.only_software = target;
 		choice.spread = call->assignment.share;
-		if (cw_rollouts_wants_load(gate->rollouts, call->service_name, now_ms))
+		if (cw_rollouts_needs_load_trial(gate->rollouts, call->service_name, now_ms))
 			choice.fill_part = call->is_output_heavy      ? TRIAL_FILL_TARGET
 					   : call_work_is_light(call) ? TRIAL_FULL_TARGET
 								      : 0;
@@ -63,7 +63,7 @@
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
 	/* Unless the roll-out found a version bad, the other version may answer as well. */
-	if (!server && !cw_rollouts_is_bad(gate->rollouts, call->service_name)) {
+	if (!server && !cw_rollouts_is_rolled_back(gate->rollouts, call->service_name)) {
 		choice.only_software = choice.not_software = choice.not_yet = NULL;
 		server = cw_pool_choose(gate->pool, &choice);
 	}
@@ -110,7 +110,8 @@
 {
 	struct cw_choice begun = *choice;
 
-	if (!call->has_forwarded || cw_rollouts_is_bad(call->gate->rollouts, call->service_name))
+	if (!call->has_forwarded ||
+	    cw_rollouts_is_rolled_back(call->gate->rollouts, call->service_name))
 		return NULL;
 	begun.only_software = call->software;
 	begun.not_software = NULL;
@@ -118,11 +119,11 @@
 }
 
 /* Key of the longest prompt prefix: all segments but the last, which is the request's own. */
-static uint64_t prefix_key(const struct cw_facts *facts)
+static uint64_t prefix_key(const struct cw_request_info *facts)
 {
 	uint64_t key = 0;
 
-	for (size_t i = 0; i + 1 < facts->part_count; i++)
-		key = cw_hash(&facts->parts[i].id, sizeof(facts->parts[i].id), key + 1);
+	for (size_t i = 0; i + 1 < facts->segment_count; i++)
+		key = cw_hash(&facts->segments[i].id, sizeof(facts->segments[i].id), key + 1);
 	return key;
 }
--- a/packages/gate/src/call_held.c
+++ b/packages/gate/src/call_held.c
@@ -4,14 +4,14 @@
 static int start_trial(struct cw_call *call);
 static struct cw_quarantine_request quarantine_request(const struct cw_call *call);
 
-int cw_call_is_held(const struct cw_call *call)
+int cw_call_is_quarantined(const struct cw_call *call)
 {
 	return !call->is_trial && cw_quarantine_holds(call->gate->quarantine, call->fingerprint);
 }
 
 int call_has_single_attempt(const struct cw_call *call)
 {
-	return call->is_trial || cw_call_is_held(call);
+	return call->is_trial || cw_call_is_quarantined(call);
 }
 
 /*
@@ -20,7 +20,7 @@
  */
 int call_reject_quarantined(struct cw_call *call, struct cw_step *step)
 {
-	if (!cw_call_is_held(call))
+	if (!cw_call_is_quarantined(call))
 		return 0;
 	if (start_trial(call))
 		return 0;
--- a/packages/gate/src/call_model.c
+++ b/packages/gate/src/call_model.c
@@ -9,7 +9,7 @@
 #define RAMP_START (1 / 3.0)  /* of escalate_late_part: the threshold starts to fall */
 #define RAMP_END   (16 / 9.0) /* of escalate_late_part: 0, for escalations would only add queue */
 
-static const char *escalation_blocker(struct cw_call *call, const struct cw_answer_facts *answer,
+static const char *escalation_blocker(struct cw_call *call, const struct cw_response_head *answer,
 				      int64_t now_ms, struct cw_step *step);
 static int required_confidence(struct cw_call *call, int64_t now_ms);
 static double slot_headroom(struct cw_call *call, int64_t now_ms);
@@ -25,7 +25,7 @@
 	struct cw_rollouts *rollouts = call->gate->rollouts;
 	struct cw_rollout_request request = call_rollout_request(call);
 
-	return call->is_output_heavy && cw_rollouts_is_filler(rollouts, &request, now_ms);
+	return call->is_output_heavy && cw_rollouts_is_trial_load(rollouts, &request, now_ms);
 }
 
 /* The caller named no model and the route has two or more. */
@@ -50,7 +50,7 @@
  * A small model's answer with low confidence is replaced by the largest model's before anything is
  * forwarded to the caller. Escalations draw on the retry budget.
  */
-int call_model_should_escalate(struct cw_call *call, const struct cw_answer_facts *answer,
+int call_model_should_escalate(struct cw_call *call, const struct cw_response_head *answer,
 			       int64_t now_ms, struct cw_step *step)
 {
 	step->reason = escalation_blocker(call, answer, now_ms, step);
@@ -58,7 +58,7 @@
 }
 
 /* NULL: escalate. The retry budget is checked last, because the check spends from it. */
-static const char *escalation_blocker(struct cw_call *call, const struct cw_answer_facts *answer,
+static const char *escalation_blocker(struct cw_call *call, const struct cw_response_head *answer,
 				      int64_t now_ms, struct cw_step *step)
 {
 	if (answer->status >= 300 || answer->confidence < 0 || !call_model_is_selectable(call))
@@ -72,8 +72,8 @@
 		return "servers_reject";
 	if (!call_work_fits_deadline(call, now_ms))
 		return "too_long";
-	step->asked_confidence = required_confidence(call, now_ms);
-	if (answer->confidence >= step->asked_confidence)
+	step->confidence_threshold = required_confidence(call, now_ms);
+	if (answer->confidence >= step->confidence_threshold)
 		return "trusted";
 	if ((int)call->attempts >= call->route->max_attempts)
 		return "attempts_spent";
--- a/packages/gate/src/call_refuse.c
+++ b/packages/gate/src/call_refuse.c
@@ -32,7 +32,7 @@
 
 void call_reject(struct cw_step *step, unsigned int status, const char *reason)
 {
-	step->kind = CW_STEP_REFUSE;
+	step->kind = CW_STEP_REJECT;
 	step->status = status;
 	step->run = CW_RUN_NOT;
 	step->retry_after_ms = -1;
--- a/packages/gate/src/call_work.c
+++ b/packages/gate/src/call_work.c
@@ -33,7 +33,7 @@
 static const char *timing_key(const struct cw_call *call);
 static double token_time_ms(const struct cw_call *call, const struct gate_timing *timing);
 static double uncached_tokens(const struct cw_call *call, int is_affinity_server);
-static double prefix_tokens(const struct cw_facts *facts);
+static double prefix_tokens(const struct cw_request_info *facts);
 static void learn_timing(struct cw_call *call, double took_ms);
 static int is_on_target_version(const struct cw_call *call);
 static void report_to_rollout(struct cw_call *call, int is_failure, int is_slow, int64_t now_ms);
@@ -43,8 +43,8 @@
 {
 	const struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 
-	choice->bytes = call->facts.sent_bytes;
-	if (call->facts.part_count == 0) {
+	choice->bytes = call->facts.body_bytes;
+	if (call->facts.segment_count == 0) {
 		choice->bytes += PLAIN_BYTES;
 		return;
 	}
@@ -60,7 +60,7 @@
 {
 	const struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 
-	if (call->facts.part_count == 0)
+	if (call->facts.segment_count == 0)
 		return (timing->samples ? timing->mean_ms : PLAIN_INITIAL_MS) +
 		       cw_pool_wait_ms(server, now_ms);
 	return call_work_queue_ms(call, server, now_ms) +
@@ -86,9 +86,9 @@
 	const struct gate_timing *timing = gate_get_timing(call->gate, largest);
 	double events;
 
-	if (!call->service || call->service->event_tokens <= 0 || timing->event_gap_ms <= 0)
+	if (!call->service || call->service->tokens_per_event <= 0 || timing->event_gap_ms <= 0)
 		return 1;
-	events = call->facts.hint_tokens / call->service->event_tokens;
+	events = call->facts.estimated_output_tokens / call->service->tokens_per_event;
 	return events * timing->event_gap_ms <
 	       call->gate->policy->escalate_whole_part * (double)(call->deadline_ms - now_ms);
 }
@@ -98,16 +98,16 @@
 {
 	double ratio;
 
-	if (call->facts.part_count == 0)
+	if (call->facts.segment_count == 0)
 		return 1;
-	ratio = call->facts.made_tokens / MAX(call->facts.read_tokens, 1);
+	ratio = call->facts.max_output_tokens / MAX(call->facts.read_tokens, 1);
 	return gate_update_output_ratio(call->gate, call->route->name, ratio) >=
 	       gate_update_output_ratio(call->gate, call->service_name, ratio);
 }
 
 int call_work_is_light(const struct cw_call *call)
 {
-	return call->facts.part_count > 0 && call->model_index == 0 &&
+	return call->facts.segment_count > 0 && call->model_index == 0 &&
 	       call->route->model_count > 1 &&
 	       call->facts.read_tokens * SMALL_MODEL_TOKEN_MS <= LIGHT_PREFILL_MS;
 }
@@ -123,7 +123,7 @@
 {
 	int is_quick = now_ms - call->sent_ms <= QUICK_ANSWER_MS;
 
-	if (call->facts.part_count > 0)
+	if (call->facts.segment_count > 0)
 		call->server_was_loaded = is_under_load(load->running, load->slots) &&
 					  (is_quick || call->server_reported_loaded);
 	else if (load->running < LOADED_FRACTION * load->slots)
@@ -151,7 +151,7 @@
 	call->server_was_idle = server->own_work_ms + server->peers_work_ms <= IDLE_BACKLOG_MAX_MS;
 	call->predicted_ms = call_work_predict_ms(call, server, is_affinity_server, now_ms);
 	call->uncached_tokens = 0;
-	if (call->facts.part_count == 0)
+	if (call->facts.segment_count == 0)
 		return;
 	call->uncached_tokens = uncached_tokens(call, is_affinity_server);
 	call->work_ms = call->uncached_tokens * token_time_ms(call, timing);
@@ -164,7 +164,7 @@
 {
 	double took_ms = (double)(now_ms - call->sent_ms);
 	double ratio = took_ms / (call->predicted_ms + SLOW_MARGIN_MS);
-	int is_plain = call->facts.part_count == 0;
+	int is_plain = call->facts.segment_count == 0;
 	int is_slow = ratio > (is_plain ? PLAIN_SLOW_FACTOR : SLOW_FACTOR);
 
 	if (call->is_head_seen)
@@ -189,7 +189,7 @@
 		return;
 	gap_ms = (double)(now_ms - call->head_ms) / call->events_forwarded;
 	if (timing->event_gap_ms > 0 && gap_ms > SLOW_FACTOR * timing->event_gap_ms)
-		cw_rollouts_spoiled(call->gate->rollouts, &answer, now_ms);
+		cw_rollouts_mark_answer_slow(call->gate->rollouts, &answer, now_ms);
 	if (timing->event_gap_ms <= 0)
 		timing->event_gap_ms = gap_ms;
 	else if (!is_on_target_version(call))
@@ -212,7 +212,7 @@
 /* Timing is learned per model for prompts, and per service for plain requests. */
 static const char *timing_key(const struct cw_call *call)
 {
-	return call->facts.part_count > 0 ? cw_call_model(call) : call->service_name;
+	return call->facts.segment_count > 0 ? cw_call_model(call) : call->service_name;
 }
 
 /* Without samples: between the smallest and the largest model's, by the model's position. */
@@ -238,12 +238,12 @@
 }
 
 /* Tokens of all prompt segments but the last, which is the request's own. */
-static double prefix_tokens(const struct cw_facts *facts)
+static double prefix_tokens(const struct cw_request_info *facts)
 {
 	double tokens = 0;
 
-	for (size_t i = 0; i + 1 < facts->part_count; i++)
-		tokens += facts->parts[i].tokens;
+	for (size_t i = 0; i + 1 < facts->segment_count; i++)
+		tokens += facts->segments[i].tokens;
 	return tokens;
 }
 
@@ -256,7 +256,7 @@
 	struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 	double sample;
 
-	if (call->facts.part_count == 0) {
+	if (call->facts.segment_count == 0) {
 		timing->mean_ms =
 			timing->samples++
 				? timing->mean_ms + PLAIN_EWMA_GAIN * (took_ms - timing->mean_ms)
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -52,7 +52,7 @@
 	g_free(gate);
 }
 
-void cw_gate_divide(struct cw_gate *gate, size_t instances)
+void cw_gate_set_instances(struct cw_gate *gate, size_t instances)
 {
 	gate->instances = instances;
 }
@@ -108,9 +108,9 @@
 		get_or_create(gate->retry_budgets, service, sizeof(struct cw_repeats), &is_new);
 
 	if (is_new)
-		cw_repeats_open(repeats, gate->options.repeat_ratio, 0,
-				gate->options.repeat_window_ms);
-	repeats->slack = cw_repeats_part(gate->options.repeat_slack, gate->instances);
+		cw_repeats_open(repeats, gate->options.retry_ratio, 0,
+				gate->options.retry_window_ms);
+	repeats->slack = cw_repeats_part(gate->options.retry_slack, gate->instances);
 	return repeats;
 }
 
--- a/packages/gate/src/gate_internal.h
+++ b/packages/gate/src/gate_internal.h
@@ -45,7 +45,7 @@
 struct cw_call {
 	struct cw_gate *gate;
 	struct cw_config *config;
-	struct cw_facts facts;
+	struct cw_request_info facts;
 	const struct cw_route *route;
 	const struct cw_organisation *organisation; /* NULL: public route */
 	const struct cw_service *service;
@@ -126,7 +126,7 @@
 int call_model_is_selectable(const struct cw_call *call); /* the gate chooses among several */
 int call_model_fills_trial(const struct cw_call *call,
 			   int64_t now_ms); /* start with the largest, to load a version on trial */
-int call_model_should_escalate(struct cw_call *call, const struct cw_answer_facts *answer,
+int call_model_should_escalate(struct cw_call *call, const struct cw_response_head *answer,
 			       int64_t now_ms,
 			       struct cw_step *step); /* 0: step.reason says why not */
 void call_model_fall_back(struct cw_call *call);      /* to the smallest, after a rejection */
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -211,7 +211,7 @@
 	rating->score = (unsigned int)lround(CLAMP(score, 0, 1) * THOUSAND);
 	rating->tokens = tokens;
 	node->next_rating++;
-	cw_cascade_rated(node->cascade, task, common, version, score);
+	cw_cascade_add_rating(node->cascade, task, common, version, score);
 	if (cw_health_rated(node->health, version, score, node->now_ms))
 		gossip_tripped(node, version, "ratings");
 }
@@ -392,10 +392,10 @@
 		if (beat->first_rating + i < seen->next)
 			continue;
 		seen->next = beat->first_rating + i + 1;
-		cw_cascade_rated(node->cascade, rating->task, rating->common, rating->model_version,
-				 rating->score / THOUSAND);
-		cw_cascade_cost(node->cascade, rating->task, rating->common, rating->model_version,
-				rating->tokens);
+		cw_cascade_add_rating(node->cascade, rating->task, rating->common,
+				      rating->model_version, rating->score / THOUSAND);
+		cw_cascade_add_cost(node->cascade, rating->task, rating->common,
+				    rating->model_version, rating->tokens);
 	}
 }
 
--- a/packages/node/src/node_internal.h
+++ b/packages/node/src/node_internal.h
@@ -67,10 +67,10 @@
 	unsigned int shown;
 	int resumed; /* the stream was resumed on its server once since it last moved */
 
-	struct cw_option options[CW_MAX_VERSIONS]; /* of "auto" */
+	struct cw_cascade_option options[CW_MAX_VERSIONS]; /* of "auto" */
 	char option_model[CW_MAX_VERSIONS][CW_NAME_MAX];
 	char option_version[CW_MAX_VERSIONS][CW_NAME_MAX];
-	struct cw_cascade_in choice;
+	struct cw_cascade_request choice;
 	struct cw_plan plan;
 	int planned;
 	int escalated;
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -57,7 +57,7 @@
 		return;
 	then = request->plan.then;
 	/* Without a rating the cheap answer is not known to be good enough: the costly one is. */
-	if (score >= 0 && !cw_cascade_falls_short(&request->choice, score)) {
+	if (score >= 0 && !cw_cascade_should_escalate(&request->choice, score)) {
 		request_finish(node, request);
 		return;
 	}
@@ -247,7 +247,7 @@
 static void attempt_answered(struct cw_node *node, struct request *request,
 			     const struct cw_attempt_end *end)
 {
-	uint64_t task = cw_cascade_task(request->organisation, request->in.task);
+	uint64_t task = cw_cascade_task_key(request->organisation, request->in.task);
 	double draw;
 
 	request->http_status = end->http_status;
@@ -256,8 +256,8 @@
 		request_finish(node, request);
 		return;
 	}
-	cw_cascade_cost(node->cascade, task, cw_cascade_task("", request->in.task),
-			request->version_id, end->prompt_tokens + end->completion_tokens);
+	cw_cascade_add_cost(node->cascade, task, cw_cascade_task_key("", request->in.task),
+			    request->version_id, end->prompt_tokens + end->completion_tokens);
 	if (request->planned && request->plan.check && !request->escalated) {
 		request->state = REQUEST_RATING;
 		request->wait_until_ms = MIN(node->now_ms + RATE_TIMEOUT_MS, request->deadline_ms);
@@ -348,8 +348,8 @@
 	g_strlcpy(effect->rate.model, request->model, CW_NAME_MAX);
 	g_strlcpy(effect->rate.version, request->version, CW_NAME_MAX);
 	g_strlcpy(effect->rate.task_name, request->in.task, CW_NAME_MAX);
-	effect->rate.task = cw_cascade_task(request->organisation, request->in.task);
-	effect->rate.common = cw_cascade_task("", request->in.task);
+	effect->rate.task = cw_cascade_task_key(request->organisation, request->in.task);
+	effect->rate.common = cw_cascade_task_key("", request->in.task);
 	effect->rate.version_id = request->version_id;
 	effect->rate.tokens = last->prompt_tokens + last->completion_tokens;
 	effect->rate.checked = checked;
--- a/packages/node/src/request_choice.c
+++ b/packages/node/src/request_choice.c
@@ -123,11 +123,11 @@
 	}
 	if (request->choice.count == 0)
 		return allowed ? CHOICE_NO_WEIGHT : CHOICE_NOT_ALLOWED;
-	request->choice.task = cw_cascade_task(request->organisation, request->in.task);
-	request->choice.common = cw_cascade_task("", request->in.task);
+	request->choice.task = cw_cascade_task_key(request->organisation, request->in.task);
+	request->choice.common = cw_cascade_task_key("", request->in.task);
 	/* A session stays on one version, so it is not sent to a second one; nor can a stream be
 	 * taken back. */
-	request->choice.may_check =
+	request->choice.can_check =
 		!(request->in.flags & CW_REQUEST_STREAM) && !request->binding.key;
 	request->choice.random = node_random(node);
 	cw_cascade_plan(node->cascade, &request->choice, &request->plan);
--- a/tests/bench/experiment.c
+++ b/tests/bench/experiment.c
@@ -101,7 +101,7 @@
 	static const char *const columns[] = {"cost/1k requests", "mean quality",
 					      "worst task's mean", "answered %"};
 	static const struct cw_cascade_policy *const policies[] = {
-		&cw_cascade_learned, &cw_cascade_costly, &cw_cascade_cheap};
+		&cw_cascade_learned, &cw_cascade_always_costliest, &cw_cascade_always_cheapest};
 	static const double targets[] = {0.70, 0.75, 0.80, 0.85, 0.90};
 
 	for (int stream = 0; stream < 2; stream++) {
--- a/tests/fuzz/users_input.c
+++ b/tests/fuzz/users_input.c
@@ -28,7 +28,7 @@
 	struct cw_gate *gate;
 	struct cw_config *config;
 	struct account account;
-	struct cw_facts facts;
+	struct cw_request_info facts;
 	struct cw_step step;
 	int64_t now_ms;
 };
@@ -214,14 +214,14 @@
 	struct cw_gate_options options = {
 		.failure_domain = "d0",
 		.seed = 3,
-		.repeat_ratio = 0.9,
-		.repeat_slack = 5,
-		.repeat_window_ms = 10000,
+		.retry_ratio = 0.9,
+		.retry_slack = 5,
+		.retry_window_ms = 10000,
 		.rollouts = {.session_ms = 5000, .exposed_share = 0.15, .exposed_slack = 30},
 	};
 
 	stage->gate = cw_gate_create(&options);
-	cw_gate_divide(stage->gate, 1);
+	cw_gate_set_instances(stage->gate, 1);
 	stage->config = cw_config_create(1);
 	add_route(stage->config, "/once/", CW_RETRY_NEVER, 3);
 	add_route(stage->config, "/any/", CW_RETRY_ANY, 2);
@@ -274,7 +274,7 @@
 static void act(struct stage *stage)
 {
 	struct account *account = &stage->account;
-	struct cw_answer_facts answer = {.confidence = -1};
+	struct cw_response_head answer = {.confidence = -1};
 	int choice = next(stage);
 
 	stage->now_ms += choice / 8;
@@ -292,41 +292,45 @@
 	case 0:
 	case 1:
 		answer.status = choice % 16 == 1 ? 500 : 200;
-		answer.is_sealed = choice % 32 < 28;
+		answer.is_signed = choice % 32 < 28;
 		answer.confidence = choice;
 		answer.has_load = choice & 1;
 		answer.running = (unsigned int)choice;
 		account->may_ran = 1;
-		cw_call_head(account->call, &answer, stage->now_ms, &stage->step);
+		cw_call_handle_head(account->call, &answer, stage->now_ms, &stage->step);
 		break;
 	case 2:
 		answer.status = 503;
 		answer.is_not_run = 1;
-		cw_call_head(account->call, &answer, stage->now_ms, &stage->step);
+		cw_call_handle_head(account->call, &answer, stage->now_ms, &stage->step);
 		break;
 	case 3:
 		account->sends--;
-		cw_call_broken(account->call, choice & 8 ? CW_BREAK_UNSENT : CW_BREAK_REFUSED,
-			       stage->now_ms, &stage->step);
+		cw_call_handle_failure(account->call,
+				       choice & 8 ? CW_ATTEMPT_NO_CONNECTION
+						  : CW_ATTEMPT_CONNECTION_REFUSED,
+				       stage->now_ms, &stage->step);
 		break;
 	case 4:
 		account->may_ran = 1;
-		cw_call_broken(account->call, choice & 8 ? CW_BREAK_BROKEN : CW_BREAK_SILENT,
-			       stage->now_ms, &stage->step);
+		cw_call_handle_failure(account->call,
+				       choice & 8 ? CW_ATTEMPT_CONNECTION_LOST
+						  : CW_ATTEMPT_TIMED_OUT,
+				       stage->now_ms, &stage->step);
 		break;
 	case 5:
 		if (account->route->retry_policy != CW_RETRY_STREAM)
 			return;
 		account->is_shown = 1;
-		cw_call_event(account->call, choice, stage->now_ms);
+		cw_call_add_event(account->call, choice, stage->now_ms);
 		return;
 	case 6:
 		account->may_ran = 1;
-		cw_call_expired(account->call, stage->now_ms, &stage->step);
+		cw_call_expire(account->call, stage->now_ms, &stage->step);
 		break;
 	default:
 		account->is_over = 1;
-		cw_call_done(account->call, stage->now_ms);
+		cw_call_complete(account->call, stage->now_ms);
 		return;
 	}
 	take_step(stage);
@@ -345,7 +349,7 @@
 	stage->facts.path = paths[choice % 4];
 	stage->facts.allowed_ms = choice * 20;
 	stage->facts.last_event = CW_NO_EVENT;
-	stage->facts.part_count = choice % 3;
+	stage->facts.segment_count = choice % 3;
 	stage->facts.read_tokens = choice * 10;
 	account->call = cw_call_open(stage->gate, &stage->facts, stage->now_ms, stage->now_ms,
 				     &stage->step);
@@ -379,7 +383,7 @@
 		check(step->dispatch.allowed_ms <= MAX(stage->facts.allowed_ms, 1),
 		      "a server got more time than the caller gave");
 		break;
-	case CW_STEP_REFUSE:
+	case CW_STEP_REJECT:
 		account->is_over = 1;
 		check(!account->is_shown, "refused after a part was shown");
 		check((step->status != 503 && step->status != 429) || !account->may_ran,
@@ -391,7 +395,7 @@
 		account->is_over = 1;
 		check(account->is_shown, "cut off without a final answer");
 		break;
-	case CW_STEP_SHOW:
+	case CW_STEP_FORWARD:
 		account->is_showing = 1;
 		break;
 	}
--- a/tests/unit/gate_bed.c
+++ b/tests/unit/gate_bed.c
@@ -3,7 +3,8 @@
 #include <stdio.h>
 #include <string.h>
 
-void bed_add_server(struct bed *bed, const char *name, const char *service, const char *software)
+void fixture_add_server(struct fixture *fixture, const char *name, const char *service,
+			const char *software)
 {
 	struct cw_server_entry entry = {.slots = 8};
 
@@ -12,7 +13,7 @@
 	snprintf(entry.software, sizeof(entry.software), "%s", software);
 	snprintf(entry.address, sizeof(entry.address), "10.0.0.1:%d", 1000 + name[1]);
 	strcpy(entry.failure_domain, "d1");
-	assert_int_not_equal(cw_pool_list(cw_gate_pool(bed->gate), &entry, BED_NOW),
+	assert_int_not_equal(cw_pool_list(cw_gate_pool(fixture->gate), &entry, FIXTURE_NOW_MS),
 			     CW_LISTING_FULL);
 }
 
@@ -35,7 +36,7 @@
 	return route;
 }
 
-struct cw_config *bed_make_config(uint64_t version)
+struct cw_config *fixture_make_config(uint64_t version)
 {
 	struct cw_config *config = cw_config_create(version);
 	struct cw_organisation *organisation = cw_config_add_organisation(config);
@@ -65,62 +66,63 @@
 	return config;
 }
 
-void bed_open(struct bed *bed)
+void fixture_open(struct fixture *fixture)
 {
 	struct cw_gate_options options = {
 		.failure_domain = "d1",
 		.seed = 5,
-		.repeat_ratio = 0.5,
-		.repeat_slack = 10,
-		.repeat_window_ms = 10000,
+		.retry_ratio = 0.5,
+		.retry_slack = 10,
+		.retry_window_ms = 10000,
 		.cold_factor = 2,
 		.rollouts = {.session_ms = 5000, .exposed_share = 0.15, .exposed_slack = 30},
 	};
 
-	memset(bed, 0, sizeof(*bed));
-	bed->gate = cw_gate_create(&options);
-	cw_gate_divide(bed->gate, 1);
-	bed->config = bed_make_config(5);
-	cw_gate_configure(bed->gate, bed->config);
-	strcpy(bed->facts.id, "r1");
-	strcpy(bed->facts.host, "H.example:80");
-	strcpy(bed->facts.key, "key");
-	strcpy(bed->facts.model, CW_ANY_MODEL);
-	bed->facts.allowed_ms = 10000;
-	bed->facts.last_event = CW_NO_EVENT;
-	bed_add_server(bed, "s1", "orders", "v1");
-	bed_add_server(bed, "s2", "orders", "v1");
-	bed_add_server(bed, "e1", "llm", "v1");
-	bed_add_server(bed, "e2", "llm", "v1");
+	memset(fixture, 0, sizeof(*fixture));
+	fixture->gate = cw_gate_create(&options);
+	cw_gate_set_instances(fixture->gate, 1);
+	fixture->config = fixture_make_config(5);
+	cw_gate_configure(fixture->gate, fixture->config);
+	strcpy(fixture->facts.id, "r1");
+	strcpy(fixture->facts.host, "H.example:80");
+	strcpy(fixture->facts.key, "key");
+	strcpy(fixture->facts.model, CW_ANY_MODEL);
+	fixture->facts.allowed_ms = 10000;
+	fixture->facts.last_event = CW_NO_EVENT;
+	fixture_add_server(fixture, "s1", "orders", "v1");
+	fixture_add_server(fixture, "s2", "orders", "v1");
+	fixture_add_server(fixture, "e1", "llm", "v1");
+	fixture_add_server(fixture, "e2", "llm", "v1");
 }
 
-void bed_close(struct bed *bed)
+void fixture_close(struct fixture *fixture)
 {
-	cw_call_close(bed->call, BED_NOW);
-	cw_gate_destroy(bed->gate);
-	cw_config_unref(bed->config);
+	cw_call_close(fixture->call, FIXTURE_NOW_MS);
+	cw_gate_destroy(fixture->gate);
+	cw_config_unref(fixture->config);
 }
 
-void bed_ask(struct bed *bed, const char *path)
+void fixture_open_call(struct fixture *fixture, const char *path)
 {
-	cw_call_close(bed->call, BED_NOW);
-	bed->facts.path = path;
-	bed->call = cw_call_open(bed->gate, &bed->facts, BED_NOW, BED_NOW, &bed->step);
+	cw_call_close(fixture->call, FIXTURE_NOW_MS);
+	fixture->facts.path = path;
+	fixture->call = cw_call_open(fixture->gate, &fixture->facts, FIXTURE_NOW_MS, FIXTURE_NOW_MS,
+				     &fixture->step);
 }
 
-void bed_answer(struct bed *bed, unsigned int status, int is_sealed, int is_not_run)
+void fixture_answer(struct fixture *fixture, unsigned int status, int is_signed, int is_not_run)
 {
-	struct cw_answer_facts facts = {.status = status,
-					.is_sealed = is_sealed,
-					.is_not_run = is_not_run,
-					.confidence = -1};
+	struct cw_response_head facts = {.status = status,
+					 .is_signed = is_signed,
+					 .is_not_run = is_not_run,
+					 .confidence = -1};
 
-	cw_call_head(bed->call, &facts, BED_NOW + 10, &bed->step);
+	cw_call_handle_head(fixture->call, &facts, FIXTURE_NOW_MS + 10, &fixture->step);
 }
 
-void bed_assert_refused(const struct bed *bed, unsigned int status, enum cw_run run)
+void fixture_assert_rejected(const struct fixture *fixture, unsigned int status, enum cw_run run)
 {
-	assert_int_equal(bed->step.kind, CW_STEP_REFUSE);
-	assert_int_equal(bed->step.status, status);
-	assert_int_equal(bed->step.run, run);
+	assert_int_equal(fixture->step.kind, CW_STEP_REJECT);
+	assert_int_equal(fixture->step.status, status);
+	assert_int_equal(fixture->step.run, run);
 }
--- a/tests/unit/gate_bed.h
+++ b/tests/unit/gate_bed.h
@@ -8,22 +8,24 @@
 #include "cw_gate.h"
 #include "unit.h"
 
-#define BED_NOW 100000
+#define FIXTURE_NOW_MS 100000
 
-struct bed {
+struct fixture {
 	struct cw_gate *gate;
 	struct cw_config *config;
-	struct cw_facts facts;
+	struct cw_request_info facts;
 	struct cw_step step;
 	struct cw_call *call;
 };
 
-void bed_open(struct bed *bed);
-void bed_close(struct bed *bed);
-void bed_add_server(struct bed *bed, const char *name, const char *service, const char *software);
-struct cw_config *bed_make_config(uint64_t version);
-void bed_ask(struct bed *bed, const char *path); /* opens a request; closes the previous one */
-void bed_answer(struct bed *bed, unsigned int status, int is_sealed, int is_not_run);
-void bed_assert_refused(const struct bed *bed, unsigned int status, enum cw_run run);
+void fixture_open(struct fixture *fixture);
+void fixture_close(struct fixture *fixture);
+void fixture_add_server(struct fixture *fixture, const char *name, const char *service,
+			const char *software);
+struct cw_config *fixture_make_config(uint64_t version);
+void fixture_open_call(struct fixture *fixture,
+		       const char *path); /* opens a request; closes the previous one */
+void fixture_answer(struct fixture *fixture, unsigned int status, int is_signed, int is_not_run);
+void fixture_assert_rejected(const struct fixture *fixture, unsigned int status, enum cw_run run);
 
 #endif
--- a/tests/unit/test_overload.c
+++ b/tests/unit/test_overload.c
@@ -7,65 +7,65 @@
  * Guards against a retry storm: every answer of a failing service is retried as often as its route
  * allows, which triples the load, and the service doesn't recover.
  */
-static void repeats_stop_when_their_budget_is_spent(void **state)
+static void retries_stop_when_the_budget_is_spent(void **state)
 {
 	int sends = 0;
-	struct bed bed;
+	struct fixture fixture;
 
-	bed_open(&bed);
+	fixture_open(&fixture);
 	for (int i = 0; i < 100; i++) {
-		bed_ask(&bed, "/read/x");
-		while (bed.step.kind == CW_STEP_SEND) {
+		fixture_open_call(&fixture, "/read/x");
+		while (fixture.step.kind == CW_STEP_SEND) {
 			sends++;
-			bed_answer(&bed, 500, 1, 0);
+			fixture_answer(&fixture, 500, 1, 0);
 		}
 	}
 	assert_true(sends <= 100 + 100 / 2 + 10);
 	assert_true(sends > 140);
-	bed_close(&bed);
+	fixture_close(&fixture);
 }
 
-static void a_small_model_that_doubts_is_replaced_by_the_largest(void **state)
+static void a_low_confidence_answer_is_escalated_to_the_largest_model(void **state)
 {
-	struct cw_answer_facts low_confidence = {
-		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 30};
-	struct cw_answer_facts high_confidence = {
-		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 90};
-	struct bed bed;
-
-	bed_open(&bed);
-	bed_ask(&bed, "/chat/x");
-	assert_string_equal(bed.step.dispatch.model, "small");
-	cw_call_head(bed.call, &high_confidence, BED_NOW + 20, &bed.step);
-	assert_int_equal(bed.step.kind, CW_STEP_SHOW);
-	bed_ask(&bed, "/chat/x");
-	cw_call_head(bed.call, &low_confidence, BED_NOW + 20, &bed.step);
-	assert_int_equal(bed.step.kind, CW_STEP_SEND);
-	assert_string_equal(bed.step.dispatch.model, "large");
-	cw_call_head(bed.call, &low_confidence, BED_NOW + 40, &bed.step);
-	assert_int_equal(bed.step.kind, CW_STEP_SHOW);
-	bed_close(&bed);
+	struct cw_response_head low_confidence = {
+		.status = 200, .is_signed = 1, .is_event_stream = 1, .confidence = 30};
+	struct cw_response_head high_confidence = {
+		.status = 200, .is_signed = 1, .is_event_stream = 1, .confidence = 90};
+	struct fixture fixture;
+
+	fixture_open(&fixture);
+	fixture_open_call(&fixture, "/chat/x");
+	assert_string_equal(fixture.step.dispatch.model, "small");
+	cw_call_handle_head(fixture.call, &high_confidence, FIXTURE_NOW_MS + 20, &fixture.step);
+	assert_int_equal(fixture.step.kind, CW_STEP_FORWARD);
+	fixture_open_call(&fixture, "/chat/x");
+	cw_call_handle_head(fixture.call, &low_confidence, FIXTURE_NOW_MS + 20, &fixture.step);
+	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
+	assert_string_equal(fixture.step.dispatch.model, "large");
+	cw_call_handle_head(fixture.call, &low_confidence, FIXTURE_NOW_MS + 40, &fixture.step);
+	assert_int_equal(fixture.step.kind, CW_STEP_FORWARD);
+	fixture_close(&fixture);
 }
 
 /* Step after a small model's answer of that confidence, with a backlog at every engine. */
 static enum cw_step_kind step_with_backlog(double backlog_ms, int confidence)
 {
-	struct cw_answer_facts answer = {
-		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = confidence};
+	struct cw_response_head answer = {
+		.status = 200, .is_signed = 1, .is_event_stream = 1, .confidence = confidence};
 	struct cw_server *server;
-	struct bed bed;
+	struct fixture fixture;
 
-	bed_open(&bed);
-	bed.facts.part_count = 1;
-	bed.facts.read_tokens = 1;
-	TAILQ_FOREACH(server, cw_pool_servers(cw_gate_pool(bed.gate)), link) {
+	fixture_open(&fixture);
+	fixture.facts.segment_count = 1;
+	fixture.facts.read_tokens = 1;
+	TAILQ_FOREACH(server, cw_pool_servers(cw_gate_pool(fixture.gate)), link) {
 		server->peers_work_ms = backlog_ms;
-		server->peers_ms = BED_NOW;
+		server->peers_ms = FIXTURE_NOW_MS;
 	}
-	bed_ask(&bed, "/chat/x");
-	cw_call_head(bed.call, &answer, BED_NOW, &bed.step);
-	bed_close(&bed);
-	return bed.step.kind;
+	fixture_open_call(&fixture, "/chat/x");
+	cw_call_handle_head(fixture.call, &answer, FIXTURE_NOW_MS, &fixture.step);
+	fixture_close(&fixture);
+	return fixture.step.kind;
 }
 
 /*
@@ -73,7 +73,7 @@
  * prompts queue for seconds, and each low-confidence answer adds one. With a fixed threshold of 25
  * every second answer of a long prompt was late, and full engines rejected 9 in 100 requests.
  */
-static void the_trust_asked_for_falls_to_none_as_the_queue_grows(void **state)
+static void the_confidence_threshold_falls_to_zero_as_the_queue_grows(void **state)
 {
 	static const struct {
 		double backlog_ms; /* the large model adds 25; the objective is 300 */
@@ -86,9 +86,9 @@
 					 CW_STEP_SEND);
 		assert_int_equal(
 			step_with_backlog(steps[i].backlog_ms, MIN(steps[i].least + 4, 100)),
-			CW_STEP_SHOW);
+			CW_STEP_FORWARD);
 	}
-	assert_int_equal(step_with_backlog(5000, 0), CW_STEP_SHOW);
+	assert_int_equal(step_with_backlog(5000, 0), CW_STEP_FORWARD);
 }
 
 /*
@@ -96,40 +96,40 @@
  * prompt itself takes half of the objective and was counted as a queue. It concerned the longest
  * tenth of the report requests.
  */
-static void a_long_prompt_that_waits_for_nobody_gets_the_large_model(void **state)
+static void a_long_prompt_without_a_queue_gets_the_large_model(void **state)
 {
-	struct cw_answer_facts answer = {
-		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 35};
-	struct bed bed;
-
-	bed_open(&bed);
-	bed.facts.part_count = 1;
-	bed.facts.read_tokens = 3000; /* 150 ms of an objective of 300 */
-	bed_ask(&bed, "/chat/x");
-	cw_call_head(bed.call, &answer, BED_NOW + 5, &bed.step);
-	assert_int_equal(bed.step.kind, CW_STEP_SEND);
-	bed_close(&bed);
+	struct cw_response_head answer = {
+		.status = 200, .is_signed = 1, .is_event_stream = 1, .confidence = 35};
+	struct fixture fixture;
+
+	fixture_open(&fixture);
+	fixture.facts.segment_count = 1;
+	fixture.facts.read_tokens = 3000; /* 150 ms of an objective of 300 */
+	fixture_open_call(&fixture, "/chat/x");
+	cw_call_handle_head(fixture.call, &answer, FIXTURE_NOW_MS + 5, &fixture.step);
+	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
+	fixture_close(&fixture);
 }
 
 /* Step after the small model's answer, from an engine that reports the given load. */
 static enum cw_step_kind step_with_engine_load(unsigned int running, unsigned int queued,
 					       int confidence)
 {
-	struct cw_answer_facts answer = {.status = 200,
-					 .is_sealed = 1,
-					 .is_events = 1,
-					 .confidence = confidence,
-					 .has_load = 1,
-					 .running = running,
-					 .queued = queued,
-					 .slots = 16};
-	struct bed bed;
-
-	bed_open(&bed);
-	bed_ask(&bed, "/chat/x");
-	cw_call_head(bed.call, &answer, BED_NOW, &bed.step);
-	bed_close(&bed);
-	return bed.step.kind;
+	struct cw_response_head answer = {.status = 200,
+					  .is_signed = 1,
+					  .is_event_stream = 1,
+					  .confidence = confidence,
+					  .has_load = 1,
+					  .running = running,
+					  .queued = queued,
+					  .slots = 16};
+	struct fixture fixture;
+
+	fixture_open(&fixture);
+	fixture_open_call(&fixture, "/chat/x");
+	cw_call_handle_head(fixture.call, &answer, FIXTURE_NOW_MS, &fixture.step);
+	fixture_close(&fixture);
+	return fixture.step.kind;
 }
 
 /*
@@ -138,23 +138,23 @@
  * were rejected for 8 s at seven times the usual load. Predicting only the time to the first event
  * doesn't show that slots run out.
  */
-static void less_confidence_is_asked_for_as_slots_are_taken(void **state)
+static void the_confidence_threshold_falls_as_slots_are_taken(void **state)
 {
 	assert_int_equal(step_with_engine_load(4, 0, 55), CW_STEP_SEND);
 	assert_int_equal(step_with_engine_load(8, 0, 55), CW_STEP_SEND);
-	assert_int_equal(step_with_engine_load(11, 0, 55), CW_STEP_SHOW);
+	assert_int_equal(step_with_engine_load(11, 0, 55), CW_STEP_FORWARD);
 	assert_int_equal(step_with_engine_load(11, 0, 20), CW_STEP_SEND);
-	assert_int_equal(step_with_engine_load(15, 0, 20), CW_STEP_SHOW);
-	assert_int_equal(step_with_engine_load(16, 30, 0), CW_STEP_SHOW);
+	assert_int_equal(step_with_engine_load(15, 0, 20), CW_STEP_FORWARD);
+	assert_int_equal(step_with_engine_load(16, 30, 0), CW_STEP_FORWARD);
 }
 
 /* Sends count requests that their first server rejects, as in a burst. */
-static void reject(struct bed *bed, int count)
+static void reject(struct fixture *fixture, int count)
 {
 	for (int i = 0; i < count; i++) {
-		bed_ask(bed, "/once/x");
-		if (bed->step.kind == CW_STEP_SEND)
-			bed_answer(bed, 503, 0, 1);
+		fixture_open_call(fixture, "/once/x");
+		if (fixture->step.kind == CW_STEP_SEND)
+			fixture_answer(fixture, 503, 0, 1);
 	}
 }
 
@@ -164,29 +164,29 @@
  * servers, and the least urgent half of the callers got neither an answer nor a rejection as not
  * run.
  */
-static void the_least_urgent_are_refused_at_once_while_servers_reject(void **state)
+static void the_least_urgent_are_rejected_at_once_while_servers_reject(void **state)
 {
 	int refused[3] = {0};
-	struct bed bed;
+	struct fixture fixture;
 
 	for (int priority = 0; priority < 3; priority++) {
-		bed_open(&bed);
-		((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/once/x"))
+		fixture_open(&fixture);
+		((struct cw_route *)cw_config_find_route(fixture.config, "h.example", "/once/x"))
 			->priority = 2;
-		((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/read/x"))
+		((struct cw_route *)cw_config_find_route(fixture.config, "h.example", "/read/x"))
 			->priority = priority;
-		((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/read/x"))
+		((struct cw_route *)cw_config_find_route(fixture.config, "h.example", "/read/x"))
 			->limit_ms = 9000;
-		reject(&bed, 40);
+		reject(&fixture, 40);
 		for (int i = 0; i < 100; i++) {
-			bed_ask(&bed, "/read/x");
-			if (bed.step.kind != CW_STEP_REFUSE)
+			fixture_open_call(&fixture, "/read/x");
+			if (fixture.step.kind != CW_STEP_REJECT)
 				continue;
 			refused[priority]++;
-			bed_assert_refused(&bed, 503, CW_RUN_NOT);
-			assert_in_range(bed.step.retry_after_ms, 600, 9000 / 3);
+			fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+			assert_in_range(fixture.step.retry_after_ms, 600, 9000 / 3);
 		}
-		bed_close(&bed);
+		fixture_close(&fixture);
 	}
 	assert_int_equal(refused[0], 0);
 	assert_true(refused[1] > 5);
@@ -197,23 +197,23 @@
 static int64_t rejected_retry_after_ms(int rejected, int64_t limit_ms)
 {
 	int64_t wait_ms;
-	struct bed bed;
+	struct fixture fixture;
 
-	bed_open(&bed);
-	((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/chat/x"))->limit_ms =
-		limit_ms;
-	bed.facts.allowed_ms = limit_ms;
+	fixture_open(&fixture);
+	((struct cw_route *)cw_config_find_route(fixture.config, "h.example", "/chat/x"))
+		->limit_ms = limit_ms;
+	fixture.facts.allowed_ms = limit_ms;
 	for (int i = 0; i < 40; i++) {
-		bed_ask(&bed, "/chat/x");
-		bed_answer(&bed, i < rejected ? 503 : 200, i >= rejected, i < rejected);
+		fixture_open_call(&fixture, "/chat/x");
+		fixture_answer(&fixture, i < rejected ? 503 : 200, i >= rejected, i < rejected);
 	}
 	do {
-		bed_ask(&bed, "/chat/x");
-		while (bed.step.kind == CW_STEP_SEND)
-			bed_answer(&bed, 503, 0, 1);
-	} while (bed.step.kind != CW_STEP_REFUSE);
-	wait_ms = bed.step.retry_after_ms;
-	bed_close(&bed);
+		fixture_open_call(&fixture, "/chat/x");
+		while (fixture.step.kind == CW_STEP_SEND)
+			fixture_answer(&fixture, 503, 0, 1);
+	} while (fixture.step.kind != CW_STEP_REJECT);
+	wait_ms = fixture.step.retry_after_ms;
+	fixture_close(&fixture);
 	return wait_ms;
 }
 
@@ -222,7 +222,7 @@
  * spent its only retry on the same full servers, and in a burst of 8 s 3,000 callers a second were
  * rejected twice.
  */
-static void the_more_is_rejected_the_later_callers_return(void **state)
+static void retry_after_grows_with_the_share_of_rejected_requests(void **state)
 {
 	/* All servers are full: close to the longest wait, a third of the caller's time. */
 	assert_in_range(rejected_retry_after_ms(40, 24000), 3500, 8000);
@@ -234,22 +234,23 @@
 }
 
 /* An organisation's priority takes precedence over the route's. */
-static void an_urgent_organisation_is_not_shed(void **state)
+static void requests_of_an_urgent_organisation_are_not_rejected(void **state)
 {
 	struct cw_organisation *organisation;
-	struct bed bed;
+	struct fixture fixture;
 
-	bed_open(&bed);
-	((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/read/x"))->priority = 2;
-	organisation = (struct cw_organisation *)cw_config_find_organisation(bed.config, "key");
+	fixture_open(&fixture);
+	((struct cw_route *)cw_config_find_route(fixture.config, "h.example", "/read/x"))
+		->priority = 2;
+	organisation = (struct cw_organisation *)cw_config_find_organisation(fixture.config, "key");
 	organisation->has_priority = 1;
 	organisation->priority = 0;
-	reject(&bed, 40);
+	reject(&fixture, 40);
 	for (int i = 0; i < 100; i++) {
-		bed_ask(&bed, "/read/x");
-		assert_int_equal(bed.step.kind, CW_STEP_SEND);
+		fixture_open_call(&fixture, "/read/x");
+		assert_int_equal(fixture.step.kind, CW_STEP_SEND);
 	}
-	bed_close(&bed);
+	fixture_close(&fixture);
 }
 
 /*
@@ -257,39 +258,39 @@
  * the largest model, no engine has room for that, and the last attempt asked the largest model
  * again.
  */
-static void what_full_engines_refuse_is_asked_of_the_small_model_again(void **state)
+static void an_escalation_rejected_by_full_engines_returns_to_the_small_model(void **state)
 {
-	struct cw_answer_facts low_confidence = {
-		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 30};
-	struct bed bed;
-
-	bed_open(&bed);
-	bed_ask(&bed, "/chat/x");
-	cw_call_head(bed.call, &low_confidence, BED_NOW + 20, &bed.step);
-	assert_string_equal(bed.step.dispatch.model, "large");
-	bed_answer(&bed, 503, 0, 1);
-	assert_int_equal(bed.step.kind, CW_STEP_SEND);
-	assert_string_equal(bed.step.dispatch.model, "small");
-	cw_call_head(bed.call, &low_confidence, BED_NOW + 40, &bed.step);
-	assert_int_equal(bed.step.kind, CW_STEP_SHOW);
-	bed_close(&bed);
+	struct cw_response_head low_confidence = {
+		.status = 200, .is_signed = 1, .is_event_stream = 1, .confidence = 30};
+	struct fixture fixture;
+
+	fixture_open(&fixture);
+	fixture_open_call(&fixture, "/chat/x");
+	cw_call_handle_head(fixture.call, &low_confidence, FIXTURE_NOW_MS + 20, &fixture.step);
+	assert_string_equal(fixture.step.dispatch.model, "large");
+	fixture_answer(&fixture, 503, 0, 1);
+	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
+	assert_string_equal(fixture.step.dispatch.model, "small");
+	cw_call_handle_head(fixture.call, &low_confidence, FIXTURE_NOW_MS + 40, &fixture.step);
+	assert_int_equal(fixture.step.kind, CW_STEP_FORWARD);
+	fixture_close(&fixture);
 }
 
-static void nothing_is_dropped_for_a_larger_model_while_engines_reject(void **state)
+static void answers_are_not_escalated_while_engines_reject(void **state)
 {
-	struct cw_answer_facts low_confidence = {
-		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 30};
-	struct bed bed;
+	struct cw_response_head low_confidence = {
+		.status = 200, .is_signed = 1, .is_event_stream = 1, .confidence = 30};
+	struct fixture fixture;
 
-	bed_open(&bed);
+	fixture_open(&fixture);
 	for (int i = 0; i < 10; i++) {
-		bed_ask(&bed, "/chat/x");
-		bed_answer(&bed, 503, 0, 1);
+		fixture_open_call(&fixture, "/chat/x");
+		fixture_answer(&fixture, 503, 0, 1);
 	}
-	bed_ask(&bed, "/chat/x");
-	cw_call_head(bed.call, &low_confidence, BED_NOW + 20, &bed.step);
-	assert_int_equal(bed.step.kind, CW_STEP_SHOW);
-	bed_close(&bed);
+	fixture_open_call(&fixture, "/chat/x");
+	cw_call_handle_head(fixture.call, &low_confidence, FIXTURE_NOW_MS + 20, &fixture.step);
+	assert_int_equal(fixture.step.kind, CW_STEP_FORWARD);
+	fixture_close(&fixture);
 }
 
 /*
@@ -297,7 +298,7 @@
  * twelfth of the budget whatever their number. 195 instances made 25,155 retries for 25,102
  * requests in 10 s to a service that rejected most of them, where 23,022 were allowed.
  */
-static void all_instances_together_keep_the_budget_of_repeats(void **state)
+static void all_instances_together_keep_the_retry_budget(void **state)
 {
 	static const size_t counts[] = {9, 66, 195, 350};
 	const double ratio = 0.5, slack = 10;
@@ -306,19 +307,19 @@
 		int requests = 0, sends = 0;
 
 		for (size_t instance = 0; instance < counts[i]; instance++) {
-			struct bed bed;
+			struct fixture fixture;
 
-			bed_open(&bed);
-			cw_gate_divide(bed.gate, counts[i]);
+			fixture_open(&fixture);
+			cw_gate_set_instances(fixture.gate, counts[i]);
 			for (int n = 0; n < 7; n++) {
-				bed_ask(&bed, "/read/x");
+				fixture_open_call(&fixture, "/read/x");
 				requests++;
-				while (bed.step.kind == CW_STEP_SEND) {
+				while (fixture.step.kind == CW_STEP_SEND) {
 					sends++;
-					bed_answer(&bed, 500, 1, 0);
+					fixture_answer(&fixture, 500, 1, 0);
 				}
 			}
-			bed_close(&bed);
+			fixture_close(&fixture);
 		}
 		assert_true(sends - requests <= (int)(ratio * requests + slack));
 		assert_true(sends - requests > (int)(ratio * requests * 0.8));
@@ -326,23 +327,23 @@
 }
 
 /* An instance that has just started doesn't know how many share the retry budget. */
-static void an_instance_that_knows_no_others_takes_little_slack(void **state)
+static void an_instance_without_known_peers_uses_little_slack(void **state)
 {
 	int retries = 0;
-	struct bed bed;
+	struct fixture fixture;
 
-	bed_open(&bed);
-	cw_gate_divide(bed.gate, 0);
+	fixture_open(&fixture);
+	cw_gate_set_instances(fixture.gate, 0);
 	for (int i = 0; i < 4; i++) {
-		bed_ask(&bed, "/read/x");
-		while (bed.step.kind == CW_STEP_SEND) {
+		fixture_open_call(&fixture, "/read/x");
+		while (fixture.step.kind == CW_STEP_SEND) {
 			retries++;
-			bed_answer(&bed, 503, 0, 1);
+			fixture_answer(&fixture, 503, 0, 1);
 		}
 		retries--;
 	}
 	assert_int_equal(retries, 4 / 2 + 2);
-	bed_close(&bed);
+	fixture_close(&fixture);
 }
 
 /*
@@ -350,45 +351,46 @@
  * requests are rejected unsent, and they raised the budget on arrival instead of on the first send,
  * so that the other requests were retried more often.
  */
-static void a_request_that_is_refused_unsent_raises_no_budget(void **state)
+static void a_request_rejected_unsent_does_not_raise_the_retry_budget(void **state)
 {
 	int sends = 0, unsent = 0;
-	struct bed bed;
+	struct fixture fixture;
 
-	bed_open(&bed);
-	((struct cw_route *)cw_config_find_route(bed.config, "h.example", "/read/x"))->priority = 2;
+	fixture_open(&fixture);
+	((struct cw_route *)cw_config_find_route(fixture.config, "h.example", "/read/x"))
+		->priority = 2;
 	for (int i = 0; i < 400; i++) {
 		int first = 1;
 
-		bed_ask(&bed, "/read/x");
-		unsent += bed.step.kind == CW_STEP_REFUSE;
-		while (bed.step.kind == CW_STEP_SEND) {
+		fixture_open_call(&fixture, "/read/x");
+		unsent += fixture.step.kind == CW_STEP_REJECT;
+		while (fixture.step.kind == CW_STEP_SEND) {
 			sends += !first;
 			first = 0;
-			bed_answer(&bed, 503, 0, 1);
+			fixture_answer(&fixture, 503, 0, 1);
 		}
 	}
 	assert_true(unsent > 100);
 	assert_true(sends <= (400 - unsent) / 2 + 10);
-	bed_close(&bed);
+	fixture_close(&fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(repeats_stop_when_their_budget_is_spent),
-		cmocka_unit_test(a_small_model_that_doubts_is_replaced_by_the_largest),
-		cmocka_unit_test(the_trust_asked_for_falls_to_none_as_the_queue_grows),
-		cmocka_unit_test(a_long_prompt_that_waits_for_nobody_gets_the_large_model),
-		cmocka_unit_test(less_confidence_is_asked_for_as_slots_are_taken),
-		cmocka_unit_test(the_least_urgent_are_refused_at_once_while_servers_reject),
-		cmocka_unit_test(the_more_is_rejected_the_later_callers_return),
-		cmocka_unit_test(an_urgent_organisation_is_not_shed),
-		cmocka_unit_test(what_full_engines_refuse_is_asked_of_the_small_model_again),
-		cmocka_unit_test(nothing_is_dropped_for_a_larger_model_while_engines_reject),
-		cmocka_unit_test(all_instances_together_keep_the_budget_of_repeats),
-		cmocka_unit_test(an_instance_that_knows_no_others_takes_little_slack),
-		cmocka_unit_test(a_request_that_is_refused_unsent_raises_no_budget),
+		cmocka_unit_test(retries_stop_when_the_budget_is_spent),
+		cmocka_unit_test(a_low_confidence_answer_is_escalated_to_the_largest_model),
+		cmocka_unit_test(the_confidence_threshold_falls_to_zero_as_the_queue_grows),
+		cmocka_unit_test(a_long_prompt_without_a_queue_gets_the_large_model),
+		cmocka_unit_test(the_confidence_threshold_falls_as_slots_are_taken),
+		cmocka_unit_test(the_least_urgent_are_rejected_at_once_while_servers_reject),
+		cmocka_unit_test(retry_after_grows_with_the_share_of_rejected_requests),
+		cmocka_unit_test(requests_of_an_urgent_organisation_are_not_rejected),
+		cmocka_unit_test(an_escalation_rejected_by_full_engines_returns_to_the_small_model),
+		cmocka_unit_test(answers_are_not_escalated_while_engines_reject),
+		cmocka_unit_test(all_instances_together_keep_the_retry_budget),
+		cmocka_unit_test(an_instance_without_known_peers_uses_little_slack),
+		cmocka_unit_test(a_request_rejected_unsent_does_not_raise_the_retry_budget),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_session_version.c
+++ b/tests/unit/test_session_version.c
@@ -31,181 +31,184 @@
 struct request_kind {
 	const char *path;
 	double read_tokens;
-	double made_tokens;
+	double max_output_tokens;
 };
 
 /* A short prompt with a short answer, and a request that occupies a slot for long. */
 static const struct request_kind chat = {
-	.path = "/chat/x", .read_tokens = SHORT, .made_tokens = 10};
+	.path = "/chat/x", .read_tokens = SHORT, .max_output_tokens = 10};
 static const struct request_kind long_report = {
-	.path = "/report/x", .read_tokens = LONG, .made_tokens = 2000};
+	.path = "/report/x", .read_tokens = LONG, .max_output_tokens = 2000};
 
-static struct cw_rollouts *rollouts(struct bed *bed)
+static struct cw_rollouts *rollouts(struct fixture *fixture)
 {
-	return cw_gate_rollouts(bed->gate);
+	return cw_gate_rollouts(fixture->gate);
 }
 
-static void open_instance(struct bed *bed)
+static void open_instance(struct fixture *fixture)
 {
-	bed_open(bed);
-	bed_add_server(bed, "e3", "llm", "v2");
-	bed_add_server(bed, "e4", "llm", "v2");
-	cw_rollouts_apply_order(rollouts(bed), &order, 7, BED_NOW);
+	fixture_open(fixture);
+	fixture_add_server(fixture, "e3", "llm", "v2");
+	fixture_add_server(fixture, "e4", "llm", "v2");
+	cw_rollouts_apply_order(rollouts(fixture), &order, 7, FIXTURE_NOW_MS);
 }
 
 /* The periodic evaluation and announcement of all instances, at the same time. */
-static void exchange_announcements(struct bed *beds, size_t count, int64_t now_ms)
+static void exchange_announcements(struct fixture *fixtures, size_t count, int64_t now_ms)
 {
 	struct cw_rollout_verdict verdicts[1];
 	struct cw_rollout_announcement update;
 
 	for (size_t i = 0; i < count; i++) {
-		cw_rollouts_evaluate(rollouts(&beds[i]), now_ms, verdicts, 1);
-		assert_int_equal(cw_rollouts_announce(rollouts(&beds[i]), now_ms, &update, 1), 1);
+		cw_rollouts_evaluate(rollouts(&fixtures[i]), now_ms, verdicts, 1);
+		assert_int_equal(cw_rollouts_announce(rollouts(&fixtures[i]), now_ms, &update, 1),
+				 1);
 		for (size_t j = 0; j < count; j++)
 			if (j != i)
-				cw_rollouts_merge(rollouts(&beds[j]), i + 1, &update, now_ms);
+				cw_rollouts_merge(rollouts(&fixtures[j]), i + 1, &update, now_ms);
 	}
 }
 
 /* The version that the request is sent to. The next request closes the call if no answer does. */
-static const char *software_of(struct bed *bed, const struct request_kind *request_kind,
+static const char *software_of(struct fixture *fixture, const struct request_kind *request_kind,
 			       int session, int64_t now_ms)
 {
-	cw_call_close(bed->call, now_ms);
-	snprintf(bed->facts.session, sizeof(bed->facts.session), "s%d", session);
-	snprintf(bed->facts.id, sizeof(bed->facts.id), "r%d-%ld", session, (long)now_ms);
-	bed->facts.path = request_kind->path;
-	bed->facts.part_count = 1;
-	bed->facts.parts[0].id = (uint64_t)session;
-	bed->facts.read_tokens = request_kind->read_tokens;
-	bed->facts.parts[0].tokens = (unsigned int)request_kind->read_tokens;
-	bed->facts.made_tokens = request_kind->made_tokens;
-	bed->call = cw_call_open(bed->gate, &bed->facts, now_ms, now_ms, &bed->step);
-	assert_int_equal(bed->step.kind, CW_STEP_SEND);
-	return bed->step.server->software;
+	cw_call_close(fixture->call, now_ms);
+	snprintf(fixture->facts.session, sizeof(fixture->facts.session), "s%d", session);
+	snprintf(fixture->facts.id, sizeof(fixture->facts.id), "r%d-%ld", session, (long)now_ms);
+	fixture->facts.path = request_kind->path;
+	fixture->facts.segment_count = 1;
+	fixture->facts.segments[0].id = (uint64_t)session;
+	fixture->facts.read_tokens = request_kind->read_tokens;
+	fixture->facts.segments[0].tokens = (unsigned int)request_kind->read_tokens;
+	fixture->facts.max_output_tokens = request_kind->max_output_tokens;
+	fixture->call =
+		cw_call_open(fixture->gate, &fixture->facts, now_ms, now_ms, &fixture->step);
+	assert_int_equal(fixture->step.kind, CW_STEP_SEND);
+	return fixture->step.server->software;
 }
 
 /* Two instances up to the start of the trial. The second one receives no requests. */
-static void run_until_trial(struct bed *beds)
+static void run_until_trial(struct fixture *fixtures)
 {
 	for (int64_t at_ms = 0; at_ms <= TRIAL_MS; at_ms += ANNOUNCE_MS) {
 		for (int i = 0; i < 4; i++)
-			software_of(&beds[0], &chat, 10000 + i, BED_NOW + at_ms);
-		software_of(&beds[0], &long_report, 20000, BED_NOW + at_ms);
-		exchange_announcements(beds, 2, BED_NOW + at_ms);
+			software_of(&fixtures[0], &chat, 10000 + i, FIXTURE_NOW_MS + at_ms);
+		software_of(&fixtures[0], &long_report, 20000, FIXTURE_NOW_MS + at_ms);
+		exchange_announcements(fixtures, 2, FIXTURE_NOW_MS + at_ms);
 	}
 }
 
 /* As above, after a server of the target was full once. */
-static void run_until_trial_of_full_server(struct bed *beds)
+static void run_until_trial_of_full_server(struct fixture *fixtures)
 {
-	cw_rollouts_record_answer(rollouts(&beds[0]), &under_load, BED_NOW);
-	run_until_trial(beds);
+	cw_rollouts_record_answer(rollouts(&fixtures[0]), &under_load, FIXTURE_NOW_MS);
+	run_until_trial(fixtures);
 }
 
-static void open_both(struct bed *beds)
+static void open_both(struct fixture *fixtures)
 {
-	open_instance(&beds[0]);
-	open_instance(&beds[1]);
+	open_instance(&fixtures[0]);
+	open_instance(&fixtures[1]);
 }
 
-static void close_both(struct bed *beds)
+static void close_both(struct fixture *fixtures)
 {
-	bed_close(&beds[0]);
-	bed_close(&beds[1]);
+	fixture_close(&fixtures[0]);
+	fixture_close(&fixtures[1]);
 }
 
 static void all_attempts_of_a_request_run_on_one_version(void **state)
 {
-	struct cw_answer_facts low_confidence = {
-		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 3};
-	struct bed beds[2];
+	struct cw_response_head low_confidence = {
+		.status = 200, .is_signed = 1, .is_event_stream = 1, .confidence = 3};
+	struct fixture fixtures[2];
 	int escalated = 0;
-	int64_t now_ms = BED_NOW + TRIAL_MS;
+	int64_t now_ms = FIXTURE_NOW_MS + TRIAL_MS;
 
-	open_both(beds);
-	run_until_trial_of_full_server(beds);
+	open_both(fixtures);
+	run_until_trial_of_full_server(fixtures);
 	for (int i = 0; i < SESSIONS; i++, now_ms += 2) {
 		char first[CW_NAME_MAX];
 
-		g_strlcpy(first, software_of(&beds[0], &chat, i, now_ms), CW_NAME_MAX);
-		cw_call_head(beds[0].call, &low_confidence, now_ms + 30, &beds[0].step);
-		if (beds[0].step.kind != CW_STEP_SEND)
+		g_strlcpy(first, software_of(&fixtures[0], &chat, i, now_ms), CW_NAME_MAX);
+		cw_call_handle_head(fixtures[0].call, &low_confidence, now_ms + 30,
+				    &fixtures[0].step);
+		if (fixtures[0].step.kind != CW_STEP_SEND)
 			continue;
-		assert_string_equal(beds[0].step.dispatch.model, "large");
+		assert_string_equal(fixtures[0].step.dispatch.model, "large");
 		if (!strcmp(first, "v2")) {
-			assert_string_equal(beds[0].step.server->software, "v2");
+			assert_string_equal(fixtures[0].step.server->software, "v2");
 			escalated++;
 		}
 	}
 	assert_true(escalated > SESSIONS / 10);
-	close_both(beds);
+	close_both(fixtures);
 }
 
 static void a_longer_prompt_of_a_session_runs_on_the_same_version(void **state)
 {
 	struct request_kind longer = chat;
-	struct bed beds[2];
+	struct fixture fixtures[2];
 	int moved = 0;
 
 	longer.read_tokens = LONG;
-	open_both(beds);
-	run_until_trial_of_full_server(beds);
+	open_both(fixtures);
+	run_until_trial_of_full_server(fixtures);
 	for (int i = 0; i < SESSIONS; i++) {
-		int64_t now_ms = BED_NOW + TRIAL_MS + i;
+		int64_t now_ms = FIXTURE_NOW_MS + TRIAL_MS + i;
 
-		if (strcmp(software_of(&beds[0], &chat, i, now_ms), "v2") != 0)
+		if (strcmp(software_of(&fixtures[0], &chat, i, now_ms), "v2") != 0)
 			continue;
 		moved++;
-		assert_string_equal(software_of(&beds[1], &longer, i, now_ms + 1), "v2");
+		assert_string_equal(software_of(&fixtures[1], &longer, i, now_ms + 1), "v2");
 	}
 	assert_true(moved > SESSIONS / 10);
-	close_both(beds);
+	close_both(fixtures);
 }
 
 /* The second instance learns of the full server only after its request. */
 static void instances_that_learn_of_a_step_at_different_times_agree_on_the_version(void **state)
 {
-	struct bed beds[2];
-	int64_t now_ms = BED_NOW + TRIAL_MS;
+	struct fixture fixtures[2];
+	int64_t now_ms = FIXTURE_NOW_MS + TRIAL_MS;
 	int moved = 0;
 
-	open_both(beds);
-	run_until_trial(beds);
-	cw_rollouts_record_answer(rollouts(&beds[0]), &under_load, now_ms);
+	open_both(fixtures);
+	run_until_trial(fixtures);
+	cw_rollouts_record_answer(rollouts(&fixtures[0]), &under_load, now_ms);
 	for (int i = 0; i < SESSIONS; i++)
-		if (!strcmp(software_of(&beds[0], &chat, i, now_ms + 10), "v2"))
-			assert_string_equal(software_of(&beds[1], &chat, i, now_ms + 20), "v2");
+		if (!strcmp(software_of(&fixtures[0], &chat, i, now_ms + 10), "v2"))
+			assert_string_equal(software_of(&fixtures[1], &chat, i, now_ms + 20), "v2");
 	/* Finally both instances know the step, and more sessions run on the target. */
 	for (int64_t at_ms = 0; at_ms <= 2000; at_ms += ANNOUNCE_MS)
-		exchange_announcements(beds, 2, now_ms + at_ms);
+		exchange_announcements(fixtures, 2, now_ms + at_ms);
 	for (int i = 0; i < SESSIONS; i++) {
-		if (strcmp(software_of(&beds[0], &chat, i, now_ms + 2000), "v2") != 0)
+		if (strcmp(software_of(&fixtures[0], &chat, i, now_ms + 2000), "v2") != 0)
 			continue;
-		assert_string_equal(software_of(&beds[1], &chat, i, now_ms + 2000), "v2");
+		assert_string_equal(software_of(&fixtures[1], &chat, i, now_ms + 2000), "v2");
 		moved++;
 	}
 	assert_true(moved > SESSIONS / 4);
-	close_both(beds);
+	close_both(fixtures);
 }
 
 /* The restarted instance knows no requests of the other route, so this route looks average to it.
  */
 static void a_restarted_instance_agrees_on_the_version_of_a_session(void **state)
 {
-	struct bed beds[2];
-	int64_t now_ms = BED_NOW + TRIAL_MS;
-
-	open_both(beds);
-	run_until_trial(beds);
-	bed_close(&beds[1]);
-	open_instance(&beds[1]);
-	exchange_announcements(beds, 2, now_ms);
+	struct fixture fixtures[2];
+	int64_t now_ms = FIXTURE_NOW_MS + TRIAL_MS;
+
+	open_both(fixtures);
+	run_until_trial(fixtures);
+	fixture_close(&fixtures[1]);
+	open_instance(&fixtures[1]);
+	exchange_announcements(fixtures, 2, now_ms);
 	for (int i = 0; i < SESSIONS; i++)
-		if (!strcmp(software_of(&beds[1], &chat, i, now_ms + 10), "v2"))
-			assert_string_equal(software_of(&beds[0], &chat, i, now_ms + 20), "v2");
-	close_both(beds);
+		if (!strcmp(software_of(&fixtures[1], &chat, i, now_ms + 10), "v2"))
+			assert_string_equal(software_of(&fixtures[0], &chat, i, now_ms + 20), "v2");
+	close_both(fixtures);
 }
 
 /*
@@ -215,98 +218,101 @@
  */
 static void the_largest_model_is_used_at_once_on_the_target_only(void **state)
 {
-	struct request_kind talk = {.path = "/chat/x", .read_tokens = SHORT, .made_tokens = 2000};
-	struct bed beds[2];
+	struct request_kind talk = {
+		.path = "/chat/x", .read_tokens = SHORT, .max_output_tokens = 2000};
+	struct fixture fixtures[2];
 	int largest = 0;
 
-	open_both(beds);
-	cw_rollouts_record_answer(rollouts(&beds[0]), &under_load, BED_NOW);
+	open_both(fixtures);
+	cw_rollouts_record_answer(rollouts(&fixtures[0]), &under_load, FIXTURE_NOW_MS);
 	for (int64_t at_ms = 0; at_ms <= TRIAL_MS; at_ms += ANNOUNCE_MS) {
 		for (int i = 0; i < 4; i++)
-			software_of(&beds[0], &talk, 10000 + i, BED_NOW + at_ms);
-		software_of(&beds[0], &long_report, 20000, BED_NOW + at_ms);
-		exchange_announcements(beds, 2, BED_NOW + at_ms);
+			software_of(&fixtures[0], &talk, 10000 + i, FIXTURE_NOW_MS + at_ms);
+		software_of(&fixtures[0], &long_report, 20000, FIXTURE_NOW_MS + at_ms);
+		exchange_announcements(fixtures, 2, FIXTURE_NOW_MS + at_ms);
 	}
 	for (int i = 0; i < SESSIONS; i++) {
-		const char *software = software_of(&beds[0], &talk, i, BED_NOW + TRIAL_MS + 10);
+		const char *software =
+			software_of(&fixtures[0], &talk, i, FIXTURE_NOW_MS + TRIAL_MS + 10);
 
-		if (strcmp(beds[0].step.dispatch.model, "large") != 0)
+		if (strcmp(fixtures[0].step.dispatch.model, "large") != 0)
 			continue;
 		assert_string_equal(software, "v2");
 		largest++;
 	}
 	assert_true(largest > 0);
-	close_both(beds);
+	close_both(fixtures);
 }
 
 /* A stream that began on the old version must be continued by the old version. */
 static void a_broken_stream_resumes_on_the_version_that_began_it(void **state)
 {
-	struct cw_answer_facts head = {
-		.status = 200, .is_sealed = 1, .is_events = 1, .confidence = 100};
-	struct bed beds[2];
+	struct cw_response_head head = {
+		.status = 200, .is_signed = 1, .is_event_stream = 1, .confidence = 100};
+	struct fixture fixtures[2];
 	struct cw_call *begun[SESSIONS];
-	int64_t now_ms = BED_NOW + TRIAL_MS;
+	int64_t now_ms = FIXTURE_NOW_MS + TRIAL_MS;
 	int moved = 0;
 
-	open_both(beds);
-	run_until_trial(beds);
+	open_both(fixtures);
+	run_until_trial(fixtures);
 	for (int i = 0; i < SESSIONS; i++) {
 		begun[i] = NULL;
-		if (strcmp(software_of(&beds[0], &chat, i, now_ms), "v1") != 0)
+		if (strcmp(software_of(&fixtures[0], &chat, i, now_ms), "v1") != 0)
 			continue;
-		begun[i] = beds[0].call;
-		beds[0].call = NULL;
-		cw_call_head(begun[i], &head, now_ms + 30, &beds[0].step);
-		cw_call_event(begun[i], 1, now_ms + 31);
+		begun[i] = fixtures[0].call;
+		fixtures[0].call = NULL;
+		cw_call_handle_head(begun[i], &head, now_ms + 30, &fixtures[0].step);
+		cw_call_add_event(begun[i], 1, now_ms + 31);
 	}
 	/* Before the streams end, more sessions move to the target. */
-	cw_rollouts_record_answer(rollouts(&beds[0]), &under_load, now_ms);
+	cw_rollouts_record_answer(rollouts(&fixtures[0]), &under_load, now_ms);
 	for (int64_t at_ms = 0; at_ms <= 2000; at_ms += ANNOUNCE_MS)
-		exchange_announcements(beds, 2, now_ms + at_ms);
+		exchange_announcements(fixtures, 2, now_ms + at_ms);
 	for (int i = 0; i < SESSIONS; i++) {
 		if (!begun[i])
 			continue;
-		if (!moved && !strcmp(software_of(&beds[0], &chat, i, now_ms + 2000), "v2")) {
+		if (!moved && !strcmp(software_of(&fixtures[0], &chat, i, now_ms + 2000), "v2")) {
 			moved = 1;
-			cw_call_broken(begun[i], CW_BREAK_BROKEN, now_ms + 2000, &beds[0].step);
-			assert_int_equal(beds[0].step.kind, CW_STEP_SEND);
-			assert_string_equal(beds[0].step.server->software, "v1");
+			cw_call_handle_failure(begun[i], CW_ATTEMPT_CONNECTION_LOST, now_ms + 2000,
+					       &fixtures[0].step);
+			assert_int_equal(fixtures[0].step.kind, CW_STEP_SEND);
+			assert_string_equal(fixtures[0].step.server->software, "v1");
 		}
 		cw_call_close(begun[i], now_ms + 2000);
 	}
 	assert_true(moved);
-	close_both(beds);
+	close_both(fixtures);
 }
 
 /* A route split among services: the prompt prefixes cached at one service are not at the other. */
 static void requests_of_a_session_go_to_one_service_of_a_split_route(void **state)
 {
-	struct cw_config *config = bed_make_config(6);
+	struct cw_config *config = fixture_make_config(6);
 	struct cw_route *route =
 		(struct cw_route *)cw_config_find_route(config, "h.example", "/chat/");
-	struct bed bed;
+	struct fixture fixture;
 	int split = 0;
 
-	bed_open(&bed);
-	bed_add_server(&bed, "n1", "next", "v1");
+	fixture_open(&fixture);
+	fixture_add_server(&fixture, "n1", "next", "v1");
 	route->share_count = 2;
 	route->shares[0].weight = 0.5;
 	route->shares[1].weight = 0.5;
 	strcpy(route->shares[1].service, "next");
-	cw_gate_configure(bed.gate, config);
+	cw_gate_configure(fixture.gate, config);
 	for (int i = 0; i < SESSIONS; i++) {
 		char first[CW_NAME_MAX];
 
-		software_of(&bed, &chat, i, BED_NOW + i);
-		g_strlcpy(first, bed.step.server->service, sizeof(first));
-		software_of(&bed, &chat, i, BED_NOW + 1000 + i);
-		assert_string_equal(bed.step.server->service, first);
+		software_of(&fixture, &chat, i, FIXTURE_NOW_MS + i);
+		g_strlcpy(first, fixture.step.server->service, sizeof(first));
+		software_of(&fixture, &chat, i, FIXTURE_NOW_MS + 1000 + i);
+		assert_string_equal(fixture.step.server->service, first);
 		split += !strcmp(first, "next");
 	}
 	assert_true(split > SESSIONS * 2 / 5 && split < SESSIONS * 3 / 5);
 	cw_config_unref(config);
-	bed_close(&bed);
+	fixture_close(&fixture);
 }
 
 int main(void)
