--- a/packages/pool/include/cw_pool.h
+++ b/packages/pool/include/cw_pool.h
@@ -1,7 +1,7 @@
 /*
- * Backend servers of every service: what is known of their load, their breakers, and which one a
- * request goes to. Reports lag; a node corrects each with what it sent and got back since the
- * report's own time.
+ * The backend servers of every service: their estimated load, their circuit breakers and the choice
+ * of one for a request. Load reports lag, so each instance corrects a report by the requests that
+ * it sent and completed since the report was sampled.
  */
 #ifndef CW_POOL_H
 #define CW_POOL_H
@@ -16,143 +16,143 @@
 #include <stdint.h>
 #include <sys/queue.h>
 
-#define CW_POOL_HISTORY 64 /* own dispatches and answers remembered per server */
+#define CW_POOL_HISTORY 64 /* own dispatches and completions remembered per server */
 
 struct cw_load {
 	unsigned int running;
 	unsigned int queued;
 	unsigned int slots;
-	double kv_used; /* 0 to 1 */
+	double kv_used; /* used part of the KV cache, 0 to 1 */
 	unsigned int age_ms;
 	const char *const
-		*versions; /* "MODEL/VERSION", NULL-terminated; NULL for a plain service */
+		*versions; /* "MODEL/VERSION", NULL-terminated; NULL for a service without models */
 };
 
-/* A backend server's own entry in a list of them. */
+/* The entry that a backend server writes into the server list. */
 struct cw_server_entry {
 	char name[CW_NAME_MAX];
-	int64_t born_ms; /* Unix time at which its process started; 0: not told */
+	int64_t born_ms; /* Unix time at which the process started; 0: not reported */
 	char service[CW_NAME_MAX];
 	char address[CW_ADDRESS_MAX];
 	char failure_domain[CW_NAME_MAX];
-	char software[CW_NAME_MAX]; /* version of what it runs */
+	char software[CW_NAME_MAX]; /* version of the server's software */
 	unsigned int slots;
 	int leaving;
-	int64_t cold_ms; /* how much longer it bears few requests, from when this was written */
+	int64_t cold_ms; /* remaining cold time, counted from when the entry was written */
 };
 
-/* What an entry of the list told the pool. */
+/* The effect of a server list entry on the pool. */
 enum cw_listing {
-	CW_LISTING_FULL,      /* the pool has no room for it */
-	CW_LISTING_LATE,      /* written by an earlier start of the server: changes nothing */
-	CW_LISTING_SAME,      /* nothing new */
-	CW_LISTING_CHANGED,   /* it leaves, or is back */
-	CW_LISTING_NEW,	      /* the first word of the server */
-	CW_LISTING_RESTARTED, /* the server started again: the earlier start has ended */
+	CW_LISTING_FULL,      /* ignored: the pool has no room for another server */
+	CW_LISTING_LATE,      /* ignored: written by an earlier start of the server */
+	CW_LISTING_SAME,      /* no change of state */
+	CW_LISTING_CHANGED,   /* the server's leaving, cold or listed state changed */
+	CW_LISTING_NEW,	      /* the first entry of the server */
+	CW_LISTING_RESTARTED, /* the server restarted: its earlier start is retired */
 };
 
 struct cw_pool;
 
-/* One of this instance's requests came to a server, or ended there. */
+/* A change of this instance's own load on a server. */
 struct cw_pool_change {
 	int64_t ms;
-	int change; /* 1 dispatched, -1 ended */
+	int change; /* 1 request dispatched, -1 request ended */
 };
 
-/* One start of a backend server: the same name started again is another one. */
+/* One start of a backend server: a restart under the same name is another struct cw_server. */
 struct cw_server {
 	struct cw_pool *pool;
-	const struct cw_policy *policy; /* the pool's */
+	const struct cw_policy *policy; /* the policy of the pool */
 	TAILQ_ENTRY(cw_server) link;
 	TAILQ_ENTRY(cw_server) active_link;
-	int is_active; /* in the pool's list of those in use or in doubt */
+	int is_active; /* on the pool's list of servers in use, unreachable or suspect */
 	char name[CW_NAME_MAX];
-	int64_t born_ms; /* as in its entry */
-	int has_ended;	 /* the same name started again: what ran here is lost */
+	int64_t born_ms; /* Unix time of the process start, as listed */
+	int has_ended;	 /* the server restarted: requests that ran on this start are lost */
 	char service[CW_NAME_MAX];
 	char address[CW_ADDRESS_MAX];
 	char failure_domain[CW_NAME_MAX];
-	char region[CW_NAME_MAX]; /* of its failure domain; empty: not known */
-	uint64_t id;		  /* hash of the name and of born_ms */
+	char region[CW_NAME_MAX]; /* region of the failure domain; empty: unknown */
+	uint64_t id;		  /* hash of name and born_ms */
 	int checks_fencing;
 	int configured;
 	int leaving;
-	int is_drained; /* its failure domain is: nothing new is sent there */
+	int is_drained; /* the failure domain is drained: no new requests */
 	struct cw_warmup warmup;
-	int gone;		    /* no longer listed: forgotten once its last request ended */
-	int64_t gone_ms;	    /* when it counts as gone, 0: listed */
-	char software[CW_NAME_MAX]; /* version of what it runs; empty: not told */
-	double track_score;
-	int tracked; /* among those this node sends to */
+	int gone;		    /* no longer listed: freed once its last request ends */
+	int64_t gone_ms;	    /* time from which the server counts as removed, 0: listed */
+	char software[CW_NAME_MAX]; /* version of the server's software; empty: unknown */
+	double track_score;	    /* rendezvous score by which servers are selected */
+	int tracked;		    /* selected: this instance may send requests to the server */
 	int64_t listed_ms;
 	int64_t poll_due_ms;
 
-	unsigned int running, queued, slots; /* as last reported */
-	int64_t sampled_ms;		     /* when the report was true, -1 never */
-	uint64_t *versions;		     /* hashes of the loaded versions */
+	unsigned int running, queued, slots; /* as in the last load report */
+	int64_t sampled_ms;		     /* when the last load report was sampled, -1: none */
+	uint64_t *versions;		     /* cw_pool_version() of each loaded version */
 	size_t version_count;
 	int versions_known;
 
 	unsigned int own_running;
-	unsigned int peers_running; /* dispatched by other instances, from gossip */
+	unsigned int peers_running; /* requests of other instances, from gossip */
 	int64_t peers_ms;
-	struct cw_pool_change *history; /* CW_POOL_HISTORY; NULL: nothing was ever sent there */
+	struct cw_pool_change *history; /* ring of CW_POOL_HISTORY; NULL: no request was sent */
 	size_t history_next;
-	double service_ms; /* smoothed time of one request */
+	double service_ms; /* smoothed time that one request takes */
 
-	double own_work_ms;   /* of prompts sent there by this node, until their answers began */
-	double work_until_ms; /* when the newest of them is predicted to be read */
-	double peers_work_ms; /* by other instances, from gossip */
-	double failure_rate;  /* of late answers, 0 to 1; forgotten with time */
-	double slowness;      /* its time against the time expected, 1 usual; forgotten too */
-	int64_t judged_ms;    /* the two above are true then */
+	double own_work_ms;   /* predicted work of own prompts whose answers have not begun */
+	double work_until_ms; /* predicted time at which all of them are processed */
+	double peers_work_ms; /* the same work of other instances, from gossip */
+	double failure_rate;  /* part of recent answers that failed, 0 to 1; decays */
+	double slowness;      /* measured over predicted time, 1: as predicted; decays */
+	int64_t evidence_ms;  /* last update of failure_rate and slowness */
 
-	int64_t broke_ms;     /* a request's connection to it broke, the newest that counted */
-	int64_t heard_ms;     /* a byte came, or a connection opened */
-	int64_t sent_ms;      /* of the newest request */
-	int64_t probed_ms;    /* a connection was tried, only to see */
-	int64_t probe_gap_ms; /* to the next one; grows while the server stays silent */
-	int is_unreachable;   /* it was not opened in time */
-	int64_t end_tried_ms; /* a connection was tried since a request broke there */
-	int is_doubted;	      /* others behind the same way can't be reached; being probed */
+	int64_t crash_ms;     /* last broken connection that counted as a crash of its own */
+	int64_t heard_ms;     /* last byte received from the server */
+	int64_t sent_ms;      /* newest request sent */
+	int64_t probed_ms;    /* last connection probe begun */
+	int64_t probe_gap_ms; /* least time between probes; grows while the server is silent */
+	int is_unreachable;   /* the last probe's connection did not open in time */
+	int64_t end_tried_ms; /* last probe that followed a broken request */
+	int is_doubted;	      /* may be cut off with an unreachable server; being probed */
 
-	unsigned int failures; /* in a row */
-	int64_t open_until_ms; /* breaker: no request before */
-	int64_t backoff_ms;
-	int probing;	     /* half open: one request is out */
-	int64_t restored_ms; /* slow start counts from here, -1 none */
-	uint64_t turn;	     /* round robin */
+	unsigned int consecutive_failures;
+	int64_t open_until_ms;	    /* the breaker is open until then, 0: closed */
+	int64_t backoff_ms;	    /* how long the breaker last opened */
+	int is_probing;		    /* half-open breaker: one trial request is running */
+	int64_t restored_ms;	    /* the breaker closed and slow start began, -1: never */
+	uint64_t round_robin_count; /* times chosen by round_robin */
 };
 
 TAILQ_HEAD(cw_server_list, cw_server);
 
 struct cw_choice {
 	const char *service;
-	uint64_t version;	    /* cw_pool_version of "MODEL/VERSION"; 0 for a plain service */
-	uint64_t prefix;	    /* hash of the prompt's start, 0 none */
-	const char *failure_domain; /* the asking instance's */
-	const uint64_t *tried;	    /* servers this request is not sent to again */
+	uint64_t version;	    /* cw_pool_version() of model and version; 0: none required */
+	uint64_t prefix;	    /* hash of the prompt prefix, 0: none */
+	const char *failure_domain; /* failure domain of this instance */
+	const uint64_t *tried;	    /* ids of servers that earlier attempts of the request used */
 	size_t tried_count;
-	int is_desperate;		    /* servers whose breaker is open are better than none */
-	struct cw_warmup_rate cold;	    /* what a cold server of the service bears */
+	int is_desperate;	    /* servers with an open breaker or no connection count too */
+	struct cw_warmup_rate cold; /* request rate that a cold server of the service bears */
 	const struct cw_homes *route_homes; /* NULL: any region */
 	const struct cw_homes *organisation_homes;
-	const char *only_software; /* NULL: any version of what servers run */
-	double spread;		   /* of the candidates that may be used, 0 to 1; 0: all */
-	const char *not_software;  /* NULL: none is left out */
-	const char *not_yet;	   /* one more; NULL: none */
-	double fill_part;	   /* of one server's slots, before the next gets any; 0: no */
+	const char *only_software; /* required software version; NULL: any */
+	double spread;		   /* part of the candidates that may be used, 0 to 1; 0: all */
+	const char *not_software;  /* excluded software version; NULL: none */
+	const char *not_yet;	   /* excluded too, its roll-out is not known yet; NULL: none */
+	double fill_part;	   /* part of one server's slots to fill first; 0: off */
 	int64_t now_ms;
 	uint64_t random;
-	double read_tokens;   /* of the prompt; 0 for a plain service */
-	double shared_tokens; /* of them in parts that other requests begin with too */
-	double ms_per_token;  /* that a server takes to read */
-	double usual_work_ms; /* of a request that waits there, not known which */
-	size_t bytes;	      /* sent and expected back */
-	int *is_home; /* out, may be NULL: the prompt's shared parts were read there before */
+	double read_tokens;   /* tokens of the prompt; 0 for a service without models */
+	double shared_tokens; /* tokens of the prompt prefix, which other requests share */
+	double ms_per_token;  /* predicted prefill time per token */
+	double usual_work_ms; /* predicted work of an average queued request */
+	size_t bytes;	      /* of the request and its expected answer */
+	int *is_home; /* out, may be NULL: 1 if the affinity server of the prefix was chosen */
 };
 
-/* How a server is chosen among those that may serve. */
+/* A strategy that chooses among the servers that may serve a request. */
 struct cw_choice_policy {
 	const char *name;
 	struct cw_server *(*choose)(struct cw_server **candidates, size_t count,
@@ -160,98 +160,101 @@
 };
 
 extern const struct cw_choice_policy
-	cw_choice_affinity; /* prefix affinity, two choices, spill between domains */
+	cw_choice_affinity; /* prefix affinity, then two choices; spills to other domains */
 extern const struct cw_choice_policy
-	cw_choice_cost; /* least predicted wait, work, prompt read again and way */
-extern const struct cw_choice_policy cw_choice_two;	    /* the same without prefix affinity */
+	cw_choice_cost; /* least sum of predicted wait, prefill, failures and transfer */
+extern const struct cw_choice_policy cw_choice_two;	    /* as affinity, without the prefix */
 extern const struct cw_choice_policy cw_choice_round_robin; /* baseline */
 extern const struct cw_choice_policy
-	cw_choice_least_reported;		       /* baseline: the smallest lagged report */
+	cw_choice_least_reported;		       /* baseline: least load as last reported */
 extern const struct cw_choice_policy cw_choice_random; /* baseline */
 const struct cw_choice_policy *cw_choice_policy_find(const char *name); /* NULL: unknown */
 
 struct cw_pool *cw_pool_create(const struct cw_choice_policy *policy);
 void cw_pool_set_places(struct cw_pool *pool,
 			void (*find)(void *context, uint64_t server, struct cw_warmup_place *place),
-			void *context); /* without it, this instance is the only one */
+			void *context); /* without a lookup, no other instance is assumed */
 int cw_pool_owns(const struct cw_pool *pool,
-		 uint64_t key); /* 1: this instance is the first by rendezvous, as far as known */
+		 uint64_t key); /* 1: this instance is the first by rendezvous of those known */
 void cw_pool_set_region(struct cw_pool *pool, const char *failure_domain,
-			const char *region); /* before its servers are known */
+			const char *region); /* call before its servers are added */
 int cw_pool_drain(struct cw_pool *pool, const struct cw_drain_order *order,
-		  int64_t now_ms); /* 1: it changes what is in force */
+		  int64_t now_ms); /* 1: the domain's drained state changed */
 struct cw_drains *cw_pool_drains(struct cw_pool *pool);
 void cw_pool_set_policy(struct cw_pool *pool,
-			const struct cw_policy *policy); /* before servers are known */
+			const struct cw_policy *policy); /* call before servers are added */
 void cw_pool_destroy(struct cw_pool *pool);		 /* frees its servers */
 struct cw_server *cw_pool_learn(struct cw_pool *pool, const char *name, const char *service,
 				const char *address, const char *failure_domain,
-				int checks_fencing); /* NULL: full */
+				int checks_fencing); /* NULL: the pool is full */
 enum cw_listing cw_pool_list(struct cw_pool *pool, const struct cw_server_entry *entry,
-			     int64_t now_ms); /* learns it or its new state */
-const char *cw_pool_newcomer(const struct cw_pool *pool, const char *service,
-			     int64_t now_ms); /* a version first seen just now; NULL: none */
+			     int64_t now_ms); /* adds or updates a listed server */
+const char *
+cw_pool_newcomer(const struct cw_pool *pool, const char *service,
+		 int64_t now_ms); /* a software version first listed moments ago; NULL: none */
 void cw_pool_entry(const struct cw_server *server, struct cw_server_entry *entry,
-		   int64_t now_ms); /* as it was listed, and cold for as long as it still is */
+		   int64_t now_ms); /* the entry to pass on, with the cold time left */
 void cw_pool_delist(struct cw_pool *pool, struct cw_server *server, int64_t until_ms,
-		    int64_t now_ms); /* gone at until_ms, unless it is listed again before */
+		    int64_t now_ms); /* removed at until_ms unless listed again before */
 void cw_pool_keep_listed(struct cw_pool *pool, int64_t since_ms, int64_t until_ms,
-			 int64_t now_ms); /* delists whatever was not listed since */
-void cw_pool_sweep(struct cw_pool *pool, int64_t now_ms); /* forgets what is gone */
+			 int64_t now_ms); /* delists all servers not listed since since_ms */
+void cw_pool_sweep(struct cw_pool *pool,
+		   int64_t now_ms); /* frees removed servers without requests */
 struct cw_server *cw_pool_find_name(struct cw_pool *pool,
-				    const char *name); /* its newest start; NULL: unknown */
+				    const char *name); /* the newest start; NULL: unknown */
 struct cw_server *cw_pool_find(struct cw_pool *pool, uint64_t id); /* NULL: unknown */
 void cw_pool_forget(struct cw_pool *pool,
-		    struct cw_server *server); /* only without requests of its own */
+		    struct cw_server *server); /* frees a server without running requests */
 void cw_pool_track(struct cw_pool *pool, uint64_t owner,
-		   const char *failure_domain); /* chooses anew which are tracked */
-uint64_t cw_pool_version(const char *model, const char *version);
+		   const char *failure_domain); /* selects the servers that this instance uses */
+uint64_t cw_pool_version(const char *model, const char *version); /* hash of the two */
 struct cw_server *cw_pool_choose(struct cw_pool *pool,
-				 const struct cw_choice *choice); /* NULL: none may serve */
-int64_t
-cw_pool_cold_wait_ms(struct cw_pool *pool,
-		     const struct cw_choice *choice); /* until a cold one may; -1: none is */
+				 const struct cw_choice *choice); /* NULL: no server may serve */
+int64_t cw_pool_cold_wait_ms(struct cw_pool *pool,
+			     const struct cw_choice *choice); /* until a cold server admits a
+								 request; -1: no cold server */
 int cw_pool_serves(const struct cw_server *server,
-		   uint64_t version); /* loaded there, or not known */
+		   uint64_t version); /* 1: the version is loaded, or the loaded ones are unknown */
 void cw_pool_dispatched(struct cw_server *server, int64_t now_ms);
 void cw_pool_ended(struct cw_server *server, int64_t now_ms,
-		   double service_ms); /* service_ms < 0: no answer */
-void cw_pool_succeeded(struct cw_server *server, int64_t now_ms);
+		   double service_ms); /* service_ms < 0: ended without an answer */
+void cw_pool_succeeded(struct cw_server *server, int64_t now_ms); /* closes the breaker */
 void cw_pool_failed(struct cw_server *server, int64_t now_ms,
-		    uint64_t random); /* may open the breaker */
-void cw_pool_heard(struct cw_server *server, int64_t now_ms);
+		    uint64_t random);			      /* may open the breaker */
+void cw_pool_heard(struct cw_server *server, int64_t now_ms); /* a byte came: reachable */
 int cw_pool_broke(struct cw_server *server,
-		  int64_t now_ms); /* 0: with others of the same moment, so no evidence more */
+		  int64_t now_ms); /* 1: counts as a new crash; 0: part of the last one */
 void cw_pool_reached(struct cw_server *server,
-		     int64_t now_ms);		/* a connection opened, nothing was heard */
-void cw_pool_unheard(struct cw_server *server); /* no connection can be opened */
+		     int64_t now_ms);		/* a probe's connection opened, no byte came */
+void cw_pool_unheard(struct cw_server *server); /* no connection opened in time */
 size_t cw_pool_doubt(struct cw_pool *pool, const struct cw_server *unreachable,
-		     const char *own_domain, struct cw_server **doubted, size_t max,
-		     int64_t now_ms); /* who may be cut off with it: to be probed at once */
+		     const char *own_domain, struct cw_server **suspects, size_t max,
+		     int64_t now_ms); /* marks and returns servers to probe at once */
 int cw_pool_wants_probe(const struct cw_server *server, int64_t now_ms);
 void cw_pool_judged(struct cw_server *server, int is_failure, double slowness,
-		    int64_t now_ms); /* an answer's evidence; slowness 0: not known */
+		    int64_t now_ms); /* outcome of an attempt; slowness 0: unknown */
 void cw_pool_work_begin(struct cw_server *server, double work_ms, double usual_work_ms,
-			int64_t now_ms);			 /* a prompt was sent there */
-void cw_pool_work_end(struct cw_server *server, double work_ms); /* its answer began, or failed */
+			int64_t now_ms);			 /* a prompt was sent */
+void cw_pool_work_end(struct cw_server *server, double work_ms); /* its answer began or failed */
 double cw_pool_own_work_ms(const struct cw_server *server,
-			   int64_t now_ms); /* of own prompts, still to be read */
+			   int64_t now_ms); /* predicted work left of own prompts */
 double cw_pool_backlog_ms(const struct cw_server *server, double usual_work_ms,
-			  int64_t now_ms); /* prompts that wait to be read there */
+			  int64_t now_ms); /* predicted work queued, of all instances */
 double cw_pool_failure_rate(const struct cw_server *server, int64_t now_ms);
 double cw_pool_slowness(const struct cw_server *server, int64_t now_ms);
 void cw_pool_refused(struct cw_server *server, int64_t now_ms,
-		     uint64_t random); /* took no connection: opens the breaker */
+		     uint64_t random); /* connection refused: opens the breaker */
 void cw_pool_reported(struct cw_server *server, const struct cw_load *load, int64_t now_ms);
 double cw_pool_load(const struct cw_server *server,
-		    int64_t now_ms); /* requests there now, estimated */
+		    int64_t now_ms); /* estimated requests running and queued */
 double cw_pool_wait_ms(const struct cw_server *server,
-		       int64_t now_ms); /* predicted wait of one more request */
-int cw_pool_is_usable(const struct cw_server *server,
-		      int64_t now_ms); /* not leaving, breaker lets one through */
+		       int64_t now_ms); /* predicted wait of another request */
+int cw_pool_is_usable(
+	const struct cw_server *server,
+	int64_t now_ms); /* not leaving, reachable, and the breaker admits a request */
 const struct cw_server_list *cw_pool_servers(const struct cw_pool *pool);
 const struct cw_server_list *
-cw_pool_active(const struct cw_pool *pool); /* by active_link: all with requests of this instance,
-					       or that may not be reached; few of many thousands */
+cw_pool_active(const struct cw_pool *pool); /* linked by active_link: servers with own requests,
+					       unreachable or suspect; few of many thousands */
 
 #endif
--- a/packages/pool/include/cw_warmup.h
+++ b/packages/pool/include/cw_warmup.h
@@ -1,10 +1,11 @@
 /*
- * How fast requests go to a cold backend server: one that has just started, was away, or says of
- * itself that it is cold. It bears few a second, of all instances together, whether they hear of
- * each other or not, and ends under more. Sans-I/O.
+ * Rate limit towards a cold backend server: one that has just started, was unreachable, or reports
+ * that it is cold. A cold server bears few requests a second from all instances together, whether
+ * they are connected to each other or not, and crashes under more. Sans-I/O.
  *
- * No count is kept together. Of the instances, a few by rendezvous share a cold server's rate, half
- * of what it bears: after a cut each side may have found its own few. The others send it nothing.
+ * Instances share no counter. A few of them, chosen by rendezvous, divide at most half of what a
+ * cold server bears, because after a network partition each side may choose a few of its own. The
+ * other instances send it nothing.
  */
 #ifndef CW_WARMUP_H
 #define CW_WARMUP_H
@@ -12,41 +13,44 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_WARMUP_SENDS	     16	  /* own sends remembered of one server, and so the most a second */
-#define CW_WARMUP_UNKNOWN_MS 2000 /* after an absence: by then its own word has come */
+#define CW_WARMUP_SENDS 16 /* own sends remembered per server, which caps the rate per second */
+#define CW_WARMUP_UNKNOWN_MS                                                                       \
+	2000 /* within it a server that was unreachable has reported its cold time */
 
-/* This instance's place among those that may send to one cold server. */
+/* The rank of this instance among those that may send to one cold server. */
 struct cw_warmup_place {
-	size_t rank;	  /* 0 the first */
-	size_t instances; /* that are known, this one included; 0: too few are known yet */
+	size_t rank;	  /* 0: first */
+	size_t instances; /* known instances, this one included; 0: too few are known yet */
 };
 
-/* What a service's cold servers bear, of all instances together. */
+/* The requests a second of all instances together that a cold server of a service bears. */
 struct cw_warmup_rate {
-	double per_s;  /* 0: any number */
-	double factor; /* that many times as much, */
-	double slack;  /* and so many more, are borne at times */
+	double per_s;  /* sustained; 0: unlimited */
+	double factor; /* a burst of per_s times factor, */
+	double slack;  /* plus slack, is borne at times */
 };
 
-/* One server's, as this instance knows it. */
+/* The cold state of one server, as known to this instance. */
 struct cw_warmup {
-	int64_t cold_until_ms;	  /* by the server's own word */
-	int64_t unknown_until_ms; /* it was away, and has not said anything since */
-	int64_t sent_ms[CW_WARMUP_SENDS];
+	int64_t cold_until_ms;		  /* as the server reported */
+	int64_t unknown_until_ms;	  /* assumed cold until then, as it was unreachable */
+	int64_t sent_ms[CW_WARMUP_SENDS]; /* ring of the newest sends */
 	size_t sent_next;
 	struct cw_warmup_place place;
-	int64_t place_ms; /* when that was worked out */
+	int64_t place_ms; /* when place was last updated */
 };
 
 int cw_warmup_is_cold(const struct cw_warmup *warmup, int64_t now_ms);
-void cw_warmup_told(struct cw_warmup *warmup, int64_t cold_ms, int64_t now_ms); /* its own word */
-void cw_warmup_away(struct cw_warmup *warmup, int64_t now_ms); /* may have started again since */
-void cw_warmup_sent(struct cw_warmup *warmup, int64_t now_ms); /* a request, cold or not */
+void cw_warmup_told(struct cw_warmup *warmup, int64_t cold_ms,
+		    int64_t now_ms); /* the server reported its cold time */
+void cw_warmup_away(struct cw_warmup *warmup, int64_t now_ms); /* may have restarted unseen */
+void cw_warmup_sent(struct cw_warmup *warmup, int64_t now_ms); /* a request was sent, cold or not */
 unsigned int cw_warmup_quota(const struct cw_warmup_rate *rate,
-			     const struct cw_warmup_place *place); /* requests a second */
+			     const struct cw_warmup_place *place); /* own requests a second */
 int cw_warmup_admits(const struct cw_warmup *warmup, const struct cw_warmup_rate *rate,
-		     int64_t now_ms); /* one more, now; of a warm one: 1 */
-int64_t cw_warmup_wait_ms(const struct cw_warmup *warmup, const struct cw_warmup_rate *rate,
-			  int64_t now_ms); /* until it may get one from here, or is warm */
+		     int64_t now_ms); /* 1: may get a request now; always for a warm server */
+int64_t cw_warmup_wait_ms(
+	const struct cw_warmup *warmup, const struct cw_warmup_rate *rate,
+	int64_t now_ms); /* until this instance may send a request or the server is warm */
 
 #endif
--- a/packages/pool/src/candidates.c
+++ b/packages/pool/src/candidates.c
@@ -1,37 +1,38 @@
-/* Which servers a request may go to at all; the pool's policy then chooses among them. */
+/* The candidate servers of a request, among which the pool's choice policy chooses. */
 #include "cw_hash.h"
 #include "pool_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define NARROW_MIN	2   /* servers: on a single one a burst looks like a slow version */
-#define OWN_CANDIDATES	192 /* near ones: with so many no others are needed */
-#define MAX_CANDIDATES	256
-#define PLACE_MS	1000 /* between two looks at the members: of hundreds, for hundreds of servers */
-#define FILL_BACKLOG_MS 800.0 /* prompts that wait there: half of the usual objective */
+#define SHARE_MIN_SERVERS 2   /* on a single server a burst would look like a slow version */
+#define LOCAL_CANDIDATES  192 /* of the own failure domain; as many need no remote ones */
+#define MAX_CANDIDATES	  256
+#define PLACE_REFRESH_MS  1000	/* a rank costs a pass over hundreds of members, per server */
+#define FILL_BACKLOG_MS	  800.0 /* predicted work queued: half of the usual latency objective */
 
-/* The best of many servers by score. */
+/* The servers with the highest scores, max at most. */
 struct sample {
 	struct cw_server **servers;
 	uint64_t scores[MAX_CANDIDATES];
 	size_t count;
 	size_t max;
-	size_t least; /* which has the lowest score, once it is full */
+	size_t least; /* index of the lowest score once the sample is full */
 };
 
-static size_t collect(struct cw_pool *pool, const struct cw_choice *choice,
-		      struct cw_server **candidates);
+static size_t collect_all(struct cw_pool *pool, const struct cw_choice *choice,
+			  struct cw_server **candidates);
 static size_t collect_sample(struct cw_pool *pool, const struct cw_choice *choice,
 			     struct cw_server **candidates);
 static uint64_t sample_key(const struct cw_choice *choice);
-static void draw(struct sample *sample, struct cw_server *server, uint64_t score);
+static void sample_add(struct sample *sample, struct cw_server *server, uint64_t score);
 static int is_candidate(struct cw_pool *pool, struct cw_server *server,
 			const struct cw_choice *choice);
-static int is_software(const struct cw_server *server, const char *software);
-static size_t narrow(struct cw_server **candidates, size_t count, const struct cw_choice *choice);
-static struct cw_server *choose_to_fill(struct cw_server **candidates, size_t count,
-					const struct cw_choice *choice);
+static int runs_software(const struct cw_server *server, const char *software);
+static size_t limit_to_share(struct cw_server **candidates, size_t count,
+			     const struct cw_choice *choice);
+static struct cw_server *choose_server_to_fill(struct cw_server **candidates, size_t count,
+					       const struct cw_choice *choice);
 static int is_tried(const struct cw_choice *choice, uint64_t id);
 static int may_serve(const struct cw_server *server, const struct cw_choice *choice);
 static void update_place(const struct cw_pool *pool, struct cw_server *server, int64_t now_ms);
@@ -40,21 +41,21 @@
 {
 	struct cw_server *candidates[MAX_CANDIDATES];
 	struct cw_server *server;
-	size_t count = collect(pool, choice, candidates);
+	size_t count = collect_all(pool, choice, candidates);
 
 	if (count > MAX_CANDIDATES)
 		count = collect_sample(pool, choice, candidates);
-	server = choice->fill_part > 0 ? choose_to_fill(candidates, count, choice) : NULL;
+	server = choice->fill_part > 0 ? choose_server_to_fill(candidates, count, choice) : NULL;
 	if (server)
 		return server;
 	if (choice->spread > 0 && choice->spread < 1)
-		count = narrow(candidates, count, choice);
+		count = limit_to_share(candidates, count, choice);
 	return count ? pool->choice->choose(candidates, count, choice) : NULL;
 }
 
-/* All of them, if they aren't more than there is room for; how many they are, one more at most. */
-static size_t collect(struct cw_pool *pool, const struct cw_choice *choice,
-		      struct cw_server **candidates)
+/* Collects all candidates; returns their number, or MAX_CANDIDATES + 1 if there are more. */
+static size_t collect_all(struct cw_pool *pool, const struct cw_choice *choice,
+			  struct cw_server **candidates)
 {
 	struct cw_server *server;
 	size_t count = 0;
@@ -70,37 +71,37 @@
 }
 
 /*
- * Load pattern: ten thousand servers, a thousand instances. All sent to the first of the list, a
- * few dozens of which got sixty times the mean while most got nothing. So a request's prompt draws
- * its candidates, by rendezvous: all instances look for the same prompt at the same servers, and
- * for others elsewhere.
+ * With ten thousand servers and a thousand instances, candidates taken from the head of the list
+ * gave a few dozen servers sixty times the mean load and most servers none. Candidates are
+ * therefore sampled by rendezvous on the prompt prefix: all instances consider the same servers for
+ * the same prompt, and other servers for other prompts.
  */
 static size_t collect_sample(struct cw_pool *pool, const struct cw_choice *choice,
 			     struct cw_server **candidates)
 {
-	struct sample own = {.servers = candidates, .max = OWN_CANDIDATES};
-	struct sample others = {.max = MAX_CANDIDATES - OWN_CANDIDATES};
-	struct cw_server *foreign[MAX_CANDIDATES - OWN_CANDIDATES];
+	struct sample local = {.servers = candidates, .max = LOCAL_CANDIDATES};
+	struct sample remote = {.max = MAX_CANDIDATES - LOCAL_CANDIDATES};
+	struct cw_server *remote_servers[MAX_CANDIDATES - LOCAL_CANDIDATES];
 	uint64_t key = sample_key(choice);
 	struct cw_server *server;
 
-	others.servers = foreign;
+	remote.servers = remote_servers;
 	TAILQ_FOREACH(server, &pool->servers, link) {
-		int is_own = !strcmp(server->failure_domain, choice->failure_domain);
+		int is_local = !strcmp(server->failure_domain, choice->failure_domain);
 
 		if (is_candidate(pool, server, choice))
-			draw(is_own ? &own : &others, server, cw_rendezvous_bits(key, server->id));
+			sample_add(is_local ? &local : &remote, server,
+				   cw_rendezvous_bits(key, server->id));
 	}
-	/* Enough near ones: what goes to another domain costs more than a prompt read again there.
-	 */
-	if (own.count == OWN_CANDIDATES)
-		return own.count;
-	for (size_t i = 0; i < others.count; i++)
-		candidates[own.count + i] = foreign[i];
-	return own.count + others.count;
+	/* Traffic to another failure domain costs more than processing the prompt prefix anew. */
+	if (local.count == LOCAL_CANDIDATES)
+		return local.count;
+	for (size_t i = 0; i < remote.count; i++)
+		candidates[local.count + i] = remote_servers[i];
+	return local.count + remote.count;
 }
 
-/* A version's share of the requests goes to servers that are the same whatever is asked. */
+/* The servers of a version that gets a share of the requests must not depend on the prompt. */
 static uint64_t sample_key(const struct cw_choice *choice)
 {
 	if (choice->fill_part > 0 || (choice->spread > 0 && choice->spread < 1))
@@ -108,8 +109,8 @@
 	return choice->prefix ? choice->prefix : choice->random;
 }
 
-/* Keeps those with the highest scores. */
-static void draw(struct sample *sample, struct cw_server *server, uint64_t score)
+/* Adds a server, in place of the one with the lowest score if the sample is full. */
+static void sample_add(struct sample *sample, struct cw_server *server, uint64_t score)
 {
 	size_t at = sample->least;
 
@@ -169,31 +170,34 @@
 		return 0;
 	if (choice->only_software && strcmp(server->software, choice->only_software) != 0)
 		return 0;
-	return !is_software(server, choice->not_software) && !is_software(server, choice->not_yet);
+	return !runs_software(server, choice->not_software) &&
+	       !runs_software(server, choice->not_yet);
 }
 
-/* Members come and go slowly, and a place is asked for by each request. */
+/* The members change slowly and each request needs the rank, so the rank is cached. */
 static void update_place(const struct cw_pool *pool, struct cw_server *server, int64_t now_ms)
 {
 	struct cw_warmup *warmup = &server->warmup;
 
 	if (!pool->find_place || !cw_warmup_is_cold(warmup, now_ms) ||
-	    (warmup->place_ms && now_ms - warmup->place_ms < PLACE_MS))
+	    (warmup->place_ms && now_ms - warmup->place_ms < PLACE_REFRESH_MS))
 		return;
 	pool->find_place(pool->place_context, server->id, &warmup->place);
 	warmup->place_ms = now_ms;
 }
 
 /*
- * A new version that gets a tenth of the requests on all of its servers is never tried under load.
- * On a tenth of its servers, the same ones for every instance, it meets the load it will have.
+ * A new version that gets a tenth of the requests, spread over all of its servers, is never
+ * tested under load. On a tenth of its servers, the same ones for every instance, it gets the load
+ * that it will have after the roll-out.
  */
-static size_t narrow(struct cw_server **candidates, size_t count, const struct cw_choice *choice)
+static size_t limit_to_share(struct cw_server **candidates, size_t count,
+			     const struct cw_choice *choice)
 {
 	size_t keep = (size_t)ceil((double)count * choice->spread);
 
-	if (keep < NARROW_MIN)
-		keep = NARROW_MIN;
+	if (keep < SHARE_MIN_SERVERS)
+		keep = SHARE_MIN_SERVERS;
 	for (size_t i = 0; i < keep && i < count; i++) {
 		size_t best = i;
 
@@ -211,12 +215,12 @@
 }
 
 /*
- * Load pattern: a new version's share of the requests, spread evenly, leaves each of its servers
- * nearly empty. One is filled, the same for every instance; in time of a queue there, the others
- * take the request as usual.
+ * A new version's share of the requests, spread evenly, leaves each of its servers nearly idle. One
+ * server, the same for every instance, is therefore filled first. NULL while that server has a
+ * queue or its share of slots is taken: the request is then placed as usual.
  */
-static struct cw_server *choose_to_fill(struct cw_server **candidates, size_t count,
-					const struct cw_choice *choice)
+static struct cw_server *choose_server_to_fill(struct cw_server **candidates, size_t count,
+					       const struct cw_choice *choice)
 {
 	struct cw_server *first = NULL;
 
@@ -238,7 +242,7 @@
 	return 0;
 }
 
-static int is_software(const struct cw_server *server, const char *software)
+static int runs_software(const struct cw_server *server, const char *software)
 {
 	return software && !strcmp(server->software, software);
 }
--- a/packages/pool/src/choice.c
+++ b/packages/pool/src/choice.c
@@ -5,20 +5,21 @@
 #include <math.h>
 #include <string.h>
 
-#define AFFINITY_SLACK 1.25 /* a prefix's server may carry this much of the average, and */
-#define AFFINITY_SPARE 1.0  /* this many requests more */
-#define SPILL_WAIT_MS  20.0 /* predicted gain below which a request stays in its domain */
-#define SLOW_START_MS  5000
-#define SLOTS_UNKNOWN  8
-
-static size_t in_domain(struct cw_server **candidates, size_t count, const char *failure_domain);
-static struct cw_server *two_choices(struct cw_server **candidates, size_t count,
-				     const struct cw_choice *choice);
-static struct cw_server *affine(struct cw_server **candidates, size_t count,
-				const struct cw_choice *choice);
-static struct cw_server *spill(struct cw_server *local, struct cw_server **others, size_t count,
-			       const struct cw_choice *choice);
-static double busyness(const struct cw_server *server, int64_t now_ms);
+#define AFFINITY_LOAD_FACTOR 1.25 /* bound of an affinity server's load: mean load times this, */
+#define AFFINITY_LOAD_EXTRA  1.0  /* plus this many requests */
+#define SPILL_GAIN_MS	     20.0 /* least predicted gain that justifies another failure domain */
+#define SLOW_START_MS	     5000
+#define DEFAULT_SLOTS	     8
+
+static size_t move_local_first(struct cw_server **candidates, size_t count,
+			       const char *failure_domain);
+static struct cw_server *choose_less_loaded(struct cw_server **candidates, size_t count,
+					    const struct cw_choice *choice);
+static struct cw_server *choose_by_prefix(struct cw_server **candidates, size_t count,
+					  const struct cw_choice *choice);
+static struct cw_server *spill_over(struct cw_server *local, struct cw_server **others,
+				    size_t count, const struct cw_choice *choice);
+static double load_per_slot(const struct cw_server *server, int64_t now_ms);
 static struct cw_server *choose_affinity(struct cw_server **candidates, size_t count,
 					 const struct cw_choice *choice);
 static struct cw_server *choose_two(struct cw_server **candidates, size_t count,
@@ -53,26 +54,26 @@
 static struct cw_server *choose_affinity(struct cw_server **candidates, size_t count,
 					 const struct cw_choice *choice)
 {
-	size_t local = in_domain(candidates, count, choice->failure_domain);
+	size_t local = move_local_first(candidates, count, choice->failure_domain);
 	struct cw_server *server;
 
 	if (local == 0)
-		return two_choices(candidates, count, choice);
-	server = affine(candidates, local, choice);
+		return choose_less_loaded(candidates, count, choice);
+	server = choose_by_prefix(candidates, local, choice);
 	if (!server)
-		server = two_choices(candidates, local, choice);
-	return spill(server, candidates + local, count - local, choice);
+		server = choose_less_loaded(candidates, local, choice);
+	return spill_over(server, candidates + local, count - local, choice);
 }
 
 static struct cw_server *choose_two(struct cw_server **candidates, size_t count,
 				    const struct cw_choice *choice)
 {
-	size_t local = in_domain(candidates, count, choice->failure_domain);
+	size_t local = move_local_first(candidates, count, choice->failure_domain);
 
 	if (local == 0)
-		return two_choices(candidates, count, choice);
-	return spill(two_choices(candidates, local, choice), candidates + local, count - local,
-		     choice);
+		return choose_less_loaded(candidates, count, choice);
+	return spill_over(choose_less_loaded(candidates, local, choice), candidates + local,
+			  count - local, choice);
 }
 
 static struct cw_server *choose_round_robin(struct cw_server **candidates, size_t count,
@@ -81,9 +82,9 @@
 	struct cw_server *best = candidates[0];
 
 	for (size_t i = 1; i < count; i++)
-		if (candidates[i]->turn < best->turn)
+		if (candidates[i]->round_robin_count < best->round_robin_count)
 			best = candidates[i];
-	best->turn++;
+	best->round_robin_count++;
 	return best;
 }
 
@@ -104,8 +105,9 @@
 	return candidates[choice->random % count];
 }
 
-/* Moves the domain's own servers to the front; returns how many they are. */
-static size_t in_domain(struct cw_server **candidates, size_t count, const char *failure_domain)
+/* Moves the servers of the failure domain to the front and returns their number. */
+static size_t move_local_first(struct cw_server **candidates, size_t count,
+			       const char *failure_domain)
 {
 	size_t local = 0;
 
@@ -120,23 +122,26 @@
 	return local;
 }
 
-static struct cw_server *two_choices(struct cw_server **candidates, size_t count,
-				     const struct cw_choice *choice)
+static struct cw_server *choose_less_loaded(struct cw_server **candidates, size_t count,
+					    const struct cw_choice *choice)
 {
 	size_t first = choice->random % count;
 	size_t second = (choice->random >> 32) % count;
 
 	if (first == second)
 		second = (second + 1) % count;
-	if (busyness(candidates[second], choice->now_ms) <
-	    busyness(candidates[first], choice->now_ms))
+	if (load_per_slot(candidates[second], choice->now_ms) <
+	    load_per_slot(candidates[first], choice->now_ms))
 		return candidates[second];
 	return candidates[first];
 }
 
-/* The prefix's first server by rendezvous that is not loaded beyond its share: bounded load. */
-static struct cw_server *affine(struct cw_server **candidates, size_t count,
-				const struct cw_choice *choice)
+/*
+ * Consistent hashing with bounded loads: the first server by rendezvous whose load is within the
+ * bound and that has no predicted wait. NULL: no prefix, or no such server.
+ */
+static struct cw_server *choose_by_prefix(struct cw_server **candidates, size_t count,
+					  const struct cw_choice *choice)
 {
 	struct cw_server *best = NULL;
 	double best_score = -1;
@@ -148,7 +153,7 @@
 		total += cw_pool_load(candidates[i], choice->now_ms);
 	for (size_t i = 0; i < count; i++) {
 		double score = cw_rendezvous(choice->prefix, candidates[i]->id, 1);
-		double bound = AFFINITY_SLACK * total / (double)count + AFFINITY_SPARE;
+		double bound = AFFINITY_LOAD_FACTOR * total / (double)count + AFFINITY_LOAD_EXTRA;
 
 		if (score <= best_score || cw_pool_load(candidates[i], choice->now_ms) > bound)
 			continue;
@@ -160,29 +165,30 @@
 	return best;
 }
 
-/* Another domain only when it is predicted to be sooner by more than the way there and the noise.
- */
-static struct cw_server *spill(struct cw_server *local, struct cw_server **others, size_t count,
-			       const struct cw_choice *choice)
+/* Uses another failure domain only if the predicted gain exceeds the round trip and the noise. */
+static struct cw_server *spill_over(struct cw_server *local, struct cw_server **others,
+				    size_t count, const struct cw_choice *choice)
 {
 	double local_wait = cw_pool_wait_ms(local, choice->now_ms);
 	struct cw_server *other;
 
-	if (count == 0 || local_wait <= SPILL_WAIT_MS)
+	if (count == 0 || local_wait <= SPILL_GAIN_MS)
 		return local;
-	other = two_choices(others, count, choice);
-	return cw_pool_wait_ms(other, choice->now_ms) + SPILL_WAIT_MS < local_wait ? other : local;
+	other = choose_less_loaded(others, count, choice);
+	return cw_pool_wait_ms(other, choice->now_ms) + SPILL_GAIN_MS < local_wait ? other : local;
 }
 
-/* Load per slot; a server just restored counts as fuller than it is, less so from second to second.
+/*
+ * Load per slot. Slow start: after its breaker closes, a server's load counts up to four times,
+ * falling back to its real value within SLOW_START_MS.
  */
-static double busyness(const struct cw_server *server, int64_t now_ms)
+static double load_per_slot(const struct cw_server *server, int64_t now_ms)
 {
-	double slots = server->slots ? server->slots : SLOTS_UNKNOWN;
-	double busy = (cw_pool_load(server, now_ms) + 1) / slots;
-	double since = (double)(now_ms - server->restored_ms);
+	double slots = server->slots ? server->slots : DEFAULT_SLOTS;
+	double slot_load = (cw_pool_load(server, now_ms) + 1) / slots;
+	double restored_for_ms = (double)(now_ms - server->restored_ms);
 
-	if (server->restored_ms < 0 || since >= SLOW_START_MS)
-		return busy;
-	return busy * (1 + 3 * (1 - since / SLOW_START_MS));
+	if (server->restored_ms < 0 || restored_for_ms >= SLOW_START_MS)
+		return slot_load;
+	return slot_load * (1 + 3 * (1 - restored_for_ms / SLOW_START_MS));
 }
--- a/packages/pool/src/placement.c
+++ b/packages/pool/src/placement.c
@@ -1,6 +1,6 @@
 /*
- * Placement by cost: what a request would wait at each server, what the server would have to read,
- * and what the way there costs, all in milliseconds.
+ * Placement by cost: the predicted wait at each server, the prefill that the server would have to
+ * do, its failures and the transfer between failure domains, all expressed in milliseconds.
  */
 #include "cw_hash.h"
 #include "cw_pool.h"
@@ -9,17 +9,17 @@
 #include <math.h>
 #include <string.h>
 
-#define FORGET_MS     4000 /* evidence on a server counts 1/e after it: it may have recovered */
-#define RATE_GAIN     0.25 /* of the newest answer */
-#define SLOWNESS_GAIN 0.3
-#define SLOWNESS_MAX  20.0
+#define EVIDENCE_DECAY_MS 4000 /* time constant of the decay, as a server may recover unseen */
+#define FAILURE_RATE_GAIN 0.25 /* weight of the newest attempt */
+#define SLOWNESS_GAIN	  0.3  /* weight of the newest attempt */
+#define SLOWNESS_MAX	  20.0
 
 static double cost_of(const struct cw_server *server, const struct cw_choice *choice, int is_home);
 static struct cw_server *choose_cost(struct cw_server **candidates, size_t count,
 				     const struct cw_choice *choice);
-static const struct cw_server *find_home(struct cw_server **candidates, size_t count,
-					 const struct cw_choice *choice);
-static double faded(const struct cw_server *server, int64_t now_ms);
+static const struct cw_server *find_affinity_server(struct cw_server **candidates, size_t count,
+						    const struct cw_choice *choice);
+static double evidence_weight(const struct cw_server *server, int64_t now_ms);
 
 const struct cw_choice_policy cw_choice_cost = {"cost", choose_cost};
 
@@ -28,11 +28,11 @@
 	double rate = cw_pool_failure_rate(server, now_ms);
 	double slow = cw_pool_slowness(server, now_ms);
 
-	server->failure_rate = rate + RATE_GAIN * (is_failure - rate);
+	server->failure_rate = rate + FAILURE_RATE_GAIN * (is_failure - rate);
 	if (slowness > 0)
 		slow += SLOWNESS_GAIN * (MIN(slowness, SLOWNESS_MAX) - slow);
 	server->slowness = slow;
-	server->judged_ms = now_ms;
+	server->evidence_ms = now_ms;
 }
 
 void cw_pool_work_begin(struct cw_server *server, double work_ms, double usual_work_ms,
@@ -49,9 +49,10 @@
 }
 
 /*
- * Load pattern: three prompts of 600 ms on one server. Each counts until its answer begins, so that
- * the server looked 1.7 s late until the moment when all three had been read. What was read of them
- * meanwhile is known from their ages; but a server may be slower than predicted.
+ * The work of a prompt is removed only when its answer begins. If it counted in full until then, a
+ * server with three prompts of 600 ms would look 1.7 s late until all three were processed. The
+ * backlog therefore falls with time, but not below policy->unread_least of the work, as the server
+ * may be slower than predicted.
  */
 double cw_pool_own_work_ms(const struct cw_server *server, int64_t now_ms)
 {
@@ -62,38 +63,38 @@
 }
 
 /*
- * Load pattern: dozens of instances, each with a few requests, send to the same servers. What an
- * instance knows of its peers is a second old in a large system; the number of requests that wait,
- * which a server tells with each answer, is newer but doesn't say how long their prompts are.
+ * With dozens of instances that each send a few requests to the same servers, gossip about the
+ * peers' work is a second old. The queue length that a server reports with each answer is newer but
+ * does not include the length of the queued prompts. The larger of the two estimates counts.
  */
 double cw_pool_backlog_ms(const struct cw_server *server, double usual_work_ms, int64_t now_ms)
 {
 	double known_ms = cw_pool_own_work_ms(server, now_ms);
-	double told_ms = 0;
+	double reported_ms = 0;
 
 	if (now_ms - server->peers_ms < server->policy->peers_ms)
 		known_ms += server->peers_work_ms;
 	if (server->sampled_ms >= 0 && now_ms - server->sampled_ms < server->policy->told_ms)
-		told_ms = server->queued * usual_work_ms + cw_pool_own_work_ms(server, now_ms);
-	return MAX(known_ms, told_ms);
+		reported_ms = server->queued * usual_work_ms + cw_pool_own_work_ms(server, now_ms);
+	return MAX(known_ms, reported_ms);
 }
 
 double cw_pool_failure_rate(const struct cw_server *server, int64_t now_ms)
 {
-	return server->failure_rate * faded(server, now_ms);
+	return server->failure_rate * evidence_weight(server, now_ms);
 }
 
 double cw_pool_slowness(const struct cw_server *server, int64_t now_ms)
 {
 	if (server->slowness <= 0)
 		return 1;
-	return 1 + (server->slowness - 1) * faded(server, now_ms);
+	return 1 + (server->slowness - 1) * evidence_weight(server, now_ms);
 }
 
 static struct cw_server *choose_cost(struct cw_server **candidates, size_t count,
 				     const struct cw_choice *choice)
 {
-	const struct cw_server *home = find_home(candidates, count, choice);
+	const struct cw_server *affinity_server = find_affinity_server(candidates, count, choice);
 	struct cw_server *best = candidates[0];
 	double best_cost = G_MAXDOUBLE;
 
@@ -102,7 +103,9 @@
 			(double)(cw_hash(&candidates[i]->id, sizeof(uint64_t), choice->random) &
 				 0xff) /
 			256 * candidates[i]->policy->noise_ms;
-		double cost = cost_of(candidates[i], choice, home && candidates[i] == home) + noise;
+		double cost = cost_of(candidates[i], choice,
+				      affinity_server && candidates[i] == affinity_server) +
+			      noise;
 
 		if (cost >= best_cost)
 			continue;
@@ -110,18 +113,18 @@
 		best_cost = cost;
 	}
 	if (choice->is_home)
-		*choice->is_home = home && best == home;
+		*choice->is_home = affinity_server && best == affinity_server;
 	return best;
 }
 
 /*
- * The server where every instance, without a word to the others, first looks for a prompt's shared
- * beginning: its parts are then read once in the whole system and not once an instance.
+ * The affinity server of a prompt prefix, by rendezvous: every instance prefers the same server
+ * without coordination, so a prefix is processed once in the system and not once per instance.
  */
-static const struct cw_server *find_home(struct cw_server **candidates, size_t count,
-					 const struct cw_choice *choice)
+static const struct cw_server *find_affinity_server(struct cw_server **candidates, size_t count,
+						    const struct cw_choice *choice)
 {
-	const struct cw_server *home = NULL;
+	const struct cw_server *affinity_server = NULL;
 	double best = -1;
 
 	for (size_t i = 0; choice->prefix && i < count; i++) {
@@ -129,10 +132,10 @@
 
 		if (score > best) {
 			best = score;
-			home = candidates[i];
+			affinity_server = candidates[i];
 		}
 	}
-	return home;
+	return affinity_server;
 }
 
 static double cost_of(const struct cw_server *server, const struct cw_choice *choice, int is_home)
@@ -154,7 +157,7 @@
 	return cost;
 }
 
-static double faded(const struct cw_server *server, int64_t now_ms)
+static double evidence_weight(const struct cw_server *server, int64_t now_ms)
 {
-	return exp(-(double)(now_ms - server->judged_ms) / FORGET_MS);
+	return exp(-(double)(now_ms - server->evidence_ms) / EVIDENCE_DECAY_MS);
 }
--- a/packages/pool/src/pool.c
+++ b/packages/pool/src/pool.c
@@ -7,27 +7,27 @@
 
 #define BREAKER_FIRST_MS   500
 #define BREAKER_MAX_MS	   15000
-#define REPORT_FRESH_MS	   3000 /* an older report is no better than none */
-#define SLOTS_UNKNOWN	   8
-#define SERVICE_MS_UNKNOWN 500.0
+#define REPORT_FRESH_MS	   3000 /* an older load report is ignored */
+#define DEFAULT_SLOTS	   8
+#define DEFAULT_SERVICE_MS 500.0
 #define SERVICE_SMOOTHING  0.1
-#define OWN_DOMAIN_WEIGHT  8
-#define ID_SEED		   4	/* any number, the same for all instances */
-#define NEWCOMER_MS	   2000 /* the order that brings a version is known within it */
-#define KNOWN_MS	   1000 /* a list is collected within it, in any order */
+#define OWN_DOMAIN_WEIGHT  8	/* rendezvous weight of servers in the own failure domain */
+#define ID_SEED		   4	/* arbitrary, but the same for all instances */
+#define NEWCOMER_MS	   2000 /* the roll-out order of a version arrives within it */
+#define KNOWN_MS	   1000 /* the entries of one server list arrive within it, in any order */
 
 static void deactivate(struct cw_server *server);
-static void set_gone(struct cw_server *server, int64_t gone_ms);
-static void forget_gone(struct cw_pool *pool, int64_t now_ms);
+static void set_gone_ms(struct cw_server *server, int64_t gone_ms);
+static void free_removed(struct cw_pool *pool, int64_t now_ms);
 static struct cw_server *add(struct cw_pool *pool, const char *name, int64_t born_ms);
-static void set_place(const struct cw_pool *pool, struct cw_server *server, const char *service,
-		      const char *address, const char *failure_domain);
-static void end_start(struct cw_pool *pool, struct cw_server *server, int64_t now_ms);
-static void note_software(struct cw_pool *pool, const struct cw_server_entry *entry,
-			  int64_t now_ms);
-static void remember(struct cw_server *server, int64_t now_ms, int change);
+static void set_location(const struct cw_pool *pool, struct cw_server *server, const char *service,
+			 const char *address, const char *failure_domain);
+static void retire_start(struct cw_pool *pool, struct cw_server *server, int64_t now_ms);
+static void record_software(struct cw_pool *pool, const struct cw_server_entry *entry,
+			    int64_t now_ms);
+static void record_change(struct cw_server *server, int64_t now_ms, int change);
 static gint by_track_score(gconstpointer a, gconstpointer b);
-static void free_array(gpointer array);
+static void unref_array(gpointer array);
 
 struct cw_pool *cw_pool_create(const struct cw_choice_policy *policy)
 {
@@ -86,7 +86,7 @@
 	g_hash_table_replace(pool->regions, g_strdup(failure_domain), g_strdup(region));
 }
 
-/* Behind a drain servers may have started again, as it is taken back and unseen before that. */
+/* Servers of a drained domain may have restarted unseen, so they count as cold at first. */
 int cw_pool_drain(struct cw_pool *pool, const struct cw_drain_order *order, int64_t now_ms)
 {
 	struct cw_server *server;
@@ -116,17 +116,17 @@
 		server = add(pool, name, 0);
 	if (!server)
 		return NULL;
-	set_place(pool, server, service, address, failure_domain);
+	set_location(pool, server, service, address, failure_domain);
 	server->checks_fencing = checks_fencing;
 	return server;
 }
 
 /*
- * A server may start again under its name, also behind a cut that hides it. What is known of the
- * start before (its load and prompts, its breaker, requests under way) would then hold new requests
- * away from an idle server, and streams would wait for a process that is gone; and an entry that
- * the earlier start wrote may still arrive after the new one's. It shows as another time of birth,
- * so each start is a server of its own here, and the newest one goes by the name.
+ * A server may restart under its name, also behind a network partition that hides the restart. The
+ * state of the earlier start (load, prompts, breaker, running requests) would then keep new
+ * requests away from an idle server, and streams would wait for a terminated process; an entry that
+ * the earlier start wrote may also arrive after the entry of the new one. A restart shows as a
+ * later born_ms, so each start is a separate struct cw_server, and the name maps to the newest one.
  */
 enum cw_listing cw_pool_list(struct cw_pool *pool, const struct cw_server_entry *entry,
 			     int64_t now_ms)
@@ -139,7 +139,7 @@
 		return CW_LISTING_LATE;
 	}
 	if (server && server->born_ms > 0 && entry->born_ms > server->born_ms) {
-		end_start(pool, server, now_ms);
+		retire_start(pool, server, now_ms);
 		server = NULL;
 		listing = CW_LISTING_RESTARTED;
 	} else if (!server) {
@@ -152,16 +152,16 @@
 		server = add(pool, entry->name, entry->born_ms);
 	if (!server)
 		return CW_LISTING_FULL;
-	set_place(pool, server, entry->service, entry->address, entry->failure_domain);
+	set_location(pool, server, entry->service, entry->address, entry->failure_domain);
 	cw_warmup_told(&server->warmup, entry->cold_ms, now_ms);
 	server->born_ms = entry->born_ms;
 	g_strlcpy(server->software, entry->software, CW_NAME_MAX);
-	note_software(pool, entry, now_ms);
+	record_software(pool, entry, now_ms);
 	if (server->sampled_ms < 0)
 		server->slots = entry->slots;
 	server->leaving = entry->leaving;
 	server->gone = 0;
-	set_gone(server, 0);
+	set_gone_ms(server, 0);
 	server->listed_ms = now_ms;
 	return listing;
 }
@@ -184,7 +184,7 @@
 {
 	if (server->gone_ms)
 		return;
-	set_gone(server, MAX(until_ms, now_ms));
+	set_gone_ms(server, MAX(until_ms, now_ms));
 	if (until_ms <= now_ms)
 		server->gone = 1;
 	if (server->gone)
@@ -200,7 +200,10 @@
 			cw_pool_delist(pool, server, until_ms, now_ms);
 }
 
-/* Few of many thousands of servers are in use or gone at a time; the others cost nothing here. */
+/*
+ * Of many thousands of servers few are in use or delisted at a time. Only the active list is passed
+ * over, and the whole list only while a server is delisted.
+ */
 void cw_pool_sweep(struct cw_pool *pool, int64_t now_ms)
 {
 	struct cw_server *server = TAILQ_FIRST(&pool->active);
@@ -213,10 +216,10 @@
 		server = next;
 	}
 	if (pool->delisted > 0)
-		forget_gone(pool, now_ms);
+		free_removed(pool, now_ms);
 }
 
-static void forget_gone(struct cw_pool *pool, int64_t now_ms)
+static void free_removed(struct cw_pool *pool, int64_t now_ms)
 {
 	struct cw_server *server = TAILQ_FIRST(&pool->servers);
 
@@ -246,7 +249,7 @@
 void cw_pool_forget(struct cw_pool *pool, struct cw_server *server)
 {
 	deactivate(server);
-	set_gone(server, 0);
+	set_gone_ms(server, 0);
 	TAILQ_REMOVE(&pool->servers, server, link);
 	g_hash_table_remove(pool->by_id, &server->id);
 	if (cw_pool_find_name(pool, server->name) == server)
@@ -257,12 +260,13 @@
 }
 
 /*
- * Of many servers each node uses a few: by rendezvous, so that all are used alike, and those of its
- * own domain first. Reports of thousands would cost more than all other control.
+ * Of many servers each instance uses a few, as load reports of thousands would cost more than all
+ * other control traffic. They are selected by rendezvous, so that all servers are used alike, with
+ * a higher weight for those of the instance's own failure domain.
  */
 void cw_pool_track(struct cw_pool *pool, uint64_t owner, const char *failure_domain)
 {
-	GHashTable *by_service = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_array);
+	GHashTable *by_service = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, unref_array);
 	GHashTableIter iter;
 	struct cw_server *server;
 	gpointer list;
@@ -314,15 +318,15 @@
 	server->sent_ms = now_ms;
 	cw_warmup_sent(&server->warmup, now_ms);
 	if (server->open_until_ms && now_ms >= server->open_until_ms)
-		server->probing = 1;
-	remember(server, now_ms, 1);
+		server->is_probing = 1;
+	record_change(server, now_ms, 1);
 }
 
 void cw_pool_ended(struct cw_server *server, int64_t now_ms, double service_ms)
 {
 	if (server->own_running > 0)
 		server->own_running--;
-	remember(server, now_ms, -1);
+	record_change(server, now_ms, -1);
 	if (service_ms < 0)
 		return;
 	if (server->service_ms <= 0)
@@ -335,25 +339,25 @@
 {
 	if (server->open_until_ms)
 		server->restored_ms = now_ms;
-	server->failures = 0;
+	server->consecutive_failures = 0;
 	server->open_until_ms = 0;
 	server->backoff_ms = 0;
-	server->probing = 0;
+	server->is_probing = 0;
 }
 
 void cw_pool_failed(struct cw_server *server, int64_t now_ms, uint64_t random)
 {
-	int was_probe = server->probing;
+	int was_trial = server->is_probing;
 
-	server->probing = 0;
-	server->failures++;
-	if (server->failures < server->policy->breaker_failures && !was_probe)
+	server->is_probing = 0;
+	server->consecutive_failures++;
+	if (server->consecutive_failures < server->policy->breaker_failures && !was_trial)
 		return;
 	if (server->open_until_ms > now_ms)
 		return;
 	server->backoff_ms =
 		server->backoff_ms ? MIN(server->backoff_ms * 2, BREAKER_MAX_MS) : BREAKER_FIRST_MS;
-	/* Jitter: instances that saw the same failure would else all probe in the same moment. */
+	/* Jitter: instances that saw the same failure must not all retry at the same time. */
 	server->open_until_ms =
 		now_ms + server->backoff_ms / 2 + (int64_t)(random % (uint64_t)server->backoff_ms);
 }
@@ -361,8 +365,8 @@
 void cw_pool_refused(struct cw_server *server, int64_t now_ms, uint64_t random)
 {
 	cw_warmup_away(&server->warmup, now_ms);
-	server->failures =
-		MAX(server->failures, (unsigned int)server->policy->breaker_failures - 1);
+	server->consecutive_failures = MAX(server->consecutive_failures,
+					   (unsigned int)server->policy->breaker_failures - 1);
 	cw_pool_failed(server, now_ms, random);
 }
 
@@ -370,7 +374,7 @@
 {
 	int64_t sampled_ms = now_ms - load->age_ms;
 
-	/* Reports may overtake each other: an older one must not undo a newer one. */
+	/* Reports may arrive out of order: an older one must not replace a newer one. */
 	if (sampled_ms < server->sampled_ms)
 		return;
 	server->running = load->running;
@@ -412,8 +416,8 @@
 
 double cw_pool_wait_ms(const struct cw_server *server, int64_t now_ms)
 {
-	double slots = server->slots ? server->slots : SLOTS_UNKNOWN;
-	double service_ms = server->service_ms > 0 ? server->service_ms : SERVICE_MS_UNKNOWN;
+	double slots = server->slots ? server->slots : DEFAULT_SLOTS;
+	double service_ms = server->service_ms > 0 ? server->service_ms : DEFAULT_SERVICE_MS;
 	double ahead = cw_pool_load(server, now_ms) + 1 - slots;
 
 	return ahead > 0 ? ahead / slots * service_ms : 0;
@@ -425,7 +429,7 @@
 		return 0;
 	if (!server->open_until_ms)
 		return 1;
-	return now_ms >= server->open_until_ms && !server->probing;
+	return now_ms >= server->open_until_ms && !server->is_probing;
 }
 
 const struct cw_server_list *cw_pool_servers(const struct cw_pool *pool)
@@ -454,7 +458,7 @@
 	TAILQ_REMOVE(&server->pool->active, server, active_link);
 }
 
-static void set_gone(struct cw_server *server, int64_t gone_ms)
+static void set_gone_ms(struct cw_server *server, int64_t gone_ms)
 {
 	server->pool->delisted += (size_t)(gone_ms != 0);
 	server->pool->delisted -= (size_t)(server->gone_ms != 0);
@@ -484,8 +488,8 @@
 	return server;
 }
 
-static void set_place(const struct cw_pool *pool, struct cw_server *server, const char *service,
-		      const char *address, const char *failure_domain)
+static void set_location(const struct cw_pool *pool, struct cw_server *server, const char *service,
+			 const char *address, const char *failure_domain)
 {
 	const char *region = g_hash_table_lookup(pool->regions, failure_domain);
 
@@ -497,9 +501,10 @@
 }
 
 /*
- * Servers of a new version may be listed before the order to bring it in is known here: in 2 s, 12
- * requests went to it whose sessions ran on the old one. So it gets nothing until then, while
- * others are there; without an order it is a server like any other after a while.
+ * Servers of a new software version may be listed before this instance knows the roll-out order of
+ * the version: within 2 s, 12 requests of sessions on the old version went to the new one. A new
+ * version therefore gets no requests for NEWCOMER_MS while servers of other versions exist. If no
+ * order arrives, its servers are then used like any others.
  */
 const char *cw_pool_newcomer(const struct cw_pool *pool, const char *service, int64_t now_ms)
 {
@@ -513,7 +518,8 @@
 	return NULL;
 }
 
-static void note_software(struct cw_pool *pool, const struct cw_server_entry *entry, int64_t now_ms)
+static void record_software(struct cw_pool *pool, const struct cw_server_entry *entry,
+			    int64_t now_ms)
 {
 	struct software *software;
 	int is_newcomer = 0;
@@ -535,17 +541,17 @@
 	software->is_newcomer = is_newcomer;
 }
 
-/* It is forgotten once its last request was given up. */
-static void end_start(struct cw_pool *pool, struct cw_server *server, int64_t now_ms)
+/* Marks an earlier start as removed; the sweep frees it once its last request has ended. */
+static void retire_start(struct cw_pool *pool, struct cw_server *server, int64_t now_ms)
 {
 	server->has_ended = 1;
 	server->leaving = 1;
 	server->gone = 1;
-	set_gone(server, MAX(now_ms, 1));
+	set_gone_ms(server, MAX(now_ms, 1));
 	g_hash_table_remove(pool->by_name, server->name);
 }
 
-static void remember(struct cw_server *server, int64_t now_ms, int change)
+static void record_change(struct cw_server *server, int64_t now_ms, int change)
 {
 	if (!server->history)
 		server->history = g_new0(struct cw_pool_change, CW_POOL_HISTORY);
@@ -562,7 +568,7 @@
 	return left->track_score > right->track_score ? -1 : left->track_score < right->track_score;
 }
 
-static void free_array(gpointer array)
+static void unref_array(gpointer array)
 {
 	g_ptr_array_unref(array);
 }
--- a/packages/pool/src/pool_internal.h
+++ b/packages/pool/src/pool_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the package share: the pool itself. */
+/* The pool's own structure, shared by the files of the package. */
 #ifndef POOL_INTERNAL_H
 #define POOL_INTERNAL_H
 
@@ -6,14 +6,16 @@
 
 #include <glib.h>
 
-#define SOFTWARE_MAX 64 /* versions remembered, of all services; more are never newcomers */
+#define SOFTWARE_MAX                                                                               \
+	64 /* versions remembered, of all services; further ones never count as new                \
+	    */
 
-/* A version of what a service's servers run. */
+/* A software version that servers of a service run. */
 struct software {
 	char service[CW_NAME_MAX];
 	char name[CW_NAME_MAX];
-	int64_t first_ms; /* of the first server seen with it */
-	int is_newcomer;  /* another was known for long before it */
+	int64_t first_ms; /* when the first server with the version was listed */
+	int is_newcomer;  /* another version of the service was known for KNOWN_MS before */
 };
 
 struct cw_pool {
@@ -24,13 +26,13 @@
 	void (*find_place)(void *context, uint64_t server, struct cw_warmup_place *place);
 	void *place_context;
 	struct cw_server_list servers;
-	struct cw_server_list active; /* by active_link */
-	size_t delisted;	      /* servers with gone_ms */
+	struct cw_server_list active; /* linked by active_link */
+	size_t delisted;	      /* number of servers with gone_ms set */
 	GHashTable *by_id;
-	GHashTable *by_name; /* the newest start of each */
+	GHashTable *by_name; /* the newest start of each server */
 	struct software software[SOFTWARE_MAX];
 	size_t software_count;
 };
-void pool_activate(struct cw_server *server); /* until the next sweep that finds it unused */
+void pool_activate(struct cw_server *server); /* until a sweep finds it unused */
 
 #endif
--- a/packages/pool/src/reach.c
+++ b/packages/pool/src/reach.c
@@ -1,16 +1,16 @@
 /*
- * Can a server be reached? A cut shows as silence, and so does a server that reads a long prompt.
- * A connection that opens, or does not, tells them apart in two ways of the network.
+ * Reachability of servers. A network partition shows as silence, and so does a server that
+ * processes a long prompt. A probe connection tells the two apart within one round trip.
  */
 #include "pool_internal.h"
 
 #include <glib.h>
 #include <string.h>
 
-#define JUST_HEARD_MS 200  /* less than the time it takes to notice that a server is cut off */
-#define CRASH_MS      1000 /* what breaks within it broke by one crash */
-#define AGAIN_MS      300  /* an unreachable server is back in use within it */
-#define AGAIN_MAX_MS  2400 /* a server that is only slow isn't met by ever more connections */
+#define RECENTLY_SEEN_MS      200  /* shorter than the detection of a server that is cut off */
+#define CRASH_WINDOW_MS	      1000 /* connections that break within it belong to one crash */
+#define PROBE_INTERVAL_MS     300  /* bounds the time until a reachable server is used again */
+#define PROBE_INTERVAL_MAX_MS 2400 /* a server that is only slow gets few probe connections */
 
 void cw_pool_heard(struct cw_server *server, int64_t now_ms)
 {
@@ -21,26 +21,27 @@
 }
 
 /*
- * A server that crashes breaks all of its requests in one moment: one fault, and not fifty of the
- * version that it ran. Counted singly, the crash of the one server on which a good new version was
- * tried under load (55 requests, 14 on all old ones) took that version back.
+ * A crash breaks all requests of a server at once and counts as one failure of its software
+ * version. Counted per request, one crash of the only server that ran a good new version under load
+ * (55 requests, against 14 on all servers of the old version) rolled that version back.
  */
 int cw_pool_broke(struct cw_server *server, int64_t now_ms)
 {
-	if (server->broke_ms && now_ms - server->broke_ms < CRASH_MS)
+	if (server->crash_ms && now_ms - server->crash_ms < CRASH_WINDOW_MS)
 		return 0;
-	server->broke_ms = now_ms;
+	server->crash_ms = now_ms;
 	return 1;
 }
 
-/* It may have started again, unseen, and an entry that tells so be on its way. */
+/* The server may have restarted while it was unreachable, and its new entry may not be here yet. */
 void cw_pool_reached(struct cw_server *server, int64_t now_ms)
 {
 	if (server->is_unreachable)
 		cw_warmup_away(&server->warmup, now_ms);
 	server->is_unreachable = 0;
 	server->is_doubted = 0;
-	server->probe_gap_ms = MIN(MAX(server->probe_gap_ms * 2, AGAIN_MS), AGAIN_MAX_MS);
+	server->probe_gap_ms =
+		MIN(MAX(server->probe_gap_ms * 2, PROBE_INTERVAL_MS), PROBE_INTERVAL_MAX_MS);
 }
 
 void cw_pool_unheard(struct cw_server *server)
@@ -52,12 +53,14 @@
 }
 
 /*
- * A request that leaves an unreachable server for another one behind the same cut loses its time
- * and an attempt. Behind the cut may be the server's failure domain or, seen from inside, all
- * others; whoever was not heard just now waits for the answer to a probe, which takes two ways.
+ * A request that moves from an unreachable server to another one behind the same network partition
+ * loses time and an attempt. Behind the partition may be the failure domain of the server or, if
+ * this instance's own domain is cut off, all other domains. Servers there that were not seen
+ * recently get no requests until a probe is answered, which takes one round trip.
  */
 size_t cw_pool_doubt(struct cw_pool *pool, const struct cw_server *unreachable,
-		     const char *own_domain, struct cw_server **doubted, size_t max, int64_t now_ms)
+		     const char *own_domain, struct cw_server **suspects, size_t max,
+		     int64_t now_ms)
 {
 	int is_own = !strcmp(unreachable->failure_domain, own_domain);
 	struct cw_server *server;
@@ -66,23 +69,24 @@
 	if (unreachable->policy->doubt_beside <= 0)
 		return 0;
 	TAILQ_FOREACH(server, cw_pool_servers(pool), link) {
-		int is_beside = !strcmp(server->failure_domain, unreachable->failure_domain);
-		int is_far = !is_own && strcmp(server->failure_domain, own_domain) != 0;
+		int is_same_domain = !strcmp(server->failure_domain, unreachable->failure_domain);
+		int is_remote = !is_own && strcmp(server->failure_domain, own_domain) != 0;
 
 		if (server->gone || server->is_unreachable || server->is_doubted || count == max ||
-		    !(is_beside || is_far) || now_ms - server->heard_ms < JUST_HEARD_MS)
+		    !(is_same_domain || is_remote) || now_ms - server->heard_ms < RECENTLY_SEEN_MS)
 			continue;
 		pool_activate(server);
 		server->is_doubted = 1;
 		server->probed_ms = now_ms;
-		doubted[count++] = server;
+		suspects[count++] = server;
 	}
 	return count;
 }
 
 int cw_pool_wants_probe(const struct cw_server *server, int64_t now_ms)
 {
-	if (server->gone || now_ms - server->probed_ms < MAX(server->probe_gap_ms, AGAIN_MS))
+	if (server->gone ||
+	    now_ms - server->probed_ms < MAX(server->probe_gap_ms, PROBE_INTERVAL_MS))
 		return 0;
 	if (server->is_unreachable)
 		return 1;
--- a/packages/pool/src/warmup.c
+++ b/packages/pool/src/warmup.c
@@ -2,15 +2,15 @@
 
 #include <glib.h>
 
-#define VIEWS	  2    /* sides of a cut that each find their own sharers */
-#define SHARERS	  5    /* instances that share a cold server's rate, where it is high enough */
-#define WINDOW_MS 1050 /* a second, and what timers and clocks may differ in it */
+#define PARTITION_SIDES 2    /* sides of a network partition, each with senders of its own */
+#define MAX_SENDERS	5    /* instances that share a cold server's rate, if it is high enough */
+#define WINDOW_MS	1050 /* one second, plus the inaccuracy of timers and clocks */
 
-static int64_t left_ms(const struct cw_warmup *warmup, int64_t now_ms);
+static int64_t cold_left_ms(const struct cw_warmup *warmup, int64_t now_ms);
 
 int cw_warmup_is_cold(const struct cw_warmup *warmup, int64_t now_ms)
 {
-	return left_ms(warmup, now_ms) > 0;
+	return cold_left_ms(warmup, now_ms) > 0;
 }
 
 void cw_warmup_told(struct cw_warmup *warmup, int64_t cold_ms, int64_t now_ms)
@@ -29,17 +29,17 @@
 }
 
 /*
- * What is borne at times is a bound and no aim: all sides of a cut together stay below it, and the
- * sharers of one side below the rate itself.
+ * The burst that a server bears is an upper bound and not a target: the senders of all sides of a
+ * network partition together stay below the burst, and those of one side below the sustained rate.
  */
 unsigned int cw_warmup_quota(const struct cw_warmup_rate *rate, const struct cw_warmup_place *place)
 {
-	double bound = (rate->per_s * rate->factor + rate->slack) / VIEWS;
+	double bound = (rate->per_s * rate->factor + rate->slack) / PARTITION_SIDES;
 	unsigned int all = (unsigned int)MIN(rate->per_s, bound);
-	size_t sharers = CLAMP(place->instances, 1, SHARERS);
-	unsigned int each = MAX(all / (unsigned int)sharers, 1);
+	size_t senders = CLAMP(place->instances, 1, MAX_SENDERS);
+	unsigned int each = MAX(all / (unsigned int)senders, 1);
 
-	if (place->instances == 0 || place->rank >= MIN(sharers, all / each))
+	if (place->instances == 0 || place->rank >= MIN(senders, all / each))
 		return 0;
 	return MIN(each, CW_WARMUP_SENDS);
 }
@@ -53,7 +53,7 @@
 int64_t cw_warmup_wait_ms(const struct cw_warmup *warmup, const struct cw_warmup_rate *rate,
 			  int64_t now_ms)
 {
-	int64_t warm_ms = left_ms(warmup, now_ms);
+	int64_t warm_ms = cold_left_ms(warmup, now_ms);
 	unsigned int quota;
 	int64_t oldest_ms;
 
@@ -62,7 +62,7 @@
 	quota = cw_warmup_quota(rate, &warmup->place);
 	if (quota == 0)
 		return warm_ms;
-	/* The send before the last ones that the quota allows in one window. */
+	/* The oldest of the last `quota` sends: all of them must not fall into one window. */
 	oldest_ms =
 		warmup->sent_ms[(warmup->sent_next + CW_WARMUP_SENDS - quota) % CW_WARMUP_SENDS];
 	if (oldest_ms == 0)
@@ -70,8 +70,8 @@
 	return CLAMP(oldest_ms + WINDOW_MS - now_ms, 0, warm_ms);
 }
 
-/* Until it counts as warm; 0 or less: it does. */
-static int64_t left_ms(const struct cw_warmup *warmup, int64_t now_ms)
+/* Time until the server counts as warm; 0 or less: the server is warm. */
+static int64_t cold_left_ms(const struct cw_warmup *warmup, int64_t now_ms)
 {
 	return MAX(warmup->cold_until_ms, warmup->unknown_until_ms) - now_ms;
 }
