--- a/packages/drain/src/drain.c
+++ b/packages/drain/src/drain.c
@@ -5,7 +5,7 @@
 
 struct drain {
 	struct cw_drain_order order;
-	int is_seen; /* in the collection under way */
+	int is_seen; /* the current scan found a record of the domain */
 };
 
 struct cw_drains {
@@ -66,8 +66,9 @@
 }
 
 /*
- * The record that took it back may have been dropped from the history, so its offset isn't known:
- * the last one before the end is newer than the drain's own and older than whatever follows.
+ * The record that restored the domain may have been dropped from the history, so its offset is
+ * unknown. The last offset before the end of the scan is newer than that of the drain and older
+ * than that of any order that follows.
  */
 int cw_drains_collected(struct cw_drains *drains, uint64_t end, struct cw_drain_order *restored)
 {
@@ -92,7 +93,7 @@
 	return NULL;
 }
 
-/* In place of one that was taken back, where there is no room; NULL: all are drained. */
+/* Replaces a restored domain if the table is full; NULL: all domains in it are drained. */
 static struct drain *add(struct cw_drains *drains, const char *failure_domain)
 {
 	struct drain *drain = NULL;
--- a/packages/home/include/cw_home.h
+++ b/packages/home/include/cw_home.h
@@ -1,6 +1,6 @@
 /*
- * Home regions: where the requests of a route or an organisation may run. Both bind: a request runs
- * only in a region that each of them allows.
+ * Home regions: the regions in which the requests of a route or an organisation may run. A request
+ * runs only in a region that both its route and its organisation allow.
  */
 #ifndef CW_HOME_H
 #define CW_HOME_H
@@ -9,15 +9,16 @@
 
 #include <stddef.h>
 
-#define CW_HOMES 4 /* regions of one route or organisation; more are not allowed to serve it */
+#define CW_HOMES 4 /* regions of one route or organisation; further ones are ignored */
 
-/* None: any region may serve. */
+/* An empty list allows any region. */
 struct cw_homes {
 	size_t count;
 	char regions[CW_HOMES][CW_NAME_MAX];
 };
 
 void cw_homes_add(struct cw_homes *homes, const char *region);
-int cw_homes_allow(const struct cw_homes *homes, const char *region); /* NULL homes: 1 */
+int cw_homes_allow(const struct cw_homes *homes,
+		   const char *region); /* 1: the region may serve; always for NULL */
 
 #endif
--- a/packages/home/src/home.c
+++ b/packages/home/src/home.c
@@ -9,7 +9,7 @@
 		g_strlcpy(homes->regions[homes->count++], region, CW_NAME_MAX);
 }
 
-/* A server whose region isn't known may be anywhere: it serves no request that has homes. */
+/* A server of unknown region may be anywhere, so it serves no request with home regions. */
 int cw_homes_allow(const struct cw_homes *homes, const char *region)
 {
 	if (!homes || homes->count == 0)
--- a/packages/policy/include/cw_policy.h
+++ b/packages/policy/include/cw_policy.h
@@ -1,7 +1,7 @@
 /*
- * What the decisions on requests weigh and when they give way, in one place: an operator tunes a
- * deployment by a file, an experiment switches one mechanism off. What keeps a promise (budgets,
- * limits of exposure, at most once) is no policy and isn't here.
+ * The weights and thresholds of all decisions on requests, in one place: an operator tunes a
+ * deployment by a file, and an experiment switches a single mechanism off. Guarantees (budgets,
+ * exposure limits, at-most-once execution) are not tunable and not part of the policy.
  */
 #ifndef CW_POLICY_H
 #define CW_POLICY_H
@@ -13,57 +13,57 @@
 #include <stdio.h>
 
 struct cw_policy {
-	/* which model answers */
-	double escalate_below;	      /* a small model's confidence, 0 to 100 */
-	double escalate_below_late;   /* the same when the large one's answer would be late */
-	double escalate_late_part;    /* of the objective that the large one's answer would take */
-	double escalate_queue_weight; /* in it, a ms that other prompts take to be read */
-	double escalate_less_taken; /* of engines' slots: from here on less confidence is asked for,
-				     */
-	double escalate_none_taken; /* and from here on none */
-	double escalate_whole_part; /* of the time left that the large one's whole stream may take
-				     */
-	double rejected_to_small;   /* 1: what full engines reject is asked of the small model */
-	/* who is turned away */
-	double full_part; /* of the sends rejected: from here on servers count as full */
-	double shed_part; /* of what is rejected, that is refused unsent */
-	/* which server */
-	double again_token_ms; /* a shared token that is read again costs as much as this wait */
-	double cross_byte_ms;  /* a byte to another failure domain */
-	double running_ms;     /* each request that runs there */
-	double failure_ms;     /* an answer that fails */
-	double slowness_part;  /* of what a server is slower than predicted, that counts */
-	double noise_ms;       /* between instances with the same view */
-	double peers_ms;       /* so long holds what peers told of their work */
-	double told_ms;	       /* so long holds the queue that a server told of */
-	double unread_least;   /* of the work sent there, that counts until its answer begins */
-	/* servers that fail */
-	double breaker_failures; /* in a row that open the breaker */
-	double quiet_ms;	 /* without a byte, a server with requests is probed */
-	double doubt_beside;	 /* 1: servers beside an unreachable one are probed at once */
-	double connect_part;	 /* of the objective, that a connection may take to open */
-	double silence_factor;	 /* of the predicted wait, and */
-	double silence_part;	 /* of the objective, until another server is tried */
-	double pause_part; /* of the longest pause on time, the same between a stream's events */
-	/* on the wire */
-	double urgency_step;  /* an organisation's priority counts as so many of a route's */
-	double reuse_idle_ms; /* a kept connection idle for less carries a request */
+	/* choice of the model */
+	double escalate_below;	      /* confidence, 0 to 100, below which an answer is escalated */
+	double escalate_below_late;   /* the same if the large model's answer would be late */
+	double escalate_late_part;    /* part of the latency objective from which that is late */
+	double escalate_queue_weight; /* weight of queued prefill time in that prediction */
+	double escalate_less_taken;   /* part of engine slots in use above which that confidence
+					 falls, */
+	double escalate_none_taken;   /* and above which it is 0 */
+	double escalate_whole_part;   /* part of the time left for the large model's whole stream */
+	double rejected_to_small; /* 1: requests that full engines reject go to the small model */
+	/* load shedding */
+	double full_part; /* part of attempts rejected above which servers count as full */
+	double shed_part; /* part of the rejection rate that is shed before dispatch */
+	/* choice of the server */
+	double again_token_ms; /* cost of processing a prefix token again */
+	double cross_byte_ms;  /* cost of a byte to another failure domain */
+	double running_ms;     /* cost of each request running on the server */
+	double failure_ms;     /* cost of a failed answer */
+	double slowness_part;  /* weight of a server's slowness beyond the prediction */
+	double noise_ms;       /* random cost that separates instances with equal views */
+	double peers_ms;       /* lifetime of the peers' announcements of their work */
+	double told_ms;	       /* lifetime of the queue length that a server reported */
+	double unread_least;   /* least part of sent work that counts until its answer begins */
+	/* failing servers */
+	double breaker_failures; /* consecutive failures that open the breaker */
+	double quiet_ms;	 /* silence after which a server with requests is probed */
+	double doubt_beside;   /* 1: servers possibly cut off with an unreachable one are probed */
+	double connect_part;   /* part of the objective within which a connection must open */
+	double silence_factor; /* time-out before the next attempt: predicted wait times this, */
+	double silence_part;   /* plus this part of the objective */
+	double pause_part; /* the same between events of a stream, as a part of the allowed pause */
+	/* requests to servers */
+	double urgency_step;  /* route priorities that one step of an organisation's is worth */
+	double reuse_idle_ms; /* idle time up to which a pooled connection is reused */
 };
 
 struct cw_policy_field {
 	const char *name;
 	const char *unit;
-	const char *purpose; /* the gain it brings, or what it prevents */
+	const char *purpose; /* what the field improves or prevents */
 	double fallback, min, max;
-	double off; /* the value that switches the mechanism off */
-	size_t offset;
+	double off;    /* value that switches the mechanism off */
+	size_t offset; /* in struct cw_policy */
 };
 
 const struct cw_policy *cw_policy_default(void);
 const struct cw_policy_field *cw_policy_fields(size_t *count);
 double cw_policy_value(const struct cw_policy *policy, const struct cw_policy_field *field);
 enum cw_status cw_policy_load(const char *file, struct cw_policy *policy,
-			      GString *faults); /* what the file leaves out keeps its default */
-void cw_policy_print(const struct cw_policy *policy, FILE *out); /* as a file that can be loaded */
+			      GString *faults); /* omitted fields keep their defaults */
+void cw_policy_print(const struct cw_policy *policy,
+		     FILE *out); /* in the format that cw_policy_load() reads */
 
 #endif
--- a/packages/policy/src/policy.c
+++ b/packages/policy/src/policy.c
@@ -10,43 +10,50 @@
 	}
 
 static const struct cw_policy_field fields[] = {
-	FIELD(escalate_below, "confidence", 60, 0, 101, 0, "answers too hard for the small model"),
-	FIELD(escalate_below_late, "confidence", 25, 0, 101, 60, "the queue of the large model"),
+	FIELD(escalate_below, "confidence", 60, 0, 101, 0, "requests too hard for the small model"),
+	FIELD(escalate_below_late, "confidence", 25, 0, 101, 60, "queueing for the large model"),
 	FIELD(escalate_late_part, "of the objective", 0.8, 0.01, 1e6, 1e6,
-	      "with escalate_below_late: less confidence is asked for as the queue grows"),
+	      "with escalate_below_late: accepts less confidence as the queue grows"),
 	FIELD(escalate_queue_weight, "of a ms", 1.8, 0, 100, 1,
-	      "queues are longer than an instance knows, a prompt's own reading isn't"),
+	      "queues are longer than an instance knows, own prefill time is known"),
 	FIELD(escalate_less_taken, "of the slots", 0.5, 0, 1e6, 1e6,
-	      "slots taken for seconds by the large model as a burst begins"),
+	      "large-model streams that hold slots for seconds as a burst begins"),
 	FIELD(escalate_none_taken, "of the slots", 0.9, 0, 1e6, 1e6, "the same"),
 	FIELD(escalate_whole_part, "of the time left", 0.6, 0, 1e6, 1e6,
-	      "streams of 17 s that end at their deadline"),
-	FIELD(rejected_to_small, "0 or 1", 1, 0, 1, 0, "callers that got neither answer"),
-	FIELD(full_part, "of the sends", 0.1, 0, 2, 2, "repeats to servers that are full"),
-	FIELD(shed_part, "of the rejected", 1, 0, 1, 0, "the least urgent wait for nothing"),
-	FIELD(again_token_ms, "ms a token", 0.09, 0, 100, 0, "prompts' shared parts read again"),
+	      "streams of 17 s that are cut off at their deadline"),
+	FIELD(rejected_to_small, "0 or 1", 1, 0, 1, 0, "requests that neither model answers"),
+	FIELD(full_part, "of the sends", 0.1, 0, 2, 2, "retries to full servers"),
+	FIELD(shed_part, "of the rejected", 1, 0, 1, 0,
+	      "low-priority requests that queue and then time out"),
+	FIELD(again_token_ms, "ms a token", 0.09, 0, 100, 0, "prompt prefixes processed again"),
 	FIELD(cross_byte_ms, "ms a byte", 0.0032, 0, 100, 0, "bytes between failure domains"),
-	FIELD(running_ms, "ms a request", 1.5, 0, 1e5, 0, "full engines make tokens slowly"),
+	FIELD(running_ms, "ms a request", 1.5, 0, 1e5, 0, "full engines generate tokens slowly"),
 	FIELD(failure_ms, "ms", 1500, 0, 1e6, 0, "servers that fail a part of their requests"),
-	FIELD(slowness_part, "of 1", 1, 0, 10, 0, "servers that turn slow"),
+	FIELD(slowness_part, "of 1", 1, 0, 10, 0, "servers that become slow"),
 	FIELD(noise_ms, "ms", 4, 0, 1e5, 0, "all instances choose the same server"),
 	FIELD(peers_ms, "ms", 3000, 0, 1e6, 0, "others' requests at the same server"),
-	FIELD(told_ms, "ms", 700, 0, 1e6, 0, "queues that no instance knows of"),
-	FIELD(unread_least, "of the work", 0.25, 0, 1, 1, "a server seems late that has read all"),
-	FIELD(breaker_failures, "answers", 3, 1, 1e6, 1e6, "requests to a server that fails"),
-	FIELD(quiet_ms, "ms", 150, 1, 1e9, 1e9, "streams wait behind a cut"),
-	FIELD(doubt_beside, "0 or 1", 1, 0, 1, 0, "a second attempt behind the same cut"),
+	FIELD(told_ms, "ms", 700, 0, 1e6, 0, "queued requests unknown to gossip"),
+	FIELD(unread_least, "of the work", 0.25, 0, 1, 1,
+	      "a backlog estimate that outlives the work"),
+	FIELD(breaker_failures, "answers", 3, 1, 1e6, 1e6, "requests to a failing server"),
+	FIELD(quiet_ms, "ms", 150, 1, 1e9, 1e9, "streams that wait behind a network partition"),
+	FIELD(doubt_beside, "0 or 1", 1, 0, 1, 0,
+	      "a second attempt behind the same network partition"),
 	FIELD(connect_part, "of the objective", 0.67, 0, 1e6, 1e6,
-	      "a quick request waits for a server that is cut off"),
-	FIELD(silence_factor, "of the wait", 4, 1, 1e6, 1e6, "a server that hangs"),
+	      "a quick request that waits for a server that is cut off"),
+	FIELD(silence_factor, "of the wait", 4, 1, 1e6, 1e6,
+	      "requests that wait for a hung server"),
 	FIELD(silence_part, "of the objective", 2, 0, 1e6, 1e6, "the same"),
-	FIELD(pause_part, "of the pause", 3.3, 0.1, 1e6, 1e6, "the same, amid a stream"),
-	FIELD(urgency_step, "priorities", 3, 0, 9, 0, "an organisation's priority goes first"),
-	FIELD(reuse_idle_ms, "ms", 10000, 0, 60000, 0, "new connections"),
+	FIELD(pause_part, "of the pause", 3.3, 0.1, 1e6, 1e6,
+	      "streams that wait for a hung server"),
+	FIELD(urgency_step, "priorities", 3, 0, 9, 0,
+	      "an organisation's priority outweighs a route's"),
+	FIELD(reuse_idle_ms, "ms", 10000, 0, 60000, 0, "connections opened anew"),
 };
 
 static double *value_of(struct cw_policy *policy, const struct cw_policy_field *field);
-static void take(struct cw_policy *policy, const char *name, json_object *value, GString *faults);
+static void set_field(struct cw_policy *policy, const char *name, json_object *value,
+		      GString *faults);
 static const struct cw_policy_field *find(const char *name);
 
 const struct cw_policy *cw_policy_default(void)
@@ -83,8 +90,8 @@
 	at = json_object_iter_begin(root);
 	end = json_object_iter_end(root);
 	while (!json_object_iter_equal(&at, &end)) {
-		take(policy, json_object_iter_peek_name(&at), json_object_iter_peek_value(&at),
-		     faults);
+		set_field(policy, json_object_iter_peek_name(&at), json_object_iter_peek_value(&at),
+			  faults);
 		json_object_iter_next(&at);
 	}
 	json_object_put(root);
@@ -104,7 +111,8 @@
 	fprintf(out, "}\n");
 }
 
-static void take(struct cw_policy *policy, const char *name, json_object *value, GString *faults)
+static void set_field(struct cw_policy *policy, const char *name, json_object *value,
+		      GString *faults)
 {
 	const struct cw_policy_field *field = find(name);
 	double number;
