--- a/tests/unit/test_drain.c
+++ b/tests/unit/test_drain.c
@@ -1,11 +1,11 @@
-/* Drains of failure domains: orders that come late, twice and in any order. */
+/* Drains of failure domains, with orders that arrive late, twice and out of order. */
 #include "cw_drain.h"
 #include "unit.h"
 
 #include <glib.h>
 #include <string.h>
 
-static int take(struct cw_drains *drains, const char *domain, uint64_t offset, int is_drained)
+static int apply(struct cw_drains *drains, const char *domain, uint64_t offset, int is_drained)
 {
 	struct cw_drain_order order = {.offset = offset, .is_drained = is_drained};
 
@@ -13,75 +13,78 @@
 	return cw_drains_take(drains, &order);
 }
 
-static void an_order_is_in_force_until_it_is_taken_back(void **state)
+static void a_domain_is_drained_until_it_is_restored(void **state)
 {
 	struct cw_drains *drains = cw_drains_create();
 
 	assert_false(cw_drains_has(drains, "d1"));
-	assert_true(take(drains, "d1", 5, 1));
+	assert_true(apply(drains, "d1", 5, 1));
 	assert_true(cw_drains_has(drains, "d1"));
 	assert_false(cw_drains_has(drains, "d2"));
-	assert_true(take(drains, "d2", 6, 1));
-	assert_true(take(drains, "d1", 7, 0));
+	assert_true(apply(drains, "d2", 6, 1));
+	assert_true(apply(drains, "d1", 7, 0));
 	assert_false(cw_drains_has(drains, "d1"));
 	assert_true(cw_drains_has(drains, "d2"));
 	cw_drains_destroy(drains);
 }
 
-/* A peer that hasn't heard that a drain was taken back tells of it: it must not come back. */
-static void an_older_order_never_comes_back(void **state)
+/* A peer without the newer order may still announce a drain that was restored. */
+static void an_older_order_is_ignored(void **state)
 {
 	struct cw_drains *drains = cw_drains_create();
 
-	assert_true(take(drains, "d1", 7, 1));
-	assert_true(take(drains, "d1", 9, 0));
-	assert_false(take(drains, "d1", 7, 1));
+	assert_true(apply(drains, "d1", 7, 1));
+	assert_true(apply(drains, "d1", 9, 0));
+	assert_false(apply(drains, "d1", 7, 1));
 	assert_false(cw_drains_has(drains, "d1"));
-	assert_true(take(drains, "d1", 11, 1));
-	assert_false(take(drains, "d1", 9, 0));
-	assert_false(take(drains, "d1", 11, 1));
+	assert_true(apply(drains, "d1", 11, 1));
+	assert_false(apply(drains, "d1", 9, 0));
+	assert_false(apply(drains, "d1", 11, 1));
 	assert_true(cw_drains_has(drains, "d1"));
 	cw_drains_destroy(drains);
 }
 
-/* The end of a drain was dropped from the history: the domain would get nothing for ever. */
-static void a_drain_without_a_record_was_taken_back(void **state)
+/*
+ * Guards against a domain that stays drained forever, because the record that restored it was
+ * dropped from the history.
+ */
+static void a_drain_without_a_record_is_restored(void **state)
 {
 	struct cw_drains *drains = cw_drains_create();
 	struct cw_drain_order restored;
 
-	take(drains, "d1", 5, 1);
-	take(drains, "d2", 6, 1);
-	take(drains, "d3", 30, 1);
+	apply(drains, "d1", 5, 1);
+	apply(drains, "d2", 6, 1);
+	apply(drains, "d3", 30, 1);
 	cw_drains_collect(drains);
-	take(drains, "d2", 6, 1);
+	apply(drains, "d2", 6, 1);
 	assert_true(cw_drains_collected(drains, 20, &restored));
 	assert_string_equal(restored.failure_domain, "d1");
 	assert_false(restored.is_drained);
 	assert_true(cw_drains_take(drains, &restored));
-	/* d3 came from a peer, and its record follows the collection. */
+	/* The order on d3 came from a peer, and its record lies past the end of the scan. */
 	assert_false(cw_drains_collected(drains, 20, &restored));
 	assert_false(cw_drains_has(drains, "d1"));
 	assert_true(cw_drains_has(drains, "d2"));
 	assert_true(cw_drains_has(drains, "d3"));
-	/* The next record of d1 is at the collection's end. */
-	assert_true(take(drains, "d1", 20, 1));
+	/* The next record of d1 is at the end of the scan. */
+	assert_true(apply(drains, "d1", 20, 1));
 	cw_drains_destroy(drains);
 }
 
-/* Names that nobody drains any more make room; those that are drained stay. */
-static void what_is_drained_is_never_dropped_for_room(void **state)
+/* A full table gives up restored domains only, never drained ones. */
+static void a_full_table_replaces_only_restored_domains(void **state)
 {
 	struct cw_drains *drains = cw_drains_create();
 	char name[16];
 
 	for (int i = 0; i < CW_DRAINS; i++) {
 		g_snprintf(name, sizeof(name), "d%d", i);
-		assert_true(take(drains, name, (uint64_t)i + 1, 1));
+		assert_true(apply(drains, name, (uint64_t)i + 1, 1));
 	}
-	assert_false(take(drains, "more", 50, 1));
-	assert_true(take(drains, "d3", 51, 0));
-	assert_true(take(drains, "more", 52, 1));
+	assert_false(apply(drains, "more", 50, 1));
+	assert_true(apply(drains, "d3", 51, 0));
+	assert_true(apply(drains, "more", 52, 1));
 	assert_true(cw_drains_has(drains, "more"));
 	assert_true(cw_drains_has(drains, "d0"));
 	cw_drains_destroy(drains);
@@ -90,10 +93,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(an_order_is_in_force_until_it_is_taken_back),
-		cmocka_unit_test(an_older_order_never_comes_back),
-		cmocka_unit_test(a_drain_without_a_record_was_taken_back),
-		cmocka_unit_test(what_is_drained_is_never_dropped_for_room),
+		cmocka_unit_test(a_domain_is_drained_until_it_is_restored),
+		cmocka_unit_test(an_older_order_is_ignored),
+		cmocka_unit_test(a_drain_without_a_record_is_restored),
+		cmocka_unit_test(a_full_table_replaces_only_restored_domains),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_many.c
+++ b/tests/unit/test_many.c
@@ -1,5 +1,6 @@
-/* A thousand instances before ten thousand servers: what must not grow with them, or depend on the
- * order of a list.
+/*
+ * A thousand instances and thousands of servers: costs that must not grow with their number, and
+ * choices that must not depend on the order of a list.
  */
 #include "cw_hash.h"
 #include "cw_membership.h"
@@ -9,19 +10,19 @@
 #include <glib.h>
 #include <stdio.h>
 
-#define NOW	 100000
-#define SERVERS	 3000
-#define DOMAINS	 3
-#define REQUESTS 6000
-#define MEMBERS	 985
-#define SILENT	 2000
+#define NOW	  100000
+#define SERVERS	  3000
+#define DOMAINS	  3
+#define REQUESTS  6000
+#define MEMBERS	  985
+#define SILENT_MS 2000
 
 static void name_of(char *name, const char *prefix, int number)
 {
 	snprintf(name, CW_NAME_MAX, "%s%d", prefix, number);
 }
 
-/* Each instance learns of the servers in an order of its own. */
+/* A pool that adds the servers in an order of its own, as each instance does. */
 static struct cw_pool *pool_in_order(int first, int step)
 {
 	struct cw_pool *pool = cw_pool_create(&cw_choice_cost);
@@ -51,12 +52,15 @@
 				  .random = cw_hash(&prefix, sizeof(prefix), 1)};
 }
 
-/* The first servers of the list got sixty times the mean, and most got nothing. */
-static void requests_spread_over_all_servers(void **state)
+/*
+ * Guards against the first servers of the list getting sixty times the mean number of requests
+ * while most servers get none.
+ */
+static void requests_spread_over_all_local_servers(void **state)
 {
 	struct cw_pool *pool = pool_in_order(0, 1);
 	unsigned int used[SERVERS] = {0};
-	unsigned int most = 0;
+	unsigned int max_used = 0;
 	int idle = 0;
 
 	for (uint64_t i = 1; i <= REQUESTS; i++) {
@@ -68,35 +72,35 @@
 		assert_string_equal(server->failure_domain, "d1");
 		number = g_ascii_strtoull(server->name + 1, NULL, 10);
 		used[number]++;
-		most = MAX(most, used[number]);
+		max_used = MAX(max_used, used[number]);
 	}
 	for (int i = 1; i < SERVERS; i += DOMAINS)
 		idle += used[i] == 0;
-	/* A thousand near servers, six requests each at the mean. */
-	assert_true(most <= 24);
+	/* A thousand servers of the own failure domain, with a mean of six requests each. */
+	assert_true(max_used <= 24);
 	assert_true(idle < SERVERS / DOMAINS / 20);
 	cw_pool_destroy(pool);
 }
 
-/* A prompt's shared parts were read once an instance, as each looked for them somewhere else. */
-static void the_same_prompt_goes_to_the_same_server_from_every_instance(void **state)
+/* Guards against prefixes processed once per instance, each on another server. */
+static void instances_choose_the_same_server_for_the_same_prompt(void **state)
 {
-	struct cw_pool *one = pool_in_order(0, 1);
-	struct cw_pool *other = pool_in_order(1234, 7);
+	struct cw_pool *first_pool = pool_in_order(0, 1);
+	struct cw_pool *second_pool = pool_in_order(1234, 7);
 
 	for (uint64_t i = 1; i <= 100; i++) {
 		struct cw_choice choice = choice_of(cw_hash(&i, sizeof(i), 3));
-		struct cw_server *home = cw_pool_choose(one, &choice);
+		struct cw_server *chosen = cw_pool_choose(first_pool, &choice);
 
 		choice.random++;
-		assert_string_equal(cw_pool_choose(other, &choice)->name, home->name);
+		assert_string_equal(cw_pool_choose(second_pool, &choice)->name, chosen->name);
 	}
-	cw_pool_destroy(one);
-	cw_pool_destroy(other);
+	cw_pool_destroy(first_pool);
+	cw_pool_destroy(second_pool);
 }
 
-/* Every round and every tick passed over all servers, for the few that are in use. */
-static void only_servers_in_use_are_passed_over(void **state)
+/* Guards against passes over all servers in every gossip round and tick for the few in use. */
+static void the_active_list_holds_only_servers_in_use(void **state)
 {
 	struct cw_pool *pool = pool_in_order(0, 1);
 	struct cw_server *server = cw_pool_find_name(pool, "s7");
@@ -119,10 +123,11 @@
 	cw_pool_destroy(pool);
 }
 
-/* An instance sends to few of the servers that it knows: memory for the others' requests was half
- * of it.
+/*
+ * An instance uses few of its servers. Guards against allocating request history for the others,
+ * which took half of the memory.
  */
-static void a_server_that_gets_nothing_takes_little(void **state)
+static void unused_servers_take_little_memory(void **state)
 {
 	struct cw_pool *pool = pool_in_order(0, 1);
 	struct cw_server *server = cw_pool_find_name(pool, "s7");
@@ -135,8 +140,8 @@
 	cw_pool_destroy(pool);
 }
 
-/* One that leaves is forgotten, and one that is listed again in time isn't. */
-static void servers_that_are_gone_are_still_found_among_many(void **state)
+/* A delisted server is freed, unless it is listed again in time. */
+static void delisted_servers_are_freed_among_many(void **state)
 {
 	struct cw_pool *pool = pool_in_order(0, 1);
 	struct cw_server_entry entry = {.name = "s9", .service = "llm", .failure_domain = "d0"};
@@ -150,13 +155,16 @@
 	cw_pool_destroy(pool);
 }
 
-/* Half of a thousand members seemed silent at any time, since each is named every few seconds. */
-static void members_that_are_named_now_and_then_are_live(void **state)
+/*
+ * Guards against half of a thousand members counting as silent at any time, because gossip names
+ * each of them only every few seconds.
+ */
+static void members_named_every_few_seconds_are_live(void **state)
 {
-	struct cw_membership *membership = cw_membership_create("own", "d0", SILENT);
+	struct cw_membership *membership = cw_membership_create("own", "d0", SILENT_MS);
 	size_t instances;
 
-	cw_membership_settle(membership, NOW - 60000, SILENT, 0);
+	cw_membership_settle(membership, NOW - 60000, SILENT_MS, 0);
 	for (int i = 0; i < MEMBERS; i++) {
 		char name[CW_NAME_MAX];
 
@@ -171,10 +179,13 @@
 	cw_membership_destroy(membership);
 }
 
-/* Who reads for all is named in each message: its end must show as soon as among few. */
-static void a_first_member_that_falls_silent_is_replaced_at_once(void **state)
+/*
+ * Each gossip message names the member that reads the store for all, so its failure must be
+ * detected as fast as among few members.
+ */
+static void a_silent_first_member_is_replaced(void **state)
 {
-	struct cw_membership *membership = cw_membership_create("own", "d0", SILENT);
+	struct cw_membership *membership = cw_membership_create("own", "d0", SILENT_MS);
 	struct cw_member *first;
 	struct cw_member *next;
 
@@ -192,9 +203,9 @@
 		name_of(name, "i", i);
 		if (cw_membership_find(membership, name) != first)
 			cw_membership_heard(cw_membership_find(membership, name), 1, 0,
-					    NOW + SILENT + 1);
+					    NOW + SILENT_MS + 1);
 	}
-	assert_int_equal(cw_membership_first(membership, 7, NOW + SILENT + 1, &next, 1), 1);
+	assert_int_equal(cw_membership_first(membership, 7, NOW + SILENT_MS + 1, &next, 1), 1);
 	assert_ptr_not_equal(next, first);
 	cw_membership_destroy(membership);
 }
@@ -202,13 +213,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(requests_spread_over_all_servers),
-		cmocka_unit_test(the_same_prompt_goes_to_the_same_server_from_every_instance),
-		cmocka_unit_test(only_servers_in_use_are_passed_over),
-		cmocka_unit_test(a_server_that_gets_nothing_takes_little),
-		cmocka_unit_test(servers_that_are_gone_are_still_found_among_many),
-		cmocka_unit_test(members_that_are_named_now_and_then_are_live),
-		cmocka_unit_test(a_first_member_that_falls_silent_is_replaced_at_once),
+		cmocka_unit_test(requests_spread_over_all_local_servers),
+		cmocka_unit_test(instances_choose_the_same_server_for_the_same_prompt),
+		cmocka_unit_test(the_active_list_holds_only_servers_in_use),
+		cmocka_unit_test(unused_servers_take_little_memory),
+		cmocka_unit_test(delisted_servers_are_freed_among_many),
+		cmocka_unit_test(members_named_every_few_seconds_are_live),
+		cmocka_unit_test(a_silent_first_member_is_replaced),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -1,11 +1,11 @@
-/* The policy file: checked whole, all faults at once, nothing taken from a file with a fault. */
+/* The policy file: defaults, all errors reported at once, and printing that can be loaded. */
 #include "cw_policy.h"
 #include "unit.h"
 
 #include <glib/gstdio.h>
 #include <string.h>
 
-/* What loading a file with this text gives; the faults are the caller's to free. */
+/* Loads a file with the given text; the caller frees the faults. */
 static enum cw_status load(const char *text, struct cw_policy *policy, GString *faults)
 {
 	gchar *name = NULL;
@@ -21,7 +21,7 @@
 	return status;
 }
 
-static void what_a_file_leaves_out_keeps_its_default(void **state)
+static void omitted_fields_keep_their_defaults(void **state)
 {
 	GString *faults = g_string_new(NULL);
 	struct cw_policy policy;
@@ -33,7 +33,7 @@
 	g_string_free(faults, TRUE);
 }
 
-static void all_faults_are_named_at_once(void **state)
+static void all_errors_are_reported_at_once(void **state)
 {
 	GString *faults = g_string_new(NULL);
 	struct cw_policy policy;
@@ -50,12 +50,12 @@
 	g_string_free(faults, TRUE);
 }
 
-/* What is printed can be loaded again and is the same; every off value is within its bounds. */
-static void a_printed_policy_is_a_policy_file(void **state)
+/* A printed policy loads as the same policy, and each off value is valid and no default. */
+static void a_printed_policy_can_be_loaded(void **state)
 {
 	GString *faults = g_string_new(NULL);
 	struct cw_policy policy = *cw_policy_default();
-	struct cw_policy again;
+	struct cw_policy reloaded;
 	char *text = NULL;
 	size_t size;
 	size_t count;
@@ -65,8 +65,8 @@
 	policy.noise_ms = 7;
 	cw_policy_print(&policy, out);
 	fclose(out);
-	assert_int_equal(load(text, &again, faults), CW_OK);
-	assert_memory_equal(&policy, &again, sizeof(policy));
+	assert_int_equal(load(text, &reloaded, faults), CW_OK);
+	assert_memory_equal(&policy, &reloaded, sizeof(policy));
 	free(text);
 	assert_int_equal(count * sizeof(double), sizeof(struct cw_policy));
 	for (size_t i = 0; i < count; i++) {
@@ -79,9 +79,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(what_a_file_leaves_out_keeps_its_default),
-		cmocka_unit_test(all_faults_are_named_at_once),
-		cmocka_unit_test(a_printed_policy_is_a_policy_file),
+		cmocka_unit_test(omitted_fields_keep_their_defaults),
+		cmocka_unit_test(all_errors_are_reported_at_once),
+		cmocka_unit_test(a_printed_policy_can_be_loaded),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_pool.c
+++ b/tests/unit/test_pool.c
@@ -13,7 +13,7 @@
 	return cw_pool_learn(pool, name, "llm", "127.0.0.1:1", domain, 1);
 }
 
-static void a_report_is_corrected_by_what_was_sent_since(void **state)
+static void load_reports_are_corrected_by_own_requests_since_sampling(void **state)
 {
 	static const char *const none[] = {NULL};
 	struct cw_pool *pool = cw_pool_create(&cw_choice_two);
@@ -34,7 +34,7 @@
 	cw_pool_destroy(pool);
 }
 
-static void the_breaker_opens_and_lets_one_probe_through(void **state)
+static void an_open_breaker_admits_one_trial_request_after_backoff(void **state)
 {
 	struct cw_pool *pool = cw_pool_create(&cw_choice_two);
 	struct cw_server *server = add(pool, 1, "d1");
@@ -60,46 +60,46 @@
 	cw_pool_destroy(pool);
 }
 
-static void a_prefix_stays_until_its_server_is_full(void **state)
+static void a_prefix_keeps_its_affinity_server_within_the_load_bound(void **state)
 {
 	struct cw_pool *pool = cw_pool_create(&cw_choice_affinity);
 	struct cw_choice choice = {
 		.service = "llm", .prefix = 99, .failure_domain = "d1", .now_ms = 1000};
-	struct cw_server *home;
+	struct cw_server *affinity_server;
 
 	for (int i = 0; i < 4; i++)
 		add(pool, i, "d1");
-	home = cw_pool_choose(pool, &choice);
+	affinity_server = cw_pool_choose(pool, &choice);
 	for (uint64_t i = 0; i < 20; i++) {
 		choice.random = i * 0x9e3779b97f4a7c15ULL;
-		assert_ptr_equal(cw_pool_choose(pool, &choice), home);
+		assert_ptr_equal(cw_pool_choose(pool, &choice), affinity_server);
 	}
 	for (int i = 0; i < 6; i++)
-		cw_pool_dispatched(home, 1000);
-	assert_ptr_not_equal(cw_pool_choose(pool, &choice), home);
+		cw_pool_dispatched(affinity_server, 1000);
+	assert_ptr_not_equal(cw_pool_choose(pool, &choice), affinity_server);
 	cw_pool_destroy(pool);
 }
 
-static void another_domain_only_when_it_is_sooner(void **state)
+static void requests_leave_their_domain_only_for_a_shorter_wait(void **state)
 {
 	struct cw_pool *pool = cw_pool_create(&cw_choice_affinity);
-	struct cw_server *near = add(pool, 1, "d1");
-	struct cw_server *far = add(pool, 2, "d2");
+	struct cw_server *local = add(pool, 1, "d1");
+	struct cw_server *remote = add(pool, 2, "d2");
 	struct cw_choice choice = {.service = "llm", .failure_domain = "d1", .now_ms = 1000};
 
-	assert_ptr_equal(cw_pool_choose(pool, &choice), near);
+	assert_ptr_equal(cw_pool_choose(pool, &choice), local);
 	for (int i = 0; i < 20; i++)
-		cw_pool_dispatched(near, 1000);
-	assert_ptr_equal(cw_pool_choose(pool, &choice), far);
-	near->leaving = 1;
-	far->leaving = 1;
+		cw_pool_dispatched(local, 1000);
+	assert_ptr_equal(cw_pool_choose(pool, &choice), remote);
+	local->leaving = 1;
+	remote->leaving = 1;
 	assert_null(cw_pool_choose(pool, &choice));
 	cw_pool_destroy(pool);
 }
 
-static void of_many_servers_a_few_are_used_and_no_near_one_by_nobody(void **state)
+static void few_servers_are_tracked_and_every_local_one_by_some_instance(void **state)
 {
-	int used[400] = {0};
+	int users[400] = {0};
 
 	for (uint64_t owner = 1; owner <= 100; owner++) {
 		struct cw_pool *pool = cw_pool_create(&cw_choice_two);
@@ -113,23 +113,23 @@
 		TAILQ_FOREACH(server, cw_pool_servers(pool), link) {
 			tracked += server->tracked;
 			own += server->tracked && server->failure_domain[0] == 'n';
-			used[atoi(server->name + 1)] += server->tracked; /* NOLINT(cert-err34-c) */
+			users[atoi(server->name + 1)] += server->tracked; /* NOLINT(cert-err34-c) */
 		}
 		assert_int_equal(tracked, CW_TRACKED_SERVERS);
 		assert_true(own > tracked / 2);
 		cw_pool_destroy(pool);
 	}
-	/* The far ones are their own domain's instances' to use. */
+	/* Servers of the other failure domain are left to the instances there. */
 	for (int i = 0; i < 400; i += 4)
-		assert_true(used[i] > 0);
+		assert_true(users[i] > 0);
 }
 
 /*
- * Symptom: a server with three requests looked 1.7 s late for 2 s, and got none.
- * Sequence: three prompts of 600 ms, read one after another.
- * Cause: each counted whole until its answer began.
+ * Guards against a backlog that counts each prompt in full until its answer begins: with three
+ * prompts of 600 ms, processed one after another, a server looked 1.7 s late for 2 s and got no
+ * requests.
  */
-static void a_backlog_falls_while_prompts_are_read(void **state)
+static void a_backlog_falls_while_prompts_are_processed(void **state)
 {
 	struct cw_pool *pool = cw_pool_create(&cw_choice_cost);
 	struct cw_server *server = add(pool, 1, "d1");
@@ -138,7 +138,7 @@
 		cw_pool_work_begin(server, 600, 100, 1000);
 	assert_true(cw_pool_own_work_ms(server, 1000) == 1800);
 	assert_true(cw_pool_own_work_ms(server, 1900) == 900);
-	/* A server may be slower than predicted: what it has not answered is not forgotten. */
+	/* A server may be slower than predicted, so part of unanswered work always counts. */
 	assert_true(cw_pool_own_work_ms(server, 9000) == 450);
 	cw_pool_work_end(server, 600);
 	assert_true(cw_pool_own_work_ms(server, 9000) == 300);
@@ -149,11 +149,10 @@
 }
 
 /*
- * Symptom: a new version was never tried on a full server.
- * Sequence: its requests are spread over its servers, each by the least cost.
- * Cause: nothing ever filled one of them.
+ * Guards against a new version that is never tested on a full server, because its share of the
+ * requests is spread over all of its servers by least cost.
  */
-static void a_trial_fills_one_server_before_the_next(void **state)
+static void filling_uses_one_server_before_the_next(void **state)
 {
 	struct cw_pool *pool = cw_pool_create(&cw_choice_cost);
 	struct cw_choice choice = {
@@ -167,18 +166,18 @@
 		assert_ptr_equal(cw_pool_choose(pool, &choice), first);
 		cw_pool_dispatched(first, 1000);
 	}
-	/* Past half of its slots, and not yet full: the others take over. */
+	/* At fill_part of its slots, so before the server is full, others are chosen. */
 	assert_ptr_not_equal(cw_pool_choose(pool, &choice), first);
 	cw_pool_ended(first, 1100, 100);
 	choice.now_ms = 1100;
 	assert_ptr_equal(cw_pool_choose(pool, &choice), first);
-	/* Nor in time of a queue. */
+	/* A server with a queue is not filled further. */
 	cw_pool_work_begin(first, 900, 100, 1100);
 	assert_ptr_not_equal(cw_pool_choose(pool, &choice), first);
 	cw_pool_destroy(pool);
 }
 
-static void a_crash_is_one_fault_however_many_requests_it_breaks(void **state)
+static void a_crash_counts_once_however_many_requests_it_breaks(void **state)
 {
 	struct cw_pool *pool = cw_pool_create(&cw_choice_cost);
 	struct cw_server *server = add(pool, 1, "d1");
@@ -191,7 +190,8 @@
 	cw_pool_destroy(pool);
 }
 
-static enum cw_listing list(struct cw_pool *pool, int64_t born_ms, int leaving, int64_t now_ms)
+static enum cw_listing list_entry(struct cw_pool *pool, int64_t born_ms, int leaving,
+				  int64_t now_ms)
 {
 	struct cw_server_entry entry = {.name = "s1",
 					.service = "llm",
@@ -206,19 +206,19 @@
 }
 
 /*
- * Symptom: an idle server got no requests for 15 s after its restart, and streams waited there
- * until their callers gave up.
- * Sequence: it crashes behind a cut and starts again under its name before its entry lapses.
- * Cause: the start before lived on in its breaker, its load, its prompts and its requests.
+ * Guards against state that survives a restart. A server crashed behind a network partition and
+ * restarted under its name before its entry expired. The breaker, load, prompts and requests of the
+ * earlier start still counted, so the idle server got no requests for 15 s, and streams waited for
+ * the earlier start until their callers gave up.
  */
-static void a_server_that_starts_again_is_known_for_nothing_before(void **state)
+static void a_restarted_server_inherits_no_state(void **state)
 {
 	struct cw_pool *pool = cw_pool_create(&cw_choice_cost);
 	struct cw_load full = {.running = 60, .queued = 9, .slots = 64};
 	struct cw_server *first;
 	struct cw_server *second;
 
-	assert_int_equal(list(pool, 5000, 0, 1000), CW_LISTING_NEW);
+	assert_int_equal(list_entry(pool, 5000, 0, 1000), CW_LISTING_NEW);
 	first = cw_pool_find_name(pool, "s1");
 	cw_pool_dispatched(first, 1100);
 	cw_pool_work_begin(first, 900, 100, 1100);
@@ -231,7 +231,7 @@
 	first->peers_ms = 1200;
 	assert_false(cw_pool_is_usable(first, 1300));
 
-	assert_int_equal(list(pool, 7000, 0, 1300), CW_LISTING_RESTARTED);
+	assert_int_equal(list_entry(pool, 7000, 0, 1300), CW_LISTING_RESTARTED);
 	second = cw_pool_find_name(pool, "s1");
 	assert_ptr_not_equal(second, first);
 	assert_int_not_equal(second->id, first->id);
@@ -243,7 +243,7 @@
 	assert_true(cw_pool_failure_rate(second, 1300) == 0);
 	assert_true(cw_pool_slowness(second, 1300) == 1);
 	assert_false(cw_pool_wants_probe(second, 1300));
-	/* The request under way ends at the start that had it, which is then forgotten. */
+	/* The running request ends on the earlier start, which is then freed. */
 	cw_pool_sweep(pool, 1400);
 	assert_ptr_equal(cw_pool_find(pool, first->id), first);
 	cw_pool_work_end(first, 900);
@@ -257,50 +257,48 @@
 }
 
 /*
- * Symptom: a server that had just started got no requests.
- * Sequence: the entry "leaving" that its earlier start wrote arrives after the new start's entry.
- * Cause: whichever entry came last was believed.
+ * Guards against applying entries in order of arrival: the entry "leaving" of an earlier start
+ * arrived after the entry of the new start, and the server got no requests.
  */
-static void a_late_entry_of_an_earlier_start_changes_nothing(void **state)
+static void a_late_entry_of_an_earlier_start_is_ignored(void **state)
 {
 	struct cw_pool *pool = cw_pool_create(&cw_choice_cost);
 	struct cw_server *server;
 
-	list(pool, 7000, 0, 1000);
+	list_entry(pool, 7000, 0, 1000);
 	server = cw_pool_find_name(pool, "s1");
-	assert_int_equal(list(pool, 5000, 1, 2000), CW_LISTING_LATE);
+	assert_int_equal(list_entry(pool, 5000, 1, 2000), CW_LISTING_LATE);
 	assert_ptr_equal(cw_pool_find_name(pool, "s1"), server);
 	assert_false(server->leaving);
-	/* Nor does it take the server from the list, though its own entry isn't the newest. */
+	/* The late entry keeps the server listed, although a newer entry is known. */
 	cw_pool_keep_listed(pool, 1500, 2000, 2000);
 	cw_pool_sweep(pool, 2100);
 	assert_false(server->gone);
-	/* Of a deployment whose servers don't tell when they started, entries count as they come.
-	 */
-	assert_int_equal(list(pool, 7000, 1, 2200), CW_LISTING_CHANGED);
+	/* Entries of the same start, or without start times, are applied in order of arrival. */
+	assert_int_equal(list_entry(pool, 7000, 1, 2200), CW_LISTING_CHANGED);
 	assert_true(server->leaving);
-	assert_int_equal(list(pool, 7000, 1, 2300), CW_LISTING_SAME);
+	assert_int_equal(list_entry(pool, 7000, 1, 2300), CW_LISTING_SAME);
 	cw_pool_destroy(pool);
 	pool = cw_pool_create(&cw_choice_cost);
-	assert_int_equal(list(pool, 0, 0, 1000), CW_LISTING_NEW);
-	assert_int_equal(list(pool, 0, 1, 1100), CW_LISTING_CHANGED);
-	assert_int_equal(list(pool, 0, 0, 1200), CW_LISTING_CHANGED);
+	assert_int_equal(list_entry(pool, 0, 0, 1000), CW_LISTING_NEW);
+	assert_int_equal(list_entry(pool, 0, 1, 1100), CW_LISTING_CHANGED);
+	assert_int_equal(list_entry(pool, 0, 0, 1200), CW_LISTING_CHANGED);
 	cw_pool_destroy(pool);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_server_that_starts_again_is_known_for_nothing_before),
-		cmocka_unit_test(a_late_entry_of_an_earlier_start_changes_nothing),
-		cmocka_unit_test(a_report_is_corrected_by_what_was_sent_since),
-		cmocka_unit_test(the_breaker_opens_and_lets_one_probe_through),
-		cmocka_unit_test(a_prefix_stays_until_its_server_is_full),
-		cmocka_unit_test(another_domain_only_when_it_is_sooner),
-		cmocka_unit_test(a_backlog_falls_while_prompts_are_read),
-		cmocka_unit_test(a_trial_fills_one_server_before_the_next),
-		cmocka_unit_test(a_crash_is_one_fault_however_many_requests_it_breaks),
-		cmocka_unit_test(of_many_servers_a_few_are_used_and_no_near_one_by_nobody),
+		cmocka_unit_test(a_restarted_server_inherits_no_state),
+		cmocka_unit_test(a_late_entry_of_an_earlier_start_is_ignored),
+		cmocka_unit_test(load_reports_are_corrected_by_own_requests_since_sampling),
+		cmocka_unit_test(an_open_breaker_admits_one_trial_request_after_backoff),
+		cmocka_unit_test(a_prefix_keeps_its_affinity_server_within_the_load_bound),
+		cmocka_unit_test(requests_leave_their_domain_only_for_a_shorter_wait),
+		cmocka_unit_test(a_backlog_falls_while_prompts_are_processed),
+		cmocka_unit_test(filling_uses_one_server_before_the_next),
+		cmocka_unit_test(a_crash_counts_once_however_many_requests_it_breaks),
+		cmocka_unit_test(few_servers_are_tracked_and_every_local_one_by_some_instance),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_warmup.c
+++ b/tests/unit/test_warmup.c
@@ -1,5 +1,4 @@
-/* Cold servers: how many requests all instances together send one, whatever they know of each
- * other. */
+/* Requests that all instances together send to one cold server, whichever peers they know. */
 #include "cw_hash.h"
 #include "cw_membership.h"
 #include "cw_pool.h"
@@ -8,20 +7,20 @@
 #include <glib.h>
 #include <string.h>
 
-#define NOW	  100000
-#define INSTANCES 48
-#define SERVER	  77
-#define SEEDS	  200
-#define SILENT_MS 2000
-#define KNOWN_MS  2000
-#define ROUND_MS  150
-#define STEP_MS	  10
-#define PLACE_MS  1000
-#define PLAY_MS	  9000
+#define NOW	      100000
+#define INSTANCES     48
+#define SERVER	      77
+#define SEEDS	      200
+#define SILENT_MS     2000
+#define KNOWN_MS      2000
+#define GOSSIP_MS     150
+#define STEP_MS	      10
+#define RANK_MS	      1000
+#define SIMULATION_MS 9000
 
 static const struct cw_warmup_rate rate = {.per_s = 12, .factor = 1.5, .slack = 5};
 
-static void a_cold_server_gets_its_quota_and_no_more(void **state)
+static void a_cold_server_gets_exactly_its_quota(void **state)
 {
 	struct cw_warmup warmup = {.place = {.rank = 0, .instances = 20}};
 	unsigned int sent = 0;
@@ -37,7 +36,7 @@
 	assert_true(cw_warmup_admits(&warmup, &rate, NOW + 3000));
 }
 
-static void the_instances_of_one_side_stay_below_half_of_the_bound(void **state)
+static void the_quotas_of_one_partition_side_sum_to_at_most_half_the_burst(void **state)
 {
 	for (size_t instances = 1; instances < 300; instances++) {
 		unsigned int all = 0;
@@ -49,8 +48,8 @@
 	assert_int_equal(cw_warmup_quota(&rate, &(struct cw_warmup_place){0, 0}), 0);
 }
 
-/* Told to be warm before it went away: that word is of an earlier start. */
-static void a_server_that_was_away_is_cold_until_it_says_otherwise(void **state)
+/* A report of being warm from before an absence may be that of an earlier start. */
+static void a_server_that_was_unreachable_counts_as_cold(void **state)
 {
 	struct cw_warmup warmup = {.place = {.rank = 9, .instances = 20}};
 
@@ -67,48 +66,49 @@
 	struct cw_membership *membership;
 	struct cw_warmup warmup;
 	char name[CW_NAME_MAX];
-	int side; /* of the cut */
+	int side; /* of the network partition */
 };
 
-struct play {
+struct simulation {
 	struct node nodes[INSTANCES];
 	uint64_t random;
-	int is_cut;
+	int is_partitioned;
 };
 
-static uint64_t draw(struct play *play)
+static uint64_t next_random(struct simulation *simulation)
 {
-	play->random ^= play->random >> 12;
-	play->random ^= play->random << 25;
-	play->random ^= play->random >> 27;
-	return play->random * 0x2545f4914f6cdd1dULL;
+	simulation->random ^= simulation->random >> 12;
+	simulation->random ^= simulation->random << 25;
+	simulation->random ^= simulation->random >> 27;
+	return simulation->random * 0x2545f4914f6cdd1dULL;
 }
 
-static void start(struct node *node, int64_t now_ms)
+static void restart(struct node *node, int64_t now_ms)
 {
 	cw_membership_destroy(node->membership);
 	node->membership = cw_membership_create(node->name, "d1", SILENT_MS);
 	cw_membership_settle(node->membership, now_ms, KNOWN_MS, 0);
 	memset(&node->warmup, 0, sizeof(node->warmup));
-	cw_warmup_told(&node->warmup, PLAY_MS, now_ms);
+	cw_warmup_told(&node->warmup, SIMULATION_MS, now_ms);
 }
 
-/* Each tells a few others of itself and of some that it knows. */
-static void gossip(struct play *play, int64_t now_ms)
+/* Each instance announces itself and some known members to a few others. */
+static void gossip(struct simulation *simulation, int64_t now_ms)
 {
 	for (int i = 0; i < INSTANCES; i++)
 		for (int k = 0; k < 8; k++) {
-			struct node *from = &play->nodes[i];
-			struct node *to = &play->nodes[draw(play) % INSTANCES];
+			struct node *from = &simulation->nodes[i];
+			struct node *to = &simulation->nodes[next_random(simulation) % INSTANCES];
 			struct cw_member *others[5];
 			struct cw_member *member;
 			size_t count;
 
-			if (from == to || (play->is_cut && from->side != to->side))
+			if (from == to || (simulation->is_partitioned && from->side != to->side))
 				continue;
 			member = cw_membership_learn(to->membership, from->name, "d1", "a");
 			cw_membership_heard(member, 1, 0, now_ms);
-			count = cw_membership_sample(from->membership, draw(play), others, 5);
+			count = cw_membership_sample(from->membership, next_random(simulation),
+						     others, 5);
 			for (size_t m = 0; m < count; m++) {
 				member = cw_membership_learn(to->membership, others[m]->instance,
 							     "d1", "a");
@@ -119,41 +119,41 @@
 		}
 }
 
-/* Every instance sends whenever it may: the rush to a server that looks empty. */
-static void play_once(uint64_t seed)
+/* Every instance sends whenever it may, as towards a server that looks idle. */
+static void run_simulation(uint64_t seed)
 {
-	struct play play = {.random = seed * 2 + 1};
+	struct simulation simulation = {.random = seed * 2 + 1};
 	GArray *sent = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	int64_t cut_ms = NOW + 3000 + (int64_t)(draw(&play) % 2000);
-	int64_t heal_ms = cut_ms + 500 + (int64_t)(draw(&play) % 4000);
+	int64_t partition_ms = NOW + 3000 + (int64_t)(next_random(&simulation) % 2000);
+	int64_t heal_ms = partition_ms + 500 + (int64_t)(next_random(&simulation) % 4000);
 	size_t first = 0;
 
 	for (int i = 0; i < INSTANCES; i++) {
-		struct node *node = &play.nodes[i];
+		struct node *node = &simulation.nodes[i];
 
 		g_snprintf(node->name, sizeof(node->name), "e%d-%lu", i, (unsigned long)seed);
-		/* One side, or each instance by itself. */
-		node->side = seed % 3 ? draw(&play) % 4 == 0 : i;
-		start(node, NOW);
+		/* Two sides, or each instance cut off by itself. */
+		node->side = seed % 3 ? next_random(&simulation) % 4 == 0 : i;
+		restart(node, NOW);
 	}
-	for (int64_t now_ms = NOW; now_ms < NOW + PLAY_MS; now_ms += STEP_MS) {
-		play.is_cut = now_ms >= cut_ms && now_ms < heal_ms;
-		if ((now_ms - NOW) % ROUND_MS == 0)
-			gossip(&play, now_ms);
-		if ((now_ms - NOW) % ROUND_MS == 0)
+	for (int64_t now_ms = NOW; now_ms < NOW + SIMULATION_MS; now_ms += STEP_MS) {
+		simulation.is_partitioned = now_ms >= partition_ms && now_ms < heal_ms;
+		if ((now_ms - NOW) % GOSSIP_MS == 0)
+			gossip(&simulation, now_ms);
+		if ((now_ms - NOW) % GOSSIP_MS == 0)
 			for (int i = 0; i < INSTANCES; i++)
-				cw_membership_forget(play.nodes[i].membership, now_ms, 60000);
-		if (draw(&play) % 100 == 0)
-			start(&play.nodes[draw(&play) % INSTANCES], now_ms);
-		/* In some plays those that are cut off start again behind the cut. */
-		if (now_ms - cut_ms >= 0 && now_ms - cut_ms < STEP_MS && seed % 2)
+				cw_membership_forget(simulation.nodes[i].membership, now_ms, 60000);
+		if (next_random(&simulation) % 100 == 0)
+			restart(&simulation.nodes[next_random(&simulation) % INSTANCES], now_ms);
+		/* With odd seeds, the instances that are cut off restart behind the partition. */
+		if (now_ms - partition_ms >= 0 && now_ms - partition_ms < STEP_MS && seed % 2)
 			for (int i = 0; i < INSTANCES; i++)
-				if (play.nodes[i].side)
-					start(&play.nodes[i], now_ms);
+				if (simulation.nodes[i].side)
+					restart(&simulation.nodes[i], now_ms);
 		for (int i = 0; i < INSTANCES; i++) {
-			struct node *node = &play.nodes[i];
+			struct node *node = &simulation.nodes[i];
 
-			if ((now_ms - NOW) % PLACE_MS == 0)
+			if ((now_ms - NOW) % RANK_MS == 0)
 				node->warmup.place.rank =
 					cw_membership_place(node->membership, SERVER, now_ms,
 							    &node->warmup.place.instances);
@@ -172,23 +172,23 @@
 	assert_true(sent->len > 0);
 	g_array_free(sent, TRUE);
 	for (int i = 0; i < INSTANCES; i++)
-		cw_membership_destroy(play.nodes[i].membership);
+		cw_membership_destroy(simulation.nodes[i].membership);
 }
 
-/* Cuts, restarts, views that differ: no second sees more than the server bears. */
-static void the_sum_of_all_instances_stays_in_bound(void **state)
+/* Under partitions, restarts and differing views, no second exceeds what the server bears. */
+static void all_instances_together_stay_within_the_burst(void **state)
 {
 	for (uint64_t seed = 1; seed <= SEEDS; seed++)
-		play_once(seed);
+		run_simulation(seed);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_cold_server_gets_its_quota_and_no_more),
-		cmocka_unit_test(the_instances_of_one_side_stay_below_half_of_the_bound),
-		cmocka_unit_test(a_server_that_was_away_is_cold_until_it_says_otherwise),
-		cmocka_unit_test(the_sum_of_all_instances_stays_in_bound),
+		cmocka_unit_test(a_cold_server_gets_exactly_its_quota),
+		cmocka_unit_test(the_quotas_of_one_partition_side_sum_to_at_most_half_the_burst),
+		cmocka_unit_test(a_server_that_was_unreachable_counts_as_cold),
+		cmocka_unit_test(all_instances_together_stay_within_the_burst),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
