--- a/packages/policy/src/policy.c
+++ b/packages/policy/src/policy.c
@@ -83,7 +83,7 @@
 
 	*policy = *cw_policy_default();
 	if (!json_object_is_type(root, json_type_object)) {
-		g_string_append_printf(faults, "%s: no JSON object can be read\n", file);
+		g_string_append_printf(faults, "%s: cannot be read as a JSON object\n", file);
 		json_object_put(root);
 		return CW_INVALID;
 	}
