--- a/packages/home/include/cw_home.h
+++ b/packages/home/include/cw_home.h
@@ -9,12 +9,12 @@
 
 #include <stddef.h>
 
-#define CW_HOMES 4 /* regions of one route or organisation; further ones are ignored */
+#define CW_HOME_REGIONS_MAX 4 /* regions of one route or organisation; further ones are ignored */
 
 /* An empty list allows any region. */
 struct cw_homes {
 	size_t count;
-	char regions[CW_HOMES][CW_NAME_MAX];
+	char regions[CW_HOME_REGIONS_MAX][CW_NAME_MAX];
 };
 
 void cw_homes_add(struct cw_homes *homes, const char *region);
--- a/packages/home/src/home.c
+++ b/packages/home/src/home.c
@@ -5,7 +5,7 @@
 
 void cw_homes_add(struct cw_homes *homes, const char *region)
 {
-	if (homes->count < CW_HOMES)
+	if (homes->count < CW_HOME_REGIONS_MAX)
 		g_strlcpy(homes->regions[homes->count++], region, CW_NAME_MAX);
 }
 
--- a/packages/policy/include/cw_policy.h
+++ b/packages/policy/include/cw_policy.h
@@ -54,8 +54,8 @@
 	const char *unit;
 	const char *purpose; /* what the field improves or prevents */
 	double fallback, min, max;
-	double off;    /* value that switches the mechanism off */
-	size_t offset; /* in struct cw_policy */
+	double off_value; /* value that switches the mechanism off */
+	size_t offset;	  /* in struct cw_policy */
 };
 
 const struct cw_policy *cw_policy_default(void);
--- a/packages/policy/src/policy.c
+++ b/packages/policy/src/policy.c
@@ -105,7 +105,7 @@
 	fprintf(out, "{\n");
 	for (size_t i = 0; i < count; i++)
 		fprintf(out, "\t/* %s, %g to %g, off %g: %s */\n\t\"%s\": %g%s\n", fields[i].unit,
-			fields[i].min, fields[i].max, fields[i].off, fields[i].purpose,
+			fields[i].min, fields[i].max, fields[i].off_value, fields[i].purpose,
 			fields[i].name, cw_policy_value(policy, &fields[i]),
 			i + 1 < count ? "," : "");
 	fprintf(out, "}\n");
--- a/packages/pool/include/cw_pool.h
+++ b/packages/pool/include/cw_pool.h
@@ -114,13 +114,13 @@
 	int64_t probe_gap_ms; /* least time between probes; grows while the server is silent */
 	int is_unreachable;   /* the last probe's connection did not open in time */
 	int64_t end_tried_ms; /* last probe that followed a broken request */
-	int is_doubted;	      /* may be cut off with an unreachable server; being probed */
+	int is_suspect;	      /* may be cut off with an unreachable server; being probed */
 
 	unsigned int consecutive_failures;
 	int64_t open_until_ms;	    /* the breaker is open until then, 0: closed */
 	int64_t backoff_ms;	    /* how long the breaker last opened */
 	int is_probing;		    /* half-open breaker: one trial request is running */
-	int64_t restored_ms;	    /* the breaker closed and slow start began, -1: never */
+	int64_t breaker_closed_ms;  /* the breaker closed and slow start began, -1: never */
 	uint64_t round_robin_count; /* times chosen by round_robin */
 };
 
--- a/packages/pool/include/cw_warmup.h
+++ b/packages/pool/include/cw_warmup.h
@@ -33,7 +33,7 @@
 /* The cold state of one server, as known to this instance. */
 struct cw_warmup {
 	int64_t cold_until_ms;		  /* as the server reported */
-	int64_t unknown_until_ms;	  /* assumed cold until then, as it was unreachable */
+	int64_t assumed_cold_until_ms;	  /* assumed cold until then, as it was unreachable */
 	int64_t sent_ms[CW_WARMUP_SENDS]; /* ring of the newest sends */
 	size_t sent_next;
 	struct cw_warmup_place place;
--- a/packages/pool/src/candidates.c
+++ b/packages/pool/src/candidates.c
@@ -187,7 +187,7 @@
 }
 
 /*
- * A new version that gets a tenth of the requests, spread over all of its servers, is never
+ * A new version that gets a tenth of the requests, distributed over all of its servers, is never
  * tested under load. On a tenth of its servers, the same ones for every instance, it gets the load
  * that it will have after the roll-out.
  */
@@ -215,9 +215,9 @@
 }
 
 /*
- * A new version's share of the requests, spread evenly, leaves each of its servers nearly idle. One
- * server, the same for every instance, is therefore filled first. NULL while that server has a
- * queue or its share of slots is taken: the request is then placed as usual.
+ * A new version's share of the requests, distributed evenly, leaves each of its servers nearly
+ * idle. One server, the same for every instance, is therefore filled first. NULL while that server
+ * has a queue or its share of slots is taken: the request is then placed as usual.
  */
 static struct cw_server *choose_server_to_fill(struct cw_server **candidates, size_t count,
 					       const struct cw_choice *choice)
--- a/packages/pool/src/choice.c
+++ b/packages/pool/src/choice.c
@@ -186,9 +186,9 @@
 {
 	double slots = server->slots ? server->slots : DEFAULT_SLOTS;
 	double slot_load = (cw_pool_load(server, now_ms) + 1) / slots;
-	double restored_for_ms = (double)(now_ms - server->restored_ms);
+	double closed_for_ms = (double)(now_ms - server->breaker_closed_ms);
 
-	if (server->restored_ms < 0 || restored_for_ms >= SLOW_START_MS)
+	if (server->breaker_closed_ms < 0 || closed_for_ms >= SLOW_START_MS)
 		return slot_load;
-	return slot_load * (1 + 3 * (1 - restored_for_ms / SLOW_START_MS));
+	return slot_load * (1 + 3 * (1 - closed_for_ms / SLOW_START_MS));
 }
--- a/packages/pool/src/pool.c
+++ b/packages/pool/src/pool.c
@@ -211,7 +211,7 @@
 	while (server) {
 		struct cw_server *next = TAILQ_NEXT(server, active_link);
 
-		if (server->own_running == 0 && !server->is_unreachable && !server->is_doubted)
+		if (server->own_running == 0 && !server->is_unreachable && !server->is_suspect)
 			deactivate(server);
 		server = next;
 	}
@@ -338,7 +338,7 @@
 void cw_pool_succeeded(struct cw_server *server, int64_t now_ms)
 {
 	if (server->open_until_ms)
-		server->restored_ms = now_ms;
+		server->breaker_closed_ms = now_ms;
 	server->consecutive_failures = 0;
 	server->open_until_ms = 0;
 	server->backoff_ms = 0;
@@ -425,7 +425,7 @@
 
 int cw_pool_is_usable(const struct cw_server *server, int64_t now_ms)
 {
-	if (server->leaving || server->is_unreachable || server->is_doubted)
+	if (server->leaving || server->is_unreachable || server->is_suspect)
 		return 0;
 	if (!server->open_until_ms)
 		return 1;
@@ -478,7 +478,7 @@
 	server->born_ms = born_ms;
 	server->id = cw_hash_text(server->name, ID_SEED + (uint64_t)born_ms);
 	server->sampled_ms = -1;
-	server->restored_ms = -1;
+	server->breaker_closed_ms = -1;
 	server->warmup.place.instances = 1;
 	server->listed_ms = -1;
 	server->tracked = 1;
--- a/packages/pool/src/reach.c
+++ b/packages/pool/src/reach.c
@@ -17,7 +17,7 @@
 	server->heard_ms = now_ms;
 	server->probe_gap_ms = 0;
 	server->is_unreachable = 0;
-	server->is_doubted = 0;
+	server->is_suspect = 0;
 }
 
 /*
@@ -39,7 +39,7 @@
 	if (server->is_unreachable)
 		cw_warmup_away(&server->warmup, now_ms);
 	server->is_unreachable = 0;
-	server->is_doubted = 0;
+	server->is_suspect = 0;
 	server->probe_gap_ms =
 		MIN(MAX(server->probe_gap_ms * 2, PROBE_INTERVAL_MS), PROBE_INTERVAL_MAX_MS);
 }
@@ -48,7 +48,7 @@
 {
 	pool_activate(server);
 	server->is_unreachable = 1;
-	server->is_doubted = 0;
+	server->is_suspect = 0;
 	server->probe_gap_ms = 0;
 }
 
@@ -72,11 +72,11 @@
 		int is_same_domain = !strcmp(server->failure_domain, unreachable->failure_domain);
 		int is_remote = !is_own && strcmp(server->failure_domain, own_domain) != 0;
 
-		if (server->gone || server->is_unreachable || server->is_doubted || count == max ||
+		if (server->gone || server->is_unreachable || server->is_suspect || count == max ||
 		    !(is_same_domain || is_remote) || now_ms - server->heard_ms < RECENTLY_SEEN_MS)
 			continue;
 		pool_activate(server);
-		server->is_doubted = 1;
+		server->is_suspect = 1;
 		server->probed_ms = now_ms;
 		suspects[count++] = server;
 	}
--- a/packages/pool/src/warmup.c
+++ b/packages/pool/src/warmup.c
@@ -20,7 +20,7 @@
 
 void cw_warmup_away(struct cw_warmup *warmup, int64_t now_ms)
 {
-	warmup->unknown_until_ms = now_ms + CW_WARMUP_UNKNOWN_MS;
+	warmup->assumed_cold_until_ms = now_ms + CW_WARMUP_UNKNOWN_MS;
 }
 
 void cw_warmup_sent(struct cw_warmup *warmup, int64_t now_ms)
@@ -73,5 +73,5 @@
 /* Time until the server counts as warm; 0 or less: the server is warm. */
 static int64_t cold_left_ms(const struct cw_warmup *warmup, int64_t now_ms)
 {
-	return MAX(warmup->cold_until_ms, warmup->unknown_until_ms) - now_ms;
+	return MAX(warmup->cold_until_ms, warmup->assumed_cold_until_ms) - now_ms;
 }
--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -70,8 +70,9 @@
 	free(text);
 	assert_int_equal(count * sizeof(double), sizeof(struct cw_policy));
 	for (size_t i = 0; i < count; i++) {
-		assert_true(fields[i].off >= fields[i].min && fields[i].off <= fields[i].max);
-		assert_true(fields[i].off != fields[i].fallback);
+		assert_true(fields[i].off_value >= fields[i].min &&
+			    fields[i].off_value <= fields[i].max);
+		assert_true(fields[i].off_value != fields[i].fallback);
 	}
 	g_string_free(faults, TRUE);
 }
--- a/tests/unit/test_pool.c
+++ b/tests/unit/test_pool.c
@@ -104,19 +104,19 @@
 	for (uint64_t owner = 1; owner <= 100; owner++) {
 		struct cw_pool *pool = cw_pool_create(&cw_choice_two);
 		const struct cw_server *server;
-		int tracked = 0;
+		int tracked_count = 0;
 		int own = 0;
 
 		for (int i = 0; i < 400; i++)
 			add(pool, i, i % 4 ? "far" : "near");
 		cw_pool_track(pool, owner * 7919, "near");
 		TAILQ_FOREACH(server, cw_pool_servers(pool), link) {
-			tracked += server->tracked;
+			tracked_count += server->tracked;
 			own += server->tracked && server->failure_domain[0] == 'n';
 			users[atoi(server->name + 1)] += server->tracked; /* NOLINT(cert-err34-c) */
 		}
-		assert_int_equal(tracked, CW_TRACKED_SERVERS);
-		assert_true(own > tracked / 2);
+		assert_int_equal(tracked_count, CW_TRACKED_SERVERS);
+		assert_true(own > tracked_count / 2);
 		cw_pool_destroy(pool);
 	}
 	/* Servers of the other failure domain are left to the instances there. */
