--- a/packages/drain/include/cw_drain.h
+++ b/packages/drain/include/cw_drain.h
@@ -34,7 +34,7 @@
 /*
  * A scan reads the newest record of each key in pages. A domain without a record is not drained:
  * from cw_drains_collect() on, cw_drains_take() marks the domains that have one, and
- * cw_drains_collected() then restores the others.
+ * cw_drains_collected() then returns orders that restore the others, one a call.
  */
 void cw_drains_collect(struct cw_drains *drains);
 int cw_drains_collected(struct cw_drains *drains, uint64_t end,
--- a/packages/pool/include/cw_pool.h
+++ b/packages/pool/include/cw_pool.h
@@ -94,8 +94,8 @@
 	int versions_known;
 
 	unsigned int own_running;
-	unsigned int peers_running; /* requests of other instances, from gossip */
-	int64_t peers_ms;
+	unsigned int peers_running;	/* requests of other instances, from gossip */
+	int64_t peers_ms;		/* when the loads that peers announced were last summed */
 	struct cw_pool_change *history; /* ring of CW_POOL_HISTORY; NULL: no request was sent */
 	size_t history_next;
 	double service_ms; /* smoothed time that one request takes */
--- a/packages/pool/src/pool.c
+++ b/packages/pool/src/pool.c
@@ -5,16 +5,16 @@
 #include <math.h>
 #include <string.h>
 
-#define BREAKER_FIRST_MS   500
-#define BREAKER_MAX_MS	   15000
-#define REPORT_FRESH_MS	   3000 /* an older load report is ignored */
-#define DEFAULT_SLOTS	   8
-#define DEFAULT_SERVICE_MS 500.0
-#define SERVICE_SMOOTHING  0.1
-#define OWN_DOMAIN_WEIGHT  8	/* rendezvous weight of servers in the own failure domain */
-#define ID_SEED		   4	/* arbitrary, but the same for all instances */
-#define NEWCOMER_MS	   2000 /* the roll-out order of a version arrives within it */
-#define KNOWN_MS	   1000 /* the entries of one server list arrive within it, in any order */
+#define BREAKER_BACKOFF_MIN_MS 500
+#define BREAKER_BACKOFF_MAX_MS 15000
+#define REPORT_MAX_AGE_MS      3000 /* an older load report is ignored */
+#define DEFAULT_SLOTS	       8
+#define DEFAULT_SERVICE_MS     500.0
+#define SERVICE_SMOOTHING      0.1
+#define OWN_DOMAIN_WEIGHT      8    /* rendezvous weight of servers in the own failure domain */
+#define ID_SEED		       4    /* arbitrary, but the same for all instances */
+#define NEW_SOFTWARE_HOLD_MS   2000 /* the roll-out order of a version arrives within it */
+#define LIST_ARRIVAL_MS	       1000 /* the entries of one server list arrive within it, in any order */
 
 static void deactivate(struct cw_server *server);
 static void set_gone_ms(struct cw_server *server, int64_t gone_ms);
@@ -355,8 +355,9 @@
 		return;
 	if (server->open_until_ms > now_ms)
 		return;
-	server->backoff_ms =
-		server->backoff_ms ? MIN(server->backoff_ms * 2, BREAKER_MAX_MS) : BREAKER_FIRST_MS;
+	server->backoff_ms = server->backoff_ms
+				     ? MIN(server->backoff_ms * 2, BREAKER_BACKOFF_MAX_MS)
+				     : BREAKER_BACKOFF_MIN_MS;
 	/* Jitter: instances that saw the same failure must not all retry at the same time. */
 	server->open_until_ms =
 		now_ms + server->backoff_ms / 2 + (int64_t)(random % (uint64_t)server->backoff_ms);
@@ -402,14 +403,14 @@
 {
 	double load = server->own_running;
 
-	if (server->sampled_ms >= 0 && now_ms - server->sampled_ms <= REPORT_FRESH_MS) {
+	if (server->sampled_ms >= 0 && now_ms - server->sampled_ms <= REPORT_MAX_AGE_MS) {
 		load = server->running + server->queued;
 		for (size_t i = 0; server->history && i < CW_POOL_HISTORY; i++)
 			if (server->history[i].ms > server->sampled_ms)
 				load += server->history[i].change;
 		return MAX(load, (double)server->own_running);
 	}
-	if (now_ms - server->peers_ms <= REPORT_FRESH_MS)
+	if (now_ms - server->peers_ms <= REPORT_MAX_AGE_MS)
 		load += server->peers_running;
 	return load;
 }
@@ -503,15 +504,15 @@
 /*
  * Servers of a new software version may be listed before this instance knows the roll-out order of
  * the version: within 2 s, 12 requests of sessions on the old version went to the new one. A new
- * version therefore gets no requests for NEWCOMER_MS while servers of other versions exist. If no
- * order arrives, its servers are then used like any others.
+ * version therefore gets no requests for NEW_SOFTWARE_HOLD_MS while servers of other versions
+ * exist. If no order arrives, its servers are then used like any others.
  */
 const char *cw_pool_newcomer(const struct cw_pool *pool, const char *service, int64_t now_ms)
 {
 	for (size_t i = 0; i < pool->software_count; i++) {
 		const struct software *software = &pool->software[i];
 
-		if (software->is_newcomer && now_ms - software->first_ms < NEWCOMER_MS &&
+		if (software->is_new && now_ms - software->first_listed_ms < NEW_SOFTWARE_HOLD_MS &&
 		    !strcmp(software->service, service))
 			return software->name;
 	}
@@ -522,7 +523,7 @@
 			    int64_t now_ms)
 {
 	struct software *software;
-	int is_newcomer = 0;
+	int is_new = 0;
 
 	for (size_t i = 0; i < pool->software_count; i++) {
 		software = &pool->software[i];
@@ -530,15 +531,15 @@
 			continue;
 		if (!strcmp(software->name, entry->software))
 			return;
-		is_newcomer |= now_ms - software->first_ms > KNOWN_MS;
+		is_new |= now_ms - software->first_listed_ms > LIST_ARRIVAL_MS;
 	}
 	if (pool->software_count == SOFTWARE_MAX)
 		return;
 	software = &pool->software[pool->software_count++];
 	g_strlcpy(software->service, entry->service, CW_NAME_MAX);
 	g_strlcpy(software->name, entry->software, CW_NAME_MAX);
-	software->first_ms = now_ms;
-	software->is_newcomer = is_newcomer;
+	software->first_listed_ms = now_ms;
+	software->is_new = is_new;
 }
 
 /* Marks an earlier start as removed; the sweep frees it once its last request has ended. */
--- a/packages/pool/src/pool_internal.h
+++ b/packages/pool/src/pool_internal.h
@@ -14,8 +14,8 @@
 struct software {
 	char service[CW_NAME_MAX];
 	char name[CW_NAME_MAX];
-	int64_t first_ms; /* when the first server with the version was listed */
-	int is_newcomer;  /* another version of the service was known for KNOWN_MS before */
+	int64_t first_listed_ms; /* when the first server with the version was listed */
+	int is_new; /* another version of the service was known for LIST_ARRIVAL_MS before */
 };
 
 struct cw_pool {
