--- a/packages/pool/src/pool.c
+++ b/packages/pool/src/pool.c
@@ -14,7 +14,7 @@
 #define OWN_DOMAIN_WEIGHT      8    /* rendezvous weight of servers in the own failure domain */
 #define ID_SEED		       4    /* arbitrary, but the same for all instances */
 #define NEW_SOFTWARE_HOLD_MS   2000 /* the roll-out order of a version arrives within it */
-#define LIST_ARRIVAL_MS	       1000 /* the entries of one server list arrive within it, in any order */
+#define LIST_ARRIVAL_MS	       1000 /* within it all entries of a server list arrive */
 
 static void deactivate(struct cw_server *server);
 static void set_gone_ms(struct cw_server *server, int64_t gone_ms);
