--- a/apps/corianderwalk/entry.c
+++ b/apps/corianderwalk/entry.c
@@ -80,9 +80,9 @@
 	for (size_t i = 0; i < count; i++) {
 		double value = cw_policy_value(policy, &fields[i]);
 
-		if (value != fields[i].fallback)
+		if (value != fields[i].default_value)
 			cw_event("entry", "policy", "name=%s value=%g default=%g", fields[i].name,
-				 value, fields[i].fallback);
+				 value, fields[i].default_value);
 	}
 }
 
--- a/apps/corianderwalk/entry_news.c
+++ b/apps/corianderwalk/entry_news.c
@@ -105,11 +105,12 @@
 static void take_server(struct feed *feed, const struct cw_server_entry *entry, int64_t now_ms)
 {
 	static const char *const words[] = {
-		[CW_LISTING_FULL] = "not_kept", [CW_LISTING_LATE] = "late",
+		[CW_LISTING_FULL] = "not_kept", [CW_LISTING_STALE] = "late",
 		[CW_LISTING_SAME] = "same",	[CW_LISTING_CHANGED] = "changed",
 		[CW_LISTING_NEW] = "new",	[CW_LISTING_RESTARTED] = "restarted",
 	};
-	enum cw_listing listing = cw_pool_list(cw_gate_pool(feed->entry->gate), entry, now_ms);
+	enum cw_listing listing =
+		cw_pool_apply_entry(cw_gate_pool(feed->entry->gate), entry, now_ms);
 
 	if (listing == CW_LISTING_FULL)
 		cw_count("servers_not_kept", "", 1);
@@ -121,7 +122,7 @@
 		cw_event("feed", "server",
 			 "server=%s born_ms=%ld listing=%s service=%s address=%s domain=%s "
 			 "software=%s leaving=%d cold_ms=%ld",
-			 entry->name, (long)entry->born_ms, words[listing], entry->service,
+			 entry->name, (long)entry->process_start_ms, words[listing], entry->service,
 			 entry->address, entry->failure_domain, entry->software, entry->leaving,
 			 (long)entry->cold_ms);
 }
@@ -134,7 +135,7 @@
 {
 	const struct cw_gate *gate = feed->entry->gate;
 	const char *newcomer =
-		cw_pool_newcomer(cw_gate_pool((struct cw_gate *)gate), entry->service, now_ms);
+		cw_pool_new_software(cw_gate_pool((struct cw_gate *)gate), entry->service, now_ms);
 	const char *target =
 		cw_rollouts_target(cw_gate_rollouts((struct cw_gate *)gate), entry->service);
 
@@ -153,7 +154,7 @@
 	struct cw_server *server = cw_pool_find_name(pool, name);
 	int64_t until_ms = feed_lapse_until_ms(feed);
 
-	if (!server || server->gone)
+	if (!server || server->is_removed)
 		return;
 	cw_quarantine_gone(cw_gate_quarantine(feed->entry->gate), server->id, now_ms);
 	cw_event("feed", "server_gone", "server=%s address=%s held_ms=%ld", name, server->address,
--- a/apps/corianderwalk/entry_peers.c
+++ b/apps/corianderwalk/entry_peers.c
@@ -98,7 +98,7 @@
 		return NULL;
 	}
 	uv_timer_start(&peers->timer, on_timer, FIRST_MS, GOSSIP_EVERY_MS);
-	cw_pool_set_places(cw_gate_pool(entry->gate), find_place, peers);
+	cw_pool_set_place_lookup(cw_gate_pool(entry->gate), find_place, peers);
 	return peers;
 }
 
@@ -225,7 +225,7 @@
 {
 	struct peers *peers = handle->data;
 
-	cw_pool_set_places(cw_gate_pool(peers->entry->gate), NULL, NULL);
+	cw_pool_set_place_lookup(cw_gate_pool(peers->entry->gate), NULL, NULL);
 	cw_membership_destroy(peers->membership);
 	g_hash_table_destroy(peers->loads);
 	g_array_unref(peers->loaded);
@@ -270,8 +270,8 @@
 						    gossip->ends, CW_QUARANTINE_ENDS);
 	gossip->held_count = cw_quarantine_tell_records(cw_gate_quarantine(entry->gate), now_ms,
 							gossip->held, CW_QUARANTINE_RECORDS);
-	gossip->drain_count = cw_drains_tell(cw_pool_drains(cw_gate_pool(entry->gate)),
-					     gossip->drains, CW_DRAINS);
+	gossip->drain_count = cw_drains_list(cw_pool_drains(cw_gate_pool(entry->gate)),
+					     gossip->drains, CW_DRAINS_MAX);
 }
 
 /* This instance's place among those that may send to a cold server. */
--- a/apps/corianderwalk/entry_reach.c
+++ b/apps/corianderwalk/entry_reach.c
@@ -32,7 +32,7 @@
 	struct cw_server *server;
 
 	TAILQ_FOREACH(server, cw_pool_active(cw_gate_pool(entry->gate)), active_link) {
-		if (!cw_pool_wants_probe(server, now_ms))
+		if (!cw_pool_needs_probe(server, now_ms))
 			continue;
 		server->probed_ms = now_ms;
 		probe(entry, server, server->is_unreachable ? PROBES : 1);
@@ -45,9 +45,9 @@
 	int64_t now_ms = entry_now_ms(entry);
 	struct watch *watch;
 
-	if (server->end_tried_ms && now_ms - server->end_tried_ms < ENDED_TRY_MS)
+	if (server->crash_probed_ms && now_ms - server->crash_probed_ms < ENDED_TRY_MS)
 		return;
-	server->end_tried_ms = now_ms;
+	server->crash_probed_ms = now_ms;
 	watch = g_new0(struct watch, 1);
 	watch->entry = entry;
 	watch->server = server->id;
@@ -80,15 +80,15 @@
 		if (server->is_unreachable)
 			cw_event("gate", "server_reachable", "server=%s address=%s", server->name,
 				 address);
-		cw_pool_reached(server, now_ms);
-	} else if (server && server->heard_ms < watch->probed_ms && watch->number < PROBES) {
+		cw_pool_mark_reachable(server, now_ms);
+	} else if (server && server->last_seen_ms < watch->probed_ms && watch->number < PROBES) {
 		probe(entry, server, watch->number + 1);
-	} else if (server && server->heard_ms < watch->probed_ms && !server->is_unreachable) {
+	} else if (server && server->last_seen_ms < watch->probed_ms && !server->is_unreachable) {
 		cw_warn("gate", "server_unreachable",
 			"server=%s address=%s domain=%s running=%u heard_ms_ago=%ld", server->name,
 			address, server->failure_domain, server->own_running,
-			(long)(now_ms - server->heard_ms));
-		cw_pool_unheard(server);
+			(long)(now_ms - server->last_seen_ms));
+		cw_pool_mark_unreachable(server);
 		probe_doubted(entry, server, now_ms);
 		relay_leave_unreachable(entry, server);
 	}
@@ -108,8 +108,9 @@
 static void probe_doubted(struct entry *entry, const struct cw_server *unreachable, int64_t now_ms)
 {
 	struct cw_server *doubted[DOUBTED_MAX];
-	size_t count = cw_pool_doubt(cw_gate_pool(entry->gate), unreachable,
-				     entry->settings.failure_domain, doubted, DOUBTED_MAX, now_ms);
+	size_t count =
+		cw_pool_mark_suspects(cw_gate_pool(entry->gate), unreachable,
+				      entry->settings.failure_domain, doubted, DOUBTED_MAX, now_ms);
 
 	for (size_t i = 0; i < count; i++)
 		probe(entry, doubted[i], 1);
--- a/apps/corianderwalk/entry_relay.c
+++ b/apps/corianderwalk/entry_relay.c
@@ -153,13 +153,13 @@
 	const struct cw_server *server;
 
 	TAILQ_FOREACH(server, cw_pool_servers(cw_gate_pool(entry->gate)), link)
-		if (server->has_ended)
+		if (server->is_superseded)
 			cw_client_forget(entry->servers, server->address);
 	while (relay) {
 		struct relay *next = TAILQ_NEXT(relay, link);
 
 		server = relay->exchange ? cw_call_server(relay->call) : NULL;
-		if (server && server->has_ended) {
+		if (server && server->is_superseded) {
 			int is_sent = cw_exchange_is_sent(relay->exchange);
 
 			drop_exchange(relay);
@@ -444,7 +444,7 @@
 
 	if (!server)
 		return;
-	cw_pool_heard(server, entry_now_ms(relay->entry));
+	cw_pool_mark_seen(server, entry_now_ms(relay->entry));
 	cw_quarantine_heard(cw_gate_quarantine(relay->entry->gate), server->id, relay->sent_ms,
 			    entry_now_ms(relay->entry));
 }
--- a/apps/corianderwalk/entry_share.c
+++ b/apps/corianderwalk/entry_share.c
@@ -218,7 +218,7 @@
 	list.count = 0;
 	TAILQ_FOREACH(server, servers, link)
 		if (is_listed(server))
-			cw_pool_entry(server, &list.entries[list.count++], now_ms);
+			cw_pool_get_entry(server, &list.entries[list.count++], now_ms);
 	g_free(share->copy.bytes);
 	share->copy.bytes = cw_gossip_list_encode(&list, &share->copy.size);
 	share->copy.from = list.from;
@@ -267,7 +267,7 @@
  */
 static int is_listed(const struct cw_server *server)
 {
-	return !server->gone && !server->gone_ms;
+	return !server->is_removed && !server->removed_ms;
 }
 
 static void open_fetch(struct share *share, struct fetch *fetch, const char *path,
@@ -418,8 +418,8 @@
 
 		news_take_change(feed, &change);
 	}
-	cw_pool_keep_listed(cw_gate_pool(feed->entry->gate), now_ms, feed_lapse_until_ms(feed),
-			    now_ms);
+	cw_pool_delist_unlisted(cw_gate_pool(feed->entry->gate), now_ms, feed_lapse_until_ms(feed),
+				now_ms);
 	cw_event("share", "list_taken", "from=%lu before=%lu servers=%zu age_ms=%u",
 		 (unsigned long)list->from, (unsigned long)feed->list.from, list->count,
 		 list->age_ms);
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -139,7 +139,7 @@
 {
 	topic->sweep_ms = topic->asked_ms;
 	if (topic->topic == CW_UP_OPERATOR)
-		cw_drains_collect(cw_pool_drains(cw_gate_pool(topic->feed->entry->gate)));
+		cw_drains_begin_scan(cw_pool_drains(cw_gate_pool(topic->feed->entry->gate)));
 }
 
 void topic_ask_in(struct topic *topic, int64_t wait_ms)
@@ -419,8 +419,8 @@
 	*topic->after = '\0';
 	cw_event("feed", "collected", "topic=%s end=%lu", topic->name, (unsigned long)topic->from);
 	if (topic->topic == CW_UP_SERVERS) {
-		cw_pool_keep_listed(cw_gate_pool(entry->gate), topic->sweep_ms,
-				    feed_lapse_until_ms(feed), topic->read_ms);
+		cw_pool_delist_unlisted(cw_gate_pool(entry->gate), topic->sweep_ms,
+					feed_lapse_until_ms(feed), topic->read_ms);
 		cw_follow_start(&feed->list, topic->from);
 		cw_follow_answered(&feed->list, topic->sweep_ms);
 		topic_ask_in(topic, CW_READERS_KNOWN_MS);
@@ -445,7 +445,7 @@
 	struct cw_drains *drains = cw_pool_drains(cw_gate_pool(topic->feed->entry->gate));
 	struct cw_drain_order restored;
 
-	while (cw_drains_collected(drains, topic->from, &restored))
+	while (cw_drains_next_unseen(drains, topic->from, &restored))
 		feed_drain(topic->feed, &restored, "store");
 }
 
--- a/apps/cwctl/domains.c
+++ b/apps/cwctl/domains.c
@@ -22,13 +22,13 @@
 	static const char *const titles[] = {"failure domain", "state", "revision"};
 	struct cw_error error = {0};
 	struct cw_table *table = log_table(options->platform, &error);
-	struct cw_drain_order orders[CW_DRAINS];
+	struct cw_drain_order orders[CW_DRAINS_MAX];
 	struct grid *grid;
 	size_t count;
 
 	if (!table)
 		return fail(&error);
-	count = cw_drains_tell(cw_table_drains(table), orders, CW_DRAINS);
+	count = cw_drains_list(cw_table_drains(table), orders, CW_DRAINS_MAX);
 	grid = options->json ? NULL : grid_create(titles, G_N_ELEMENTS(titles));
 	for (size_t i = 0; i < count; i++) {
 		const char *state = orders[i].is_drained ? "drained" : "in use";
--- a/packages/cascade/include/cw_cascade.h
+++ b/packages/cascade/include/cw_cascade.h
@@ -14,7 +14,7 @@
 #include <stdint.h>
 
 struct cw_cascade_option {
-	uint64_t version;   /* cw_pool_version */
+	uint64_t version;   /* cw_pool_version_hash */
 	double cost_per_1k; /* from the version table; an empty cell counts as 0 */
 };
 
--- a/packages/drain/include/cw_drain.h
+++ b/packages/drain/include/cw_drain.h
@@ -12,7 +12,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_DRAINS 16 /* failure domains with orders; more than a deployment has */
+#define CW_DRAINS_MAX 16 /* failure domains with orders; more than a deployment has */
 
 /* The newest order of an operator on a failure domain. */
 struct cw_drain_order {
@@ -25,20 +25,22 @@
 
 struct cw_drains *cw_drains_create(void);
 void cw_drains_destroy(struct cw_drains *drains);
-int cw_drains_take(struct cw_drains *drains,
-		   const struct cw_drain_order *order); /* 1: the domain's drained state changed */
-int cw_drains_has(const struct cw_drains *drains, const char *failure_domain); /* 1: drained */
-size_t cw_drains_tell(const struct cw_drains *drains, struct cw_drain_order *orders,
+int cw_drains_apply(struct cw_drains *drains,
+		    const struct cw_drain_order *order); /* 1: the domain's drained state changed */
+int cw_drains_is_drained(const struct cw_drains *drains,
+			 const char *failure_domain); /* 1: drained */
+size_t cw_drains_list(const struct cw_drains *drains, struct cw_drain_order *orders,
 		      size_t max); /* all orders, restored domains included */
 
 /*
  * A scan reads the newest record of each key in pages. A domain without a record is not drained:
- * from cw_drains_collect() on, cw_drains_take() marks the domains that have one, and
- * cw_drains_collected() then returns orders that restore the others, one a call.
+ * from cw_drains_begin_scan() on, cw_drains_apply() marks the domains that have one, and
+ * cw_drains_next_unseen() then returns orders that restore the others, one a call.
  */
-void cw_drains_collect(struct cw_drains *drains);
-int cw_drains_collected(struct cw_drains *drains, uint64_t end,
-			struct cw_drain_order *restored); /* order that restores a domain without a
-							     record before end; 0: none is left */
+void cw_drains_begin_scan(struct cw_drains *drains);
+int cw_drains_next_unseen(
+	struct cw_drains *drains, uint64_t end,
+	struct cw_drain_order *restored); /* order that restores a domain without a
+					     record before end; 0: none is left */
 
 #endif
--- a/packages/drain/src/drain.c
+++ b/packages/drain/src/drain.c
@@ -9,7 +9,7 @@
 };
 
 struct cw_drains {
-	struct drain drains[CW_DRAINS];
+	struct drain drains[CW_DRAINS_MAX];
 	size_t count;
 };
 
@@ -26,7 +26,7 @@
 	g_free(drains);
 }
 
-int cw_drains_take(struct cw_drains *drains, const struct cw_drain_order *order)
+int cw_drains_apply(struct cw_drains *drains, const struct cw_drain_order *order)
 {
 	struct drain *drain = find(drains, order->failure_domain);
 	int was_drained = drain && drain->order.is_drained;
@@ -43,14 +43,14 @@
 	return was_drained != order->is_drained;
 }
 
-int cw_drains_has(const struct cw_drains *drains, const char *failure_domain)
+int cw_drains_is_drained(const struct cw_drains *drains, const char *failure_domain)
 {
 	const struct drain *drain = find(drains, failure_domain);
 
 	return drain && drain->order.is_drained;
 }
 
-size_t cw_drains_tell(const struct cw_drains *drains, struct cw_drain_order *orders, size_t max)
+size_t cw_drains_list(const struct cw_drains *drains, struct cw_drain_order *orders, size_t max)
 {
 	size_t count = MIN(drains->count, max);
 
@@ -59,7 +59,7 @@
 	return count;
 }
 
-void cw_drains_collect(struct cw_drains *drains)
+void cw_drains_begin_scan(struct cw_drains *drains)
 {
 	for (size_t i = 0; i < drains->count; i++)
 		drains->drains[i].is_seen = 0;
@@ -70,7 +70,7 @@
  * unknown. The last offset before the end of the scan is newer than that of the drain and older
  * than that of any order that follows.
  */
-int cw_drains_collected(struct cw_drains *drains, uint64_t end, struct cw_drain_order *restored)
+int cw_drains_next_unseen(struct cw_drains *drains, uint64_t end, struct cw_drain_order *restored)
 {
 	for (size_t i = 0; i < drains->count; i++) {
 		struct drain *drain = &drains->drains[i];
@@ -98,9 +98,9 @@
 {
 	struct drain *drain = NULL;
 
-	if (drains->count < CW_DRAINS)
+	if (drains->count < CW_DRAINS_MAX)
 		drain = &drains->drains[drains->count++];
-	for (size_t i = 0; !drain && i < CW_DRAINS; i++)
+	for (size_t i = 0; !drain && i < CW_DRAINS_MAX; i++)
 		if (!drains->drains[i].order.is_drained)
 			drain = &drains->drains[i];
 	if (!drain)
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -74,12 +74,12 @@
 	memset(step, 0, sizeof(*step));
 	step->confidence_threshold = -1;
 	if (answer->has_load) {
-		cw_pool_reported(call->server, &load, now_ms);
+		cw_pool_apply_report(call->server, &load, now_ms);
 		gate_add_load_report(call->gate, call->service_name, &load, now_ms);
 		call_work_load_reported(call, &load, now_ms);
 	}
 	if (answer->has_warmup_time)
-		cw_warmup_told(&call->server->warmup, answer->cold_ms, now_ms);
+		cw_warmup_set_cold(&call->server->warmup, answer->cold_ms, now_ms);
 	step->was_under_load = call->server_was_loaded;
 	if (answer->is_not_run) {
 		release_server(call, now_ms, 0);
@@ -152,8 +152,8 @@
 	memset(step, 0, sizeof(*step));
 	if (how == CW_ATTEMPT_NO_CONNECTION || how == CW_ATTEMPT_CONNECTION_REFUSED) {
 		if (how == CW_ATTEMPT_NO_CONNECTION)
-			cw_pool_unheard(call->server);
-		cw_pool_refused(call->server, now_ms, gate_random(call->gate));
+			cw_pool_mark_unreachable(call->server);
+		cw_pool_record_refusal(call->server, now_ms, gate_random(call->gate));
 		cw_quarantine_gone(call->gate->quarantine, call->server->id, now_ms);
 		release_server(call, now_ms, 0);
 		call->attempts--;
@@ -188,7 +188,7 @@
 	else
 		cw_quarantine_answered(call->gate->quarantine, call->fingerprint, call->server->id,
 				       call_run_time_ms(call, now_ms), now_ms);
-	cw_pool_succeeded(call->server, now_ms);
+	cw_pool_record_success(call->server, now_ms);
 	release_server(call, now_ms, 1);
 }
 
@@ -377,7 +377,7 @@
 				    server->software, now_ms);
 	call->attempts++;
 	call->tried[call->tried_count++ % CW_MAX_ATTEMPTS] = server->id;
-	cw_pool_dispatched(server, now_ms);
+	cw_pool_record_dispatch(server, now_ms);
 	step->kind = CW_STEP_SEND;
 	step->server = server;
 	step->connect_ms = connect_timeout_ms(call);
@@ -411,7 +411,7 @@
 		return 0;
 	cw_quarantine_left(call->gate->quarantine, call->fingerprint, previous->id,
 			   previous_run_time_ms, now_ms);
-	cw_pool_ended(previous, now_ms, -1);
+	cw_pool_record_end(previous, now_ms, -1);
 	return 1;
 }
 
@@ -474,7 +474,7 @@
 		return;
 	call_work_end(call);
 	call->server = NULL;
-	cw_pool_ended(server, now_ms, is_answered ? (double)(now_ms - call->sent_ms) : -1);
+	cw_pool_record_end(server, now_ms, is_answered ? (double)(now_ms - call->sent_ms) : -1);
 }
 
 /* The request may still run on the server, and crash it. */
@@ -487,11 +487,11 @@
 static void record_failure(struct cw_call *call, int64_t now_ms)
 {
 	/* A network partition or an earlier incarnation is no evidence against the server. */
-	if (!call->server->is_unreachable && !call->server->has_ended &&
-	    cw_pool_broke(call->server, now_ms) &&
+	if (!call->server->is_unreachable && !call->server->is_superseded &&
+	    cw_pool_record_crash(call->server, now_ms) &&
 	    !cw_quarantine_doubts(call->gate->quarantine, call->server->id, now_ms))
 		call_work_failed(call, now_ms);
-	cw_pool_failed(call->server, now_ms, gate_random(call->gate));
+	cw_pool_record_failure(call->server, now_ms, gate_random(call->gate));
 }
 
 /* Whether the request may run twice is the route's setting, never inferred from a name. */
--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -27,23 +27,23 @@
 {
 	struct cw_gate *gate = call->gate;
 	const char *target = cw_rollouts_target(gate->rollouts, call->service_name);
-	const char *newcomer = cw_pool_newcomer(gate->pool, call->service_name, now_ms);
+	const char *newcomer = cw_pool_new_software(gate->pool, call->service_name, now_ms);
 	struct cw_rollout_request request = call_rollout_request(call);
 	struct cw_choice choice;
 	struct cw_server *server;
 
 	fill_choice(call, now_ms, &choice);
-	choice.is_home = is_affinity_server;
+	choice.is_affinity_server = is_affinity_server;
 	if (newcomer && (!target || strcmp(newcomer, target) != 0))
-		choice.not_yet = newcomer;
+		choice.pending_software = newcomer;
 	call->assignment = cw_rollouts_assign(gate->rollouts, &request, now_ms);
 	switch (call->assignment.variant) {
 	case CW_ROLLOUT_VARIANT_OLD:
-		choice.not_software = target;
+		choice.excluded_software = target;
 		break;
 	case CW_ROLLOUT_VARIANT_NEW:
-		choice.only_software = target;
-		choice.spread = call->assignment.share;
+		choice.required_software = target;
+		choice.server_share = call->assignment.share;
 		if (cw_rollouts_needs_load_trial(gate->rollouts, call->service_name, now_ms))
 			choice.fill_part = call->is_output_heavy      ? TRIAL_FILL_TARGET
 					   : call_work_is_light(call) ? TRIAL_FULL_TARGET
@@ -56,7 +56,7 @@
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
 	/* All others are removed or tried: a server that failed before is better than none. */
-	choice.is_desperate = 1;
+	choice.allows_unusable = 1;
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
 	choice.tried_count = 0;
@@ -64,7 +64,8 @@
 		server = cw_pool_choose(gate->pool, &choice);
 	/* Unless the roll-out found a version bad, the other version may answer as well. */
 	if (!server && !cw_rollouts_is_rolled_back(gate->rollouts, call->service_name)) {
-		choice.only_software = choice.not_software = choice.not_yet = NULL;
+		choice.required_software = choice.excluded_software = choice.pending_software =
+			NULL;
 		server = cw_pool_choose(gate->pool, &choice);
 	}
 	return server;
@@ -94,8 +95,8 @@
 		.cold = {.per_s = call->service ? call->service->cold_per_s : 0,
 			 .factor = gate->options.cold_factor,
 			 .slack = gate->options.cold_slack},
-		.route_homes = &call->route->homes,
-		.organisation_homes = call->organisation ? &call->organisation->homes : NULL,
+		.route_regions = &call->route->homes,
+		.organisation_regions = call->organisation ? &call->organisation->homes : NULL,
 	};
 	call_work_fill_choice(call, choice);
 }
@@ -113,8 +114,8 @@
 	if (!call->has_forwarded ||
 	    cw_rollouts_is_rolled_back(call->gate->rollouts, call->service_name))
 		return NULL;
-	begun.only_software = call->software;
-	begun.not_software = NULL;
+	begun.required_software = call->software;
+	begun.excluded_software = NULL;
 	return cw_pool_choose(call->gate->pool, &begun);
 }
 
--- a/packages/gate/src/call_held.c
+++ b/packages/gate/src/call_held.c
@@ -34,7 +34,7 @@
 	struct cw_quarantine *quarantine = call->gate->quarantine;
 
 	if (!cw_quarantine_wants_trial(quarantine, call->fingerprint, call->opened_ms) ||
-	    !cw_pool_owns(call->gate->pool, call->fingerprint))
+	    !cw_pool_is_owner(call->gate->pool, call->fingerprint))
 		return 0;
 	cw_quarantine_try(quarantine, call->fingerprint, call->opened_ms);
 	call->is_trial = 1;
@@ -53,7 +53,7 @@
 	const struct cw_server *server = call->server;
 	struct cw_quarantine_request request = quarantine_request(call);
 
-	if (server->leaving || server->gone || server->is_unreachable ||
+	if (server->leaving || server->is_removed || server->is_unreachable ||
 	    cw_rollouts_is_retired(call->gate->rollouts, call->service_name, server->software))
 		return;
 	cw_quarantine_broke(call->gate->quarantine, &request, server->id,
--- a/packages/gate/src/call_work.c
+++ b/packages/gate/src/call_work.c
@@ -157,7 +157,7 @@
 	call->work_ms = call->uncached_tokens * token_time_ms(call, timing);
 	work = gate_get_timing(call->gate, call->service_name);
 	work->mean_ms += WORK_EWMA_GAIN * (call->work_ms - work->mean_ms);
-	cw_pool_work_begin(server, call->work_ms, work->mean_ms, now_ms);
+	cw_pool_begin_work(server, call->work_ms, work->mean_ms, now_ms);
 }
 
 void call_work_head_received(struct cw_call *call, int64_t now_ms)
@@ -174,7 +174,7 @@
 	if (!is_on_target_version(call))
 		learn_timing(call, took_ms);
 	call_work_end(call);
-	cw_pool_judged(call->server, 0, MAX(ratio, 1), now_ms);
+	cw_pool_record_outcome(call->server, 0, MAX(ratio, 1), now_ms);
 	report_to_rollout(call, is_plain && is_slow, is_slow, now_ms);
 }
 
@@ -198,14 +198,14 @@
 
 void call_work_failed(struct cw_call *call, int64_t now_ms)
 {
-	cw_pool_judged(call->server, 1, 0, now_ms);
+	cw_pool_record_outcome(call->server, 1, 0, now_ms);
 	report_to_rollout(call, 1, 0, now_ms);
 }
 
 void call_work_end(struct cw_call *call)
 {
 	if (call->server)
-		cw_pool_work_end(call->server, call->work_ms);
+		cw_pool_end_work(call->server, call->work_ms);
 	call->work_ms = 0;
 }
 
--- a/packages/gossip/include/cw_gossip.h
+++ b/packages/gossip/include/cw_gossip.h
@@ -62,7 +62,7 @@
 	size_t held_count;
 	struct cw_quarantine_record held[CW_QUARANTINE_RECORDS];
 	size_t drain_count;
-	struct cw_drain_order drains[CW_DRAINS]; /* also those taken back */
+	struct cw_drain_order drains[CW_DRAINS_MAX]; /* also those taken back */
 };
 
 /* The whole list of servers, for an instance that can't read it from the store. */
--- a/packages/gossip/src/gossip.c
+++ b/packages/gossip/src/gossip.c
@@ -122,7 +122,7 @@
 	for (size_t i = 0; i < gossip->held_count; i++)
 		if (!code_held(xdr, &gossip->held[i]))
 			return FALSE;
-	if (!gossip_code_count(xdr, &gossip->drain_count, CW_DRAINS))
+	if (!gossip_code_count(xdr, &gossip->drain_count, CW_DRAINS_MAX))
 		return FALSE;
 	for (size_t i = 0; i < gossip->drain_count; i++)
 		if (!code_drain(xdr, &gossip->drains[i]))
@@ -195,7 +195,7 @@
 
 bool_t gossip_code_entry(XDR *xdr, struct cw_server_entry *entry)
 {
-	return gossip_code_int64(xdr, &entry->born_ms) &&
+	return gossip_code_int64(xdr, &entry->process_start_ms) &&
 	       gossip_code_text(xdr, entry->service, CW_NAME_MAX) &&
 	       gossip_code_text(xdr, entry->address, CW_ADDRESS_MAX) &&
 	       gossip_code_text(xdr, entry->failure_domain, CW_NAME_MAX) &&
--- a/packages/health/include/cw_health.h
+++ b/packages/health/include/cw_health.h
@@ -13,7 +13,7 @@
 #include <stdint.h>
 
 struct cw_evidence {
-	uint64_t version; /* cw_pool_version of (model, version) */
+	uint64_t version; /* cw_pool_version_hash of (model, version) */
 	uint32_t good;	  /* answers that were whole */
 	uint32_t bad;	  /* errors and broken answers */
 	uint32_t slow;	  /* first token later than the siblings' usual */
--- a/packages/home/include/cw_home.h
+++ b/packages/home/include/cw_home.h
@@ -12,13 +12,13 @@
 #define CW_HOME_REGIONS_MAX 4 /* regions of one route or organisation; further ones are ignored */
 
 /* An empty list allows any region. */
-struct cw_homes {
+struct cw_home_regions {
 	size_t count;
 	char regions[CW_HOME_REGIONS_MAX][CW_NAME_MAX];
 };
 
-void cw_homes_add(struct cw_homes *homes, const char *region);
-int cw_homes_allow(const struct cw_homes *homes,
-		   const char *region); /* 1: the region may serve; always for NULL */
+void cw_home_regions_add(struct cw_home_regions *homes, const char *region);
+int cw_home_regions_allow(const struct cw_home_regions *homes,
+			  const char *region); /* 1: the region may serve; always for NULL */
 
 #endif
--- a/packages/home/src/home.c
+++ b/packages/home/src/home.c
@@ -3,14 +3,14 @@
 #include <glib.h>
 #include <string.h>
 
-void cw_homes_add(struct cw_homes *homes, const char *region)
+void cw_home_regions_add(struct cw_home_regions *homes, const char *region)
 {
 	if (homes->count < CW_HOME_REGIONS_MAX)
 		g_strlcpy(homes->regions[homes->count++], region, CW_NAME_MAX);
 }
 
 /* A server of unknown region may be anywhere, so it serves no request with home regions. */
-int cw_homes_allow(const struct cw_homes *homes, const char *region)
+int cw_home_regions_allow(const struct cw_home_regions *homes, const char *region)
 {
 	if (!homes || homes->count == 0)
 		return 1;
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -277,13 +277,13 @@
 	for (size_t i = 0; i < node->config.server_count; i++) {
 		const struct cw_node_server *known = &node->config.servers[i];
 		struct cw_server *server =
-			cw_pool_learn(node->pool, known->name, known->service, known->address,
-				      known->failure_domain, known->checks_fencing);
+			cw_pool_add(node->pool, known->name, known->service, known->address,
+				    known->failure_domain, known->checks_fencing);
 
 		if (server)
 			server->configured = 1;
 	}
-	cw_pool_track(node->pool, node->id, node->failure_domain);
+	cw_pool_select_tracked(node->pool, node->id, node->failure_domain);
 }
 
 static void node_list(struct cw_node *node, const struct cw_listed *members, size_t count)
@@ -294,7 +294,7 @@
 		else
 			list_server(node, &members[i]);
 	}
-	cw_pool_track(node->pool, node->id, node->failure_domain);
+	cw_pool_select_tracked(node->pool, node->id, node->failure_domain);
 }
 
 static void list_instance(struct cw_node *node, const struct cw_listed *listed)
@@ -309,8 +309,8 @@
 static void list_server(struct cw_node *node, const struct cw_listed *listed)
 {
 	struct cw_server *server =
-		cw_pool_learn(node->pool, listed->name, listed->service, listed->address,
-			      listed->failure_domain, listed->checks_fencing);
+		cw_pool_add(node->pool, listed->name, listed->service, listed->address,
+			    listed->failure_domain, listed->checks_fencing);
 
 	if (!server)
 		return;
@@ -326,7 +326,7 @@
 	struct cw_server *server = cw_pool_find(node->pool, id);
 
 	if (server)
-		cw_pool_reported(server, load, node->now_ms);
+		cw_pool_apply_report(server, load, node->now_ms);
 }
 
 /* A report's way must end before the next look, and looks at many servers are spread over the
@@ -338,7 +338,7 @@
 	TAILQ_FOREACH(server, cw_pool_servers(node->pool), link) {
 		struct cw_effect *effect;
 
-		if (!server->tracked || node->now_ms < server->poll_due_ms)
+		if (!server->is_tracked || node->now_ms < server->poll_due_ms)
 			continue;
 		server->poll_due_ms = node->now_ms + node->config.load_poll_ms * 3 / 4 +
 				      (int64_t)(node_random(node) %
@@ -385,7 +385,7 @@
 
 		if (!server->configured && server->own_running == 0 && server->listed_ms >= 0 &&
 		    node->now_ms - server->listed_ms > FORGET_MEMBER_MS)
-			cw_pool_forget(node->pool, server);
+			cw_pool_remove(node->pool, server);
 		server = next;
 	}
 }
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -229,7 +229,7 @@
 	json_object_object_add(trip, "by", json_object_new_string(node->instance));
 	json_object_object_add(trip, "how", json_object_new_string(how));
 	TAILQ_FOREACH(row, cw_table_rows(node->table), link) {
-		if (cw_pool_version(row->model, row->version) != version)
+		if (cw_pool_version_hash(row->model, row->version) != version)
 			continue;
 		json_object_object_add(trip, "model", json_object_new_string(row->model));
 		json_object_object_add(trip, "version", json_object_new_string(row->version));
--- a/packages/node/src/node_internal.h
+++ b/packages/node/src/node_internal.h
@@ -41,7 +41,7 @@
 	char model[CW_NAME_MAX];
 	char version[CW_NAME_MAX];
 	uint64_t row;	      /* its limits */
-	uint64_t version_id;  /* cw_pool_version */
+	uint64_t version_id;  /* cw_pool_version_hash */
 	uint64_t fingerprint; /* cw_quarantine_fingerprint */
 	int is_trial;	      /* of a held request: it is sent once */
 	double cost_per_1k;
--- a/packages/node/src/node_log.c
+++ b/packages/node/src/node_log.c
@@ -214,8 +214,8 @@
 /* The table is the fold of all orders; the pool takes those that are new to it. */
 static void take_drains(struct cw_node *node)
 {
-	struct cw_drain_order orders[CW_DRAINS];
-	size_t count = cw_drains_tell(cw_table_drains(node->table), orders, CW_DRAINS);
+	struct cw_drain_order orders[CW_DRAINS_MAX];
+	size_t count = cw_drains_list(cw_table_drains(node->table), orders, CW_DRAINS_MAX);
 
 	for (size_t i = 0; i < count; i++)
 		if (cw_pool_drain(node->pool, &orders[i], node->now_ms))
@@ -314,7 +314,7 @@
 			continue;
 		node->routing_changed_ms = node->now_ms;
 		/* The operator has looked at it: an edit overrides what evidence said before. */
-		cw_health_clear(node->health, cw_pool_version(row->model, row->version));
+		cw_health_clear(node->health, cw_pool_version_hash(row->model, row->version));
 	}
 }
 
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -62,7 +62,7 @@
 				       ran_ms(node, request), node->now_ms);
 		break;
 	case CW_ATTEMPT_BROKEN:
-		if (!end->is_cut || server->leaving || server->gone) {
+		if (!end->is_cut || server->leaving || server->is_removed) {
 			quarantine_left(node, request, server);
 			break;
 		}
@@ -267,7 +267,7 @@
 		if (request->state == REQUEST_RUNNING && !request->is_trial &&
 		    cw_quarantine_holds(node->quarantine, request->fingerprint)) {
 			if (server)
-				cw_pool_ended(server, node->now_ms, -1);
+				cw_pool_record_end(server, node->now_ms, -1);
 			request->sent = 1;
 			quarantine_refuses(node, request);
 		}
--- a/packages/node/src/node_request.c
+++ b/packages/node/src/node_request.c
@@ -68,7 +68,7 @@
 
 		if (server) {
 			quarantine_left(node, request, server);
-			cw_pool_ended(server, node->now_ms, -1);
+			cw_pool_record_end(server, node->now_ms, -1);
 		}
 		request->sent = 1;
 	}
--- a/packages/node/src/node_rollout.c
+++ b/packages/node/src/node_rollout.c
@@ -160,7 +160,8 @@
 				continue;
 			/* What is not known to be missing is not ordered. */
 			engines += server->versions_known;
-			loaded |= cw_pool_serves(server, cw_pool_version(row->model, row->version));
+			loaded |= cw_pool_serves(server,
+						 cw_pool_version_hash(row->model, row->version));
 		}
 		if (engines > 0 && !loaded)
 			return row;
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -139,7 +139,7 @@
 	request->state = REQUEST_RUNNING;
 	request->server = server->id;
 	request->tried[request->tried_count++] = server->id; /* never more than attempts */
-	cw_pool_dispatched(server, node->now_ms);
+	cw_pool_record_dispatch(server, node->now_ms);
 	effect->dispatch.mode = mode;
 	effect->dispatch.attempt = request->attempt_count;
 	effect->dispatch.server = server->id;
@@ -216,11 +216,11 @@
 	if (server)
 		quarantine_attempt_ended(node, request, server, end);
 	if (server) {
-		cw_pool_ended(server, node->now_ms, answered ? end->total_ms : -1);
+		cw_pool_record_end(server, node->now_ms, answered ? end->total_ms : -1);
 		if (answered)
-			cw_pool_succeeded(server, node->now_ms);
+			cw_pool_record_success(server, node->now_ms);
 		else if (failed)
-			cw_pool_failed(server, node->now_ms, node_random(node));
+			cw_pool_record_failure(server, node->now_ms, node_random(node));
 	}
 	if (answered)
 		cw_retry_budget_success(&node->retry_budget);
--- a/packages/node/src/request_choice.c
+++ b/packages/node/src/request_choice.c
@@ -158,7 +158,7 @@
 		return NULL;
 	TAILQ_FOREACH(row, rows, organisation_link) {
 		double weight = row->cell[CW_COLUMN_WEIGHT];
-		uint64_t id = cw_pool_version(row->model, row->version);
+		uint64_t id = cw_pool_version_hash(row->model, row->version);
 		double factor = cw_health_factor(node->health, id, node->now_ms);
 		double score;
 
@@ -167,7 +167,7 @@
 		*allowed = 1;
 		if (isnan(weight) || weight <= 0)
 			continue;
-		cw_health_sibling(node->health, id, cw_pool_version(row->model, ""));
+		cw_health_sibling(node->health, id, cw_pool_version_hash(row->model, ""));
 		/* What failed this request once is its last resort: a sibling may answer it well.
 		 */
 		if (id == request->avoid)
@@ -193,7 +193,7 @@
 	double cost = row->cell[CW_COLUMN_COST];
 	double target = row->cell[CW_COLUMN_QUALITY];
 
-	request->options[index].version = cw_pool_version(row->model, row->version);
+	request->options[index].version = cw_pool_version_hash(row->model, row->version);
 	request->options[index].cost_per_1k = isnan(cost) ? 0 : cost;
 	g_strlcpy(request->option_model[index], row->model, CW_NAME_MAX);
 	g_strlcpy(request->option_version[index], row->version, CW_NAME_MAX);
@@ -216,7 +216,7 @@
 	g_strlcpy(request->model, row->model, CW_NAME_MAX);
 	g_strlcpy(request->version, row->version, CW_NAME_MAX);
 	request->row = row->id;
-	request->version_id = cw_pool_version(row->model, row->version);
+	request->version_id = cw_pool_version_hash(row->model, row->version);
 	request->cost_per_1k = isnan(cost) ? 0 : cost;
 }
 
--- a/packages/policy/include/cw_policy.h
+++ b/packages/policy/include/cw_policy.h
@@ -53,7 +53,7 @@
 	const char *name;
 	const char *unit;
 	const char *purpose; /* what the field improves or prevents */
-	double fallback, min, max;
+	double default_value, min, max;
 	double off_value; /* value that switches the mechanism off */
 	size_t offset;	  /* in struct cw_policy */
 };
--- a/packages/policy/src/policy.c
+++ b/packages/policy/src/policy.c
@@ -4,9 +4,10 @@
 #include <math.h>
 #include <string.h>
 
-#define FIELD(name, unit, fallback, min, max, off, purpose)                                        \
+#define FIELD(name, unit, default_value, min, max, off, purpose)                                   \
 	{                                                                                          \
-#name, unit, purpose, fallback, min, max, off, offsetof(struct cw_policy, name)    \
+#name, unit, purpose, default_value, min, max, off,                                \
+			offsetof(struct cw_policy, name)                                           \
 	}
 
 static const struct cw_policy_field fields[] = {
@@ -61,7 +62,7 @@
 	static struct cw_policy policy;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(fields); i++)
-		*value_of(&policy, &fields[i]) = fields[i].fallback;
+		*value_of(&policy, &fields[i]) = fields[i].default_value;
 	return &policy;
 }
 
--- a/packages/pool/include/cw_pool.h
+++ b/packages/pool/include/cw_pool.h
@@ -31,7 +31,7 @@
 /* The entry that a backend server writes into the server list. */
 struct cw_server_entry {
 	char name[CW_NAME_MAX];
-	int64_t born_ms; /* Unix time at which the process started; 0: not reported */
+	int64_t process_start_ms; /* Unix time at which the process started; 0: not reported */
 	char service[CW_NAME_MAX];
 	char address[CW_ADDRESS_MAX];
 	char failure_domain[CW_NAME_MAX];
@@ -44,7 +44,7 @@
 /* The effect of a server list entry on the pool. */
 enum cw_listing {
 	CW_LISTING_FULL,      /* ignored: the pool has no room for another server */
-	CW_LISTING_LATE,      /* ignored: written by an earlier start of the server */
+	CW_LISTING_STALE,     /* ignored: written by an earlier start of the server */
 	CW_LISTING_SAME,      /* no change of state */
 	CW_LISTING_CHANGED,   /* the server's leaving, cold or listed state changed */
 	CW_LISTING_NEW,	      /* the first entry of the server */
@@ -67,29 +67,29 @@
 	TAILQ_ENTRY(cw_server) active_link;
 	int is_active; /* on the pool's list of servers in use, unreachable or suspect */
 	char name[CW_NAME_MAX];
-	int64_t born_ms; /* Unix time of the process start, as listed */
-	int has_ended;	 /* the server restarted: requests that ran on this start are lost */
+	int64_t process_start_ms; /* Unix time of the process start, as listed */
+	int is_superseded; /* the server restarted: requests that ran on this start are lost */
 	char service[CW_NAME_MAX];
 	char address[CW_ADDRESS_MAX];
 	char failure_domain[CW_NAME_MAX];
 	char region[CW_NAME_MAX]; /* region of the failure domain; empty: unknown */
-	uint64_t id;		  /* hash of name and born_ms */
+	uint64_t id;		  /* hash of name and process_start_ms */
 	int checks_fencing;
 	int configured;
 	int leaving;
 	int is_drained; /* the failure domain is drained: no new requests */
 	struct cw_warmup warmup;
-	int gone;		    /* no longer listed: freed once its last request ends */
-	int64_t gone_ms;	    /* time from which the server counts as removed, 0: listed */
+	int is_removed;		    /* no longer listed: freed once its last request ends */
+	int64_t removed_ms;	    /* time from which the server counts as removed, 0: listed */
 	char software[CW_NAME_MAX]; /* version of the server's software; empty: unknown */
 	double track_score;	    /* rendezvous score by which servers are selected */
-	int tracked;		    /* selected: this instance may send requests to the server */
+	int is_tracked;		    /* selected: this instance may send requests to the server */
 	int64_t listed_ms;
 	int64_t poll_due_ms;
 
 	unsigned int running, queued, slots; /* as in the last load report */
 	int64_t sampled_ms;		     /* when the last load report was sampled, -1: none */
-	uint64_t *versions;		     /* cw_pool_version() of each loaded version */
+	uint64_t *versions;		     /* cw_pool_version_hash() of each loaded version */
 	size_t version_count;
 	int versions_known;
 
@@ -107,49 +107,50 @@
 	double slowness;      /* measured over predicted time, 1: as predicted; decays */
 	int64_t evidence_ms;  /* last update of failure_rate and slowness */
 
-	int64_t crash_ms;     /* last broken connection that counted as a crash of its own */
-	int64_t heard_ms;     /* last byte received from the server */
-	int64_t sent_ms;      /* newest request sent */
-	int64_t probed_ms;    /* last connection probe begun */
-	int64_t probe_gap_ms; /* least time between probes; grows while the server is silent */
-	int is_unreachable;   /* the last probe's connection did not open in time */
-	int64_t end_tried_ms; /* last probe that followed a broken request */
-	int is_suspect;	      /* may be cut off with an unreachable server; being probed */
+	int64_t crash_ms;	 /* last broken connection that counted as a crash of its own */
+	int64_t last_seen_ms;	 /* last byte received from the server */
+	int64_t sent_ms;	 /* newest request sent */
+	int64_t probed_ms;	 /* last connection probe begun */
+	int64_t probe_gap_ms;	 /* least time between probes; grows while the server is silent */
+	int is_unreachable;	 /* the last probe's connection did not open in time */
+	int64_t crash_probed_ms; /* last probe that followed a broken request */
+	int is_suspect;		 /* may be cut off with an unreachable server; being probed */
 
 	unsigned int consecutive_failures;
-	int64_t open_until_ms;	    /* the breaker is open until then, 0: closed */
-	int64_t backoff_ms;	    /* how long the breaker last opened */
-	int is_probing;		    /* half-open breaker: one trial request is running */
-	int64_t breaker_closed_ms;  /* the breaker closed and slow start began, -1: never */
-	uint64_t round_robin_count; /* times chosen by round_robin */
+	int64_t breaker_open_until_ms; /* the breaker is open until then, 0: closed */
+	int64_t backoff_ms;	       /* how long the breaker last opened */
+	int is_probing;		       /* half-open breaker: one trial request is running */
+	int64_t breaker_closed_ms;     /* the breaker closed and slow start began, -1: never */
+	uint64_t round_robin_count;    /* times chosen by round_robin */
 };
 
 TAILQ_HEAD(cw_server_list, cw_server);
 
 struct cw_choice {
 	const char *service;
-	uint64_t version;	    /* cw_pool_version() of model and version; 0: none required */
-	uint64_t prefix;	    /* hash of the prompt prefix, 0: none */
+	uint64_t version; /* cw_pool_version_hash() of model and version; 0: none required */
+	uint64_t prefix;  /* hash of the prompt prefix, 0: none */
 	const char *failure_domain; /* failure domain of this instance */
 	const uint64_t *tried;	    /* ids of servers that earlier attempts of the request used */
 	size_t tried_count;
-	int is_desperate;	    /* servers with an open breaker or no connection count too */
+	int allows_unusable;	    /* servers with an open breaker or no connection count too */
 	struct cw_warmup_rate cold; /* request rate that a cold server of the service bears */
-	const struct cw_homes *route_homes; /* NULL: any region */
-	const struct cw_homes *organisation_homes;
-	const char *only_software; /* required software version; NULL: any */
-	double spread;		   /* part of the candidates that may be used, 0 to 1; 0: all */
-	const char *not_software;  /* excluded software version; NULL: none */
-	const char *not_yet;	   /* excluded too, its roll-out is not known yet; NULL: none */
-	double fill_part;	   /* part of one server's slots to fill first; 0: off */
+	const struct cw_home_regions *route_regions; /* NULL: any region */
+	const struct cw_home_regions *organisation_regions;
+	const char *required_software; /* required software version; NULL: any */
+	double server_share;	       /* part of the candidates that may be used, 0 to 1; 0: all */
+	const char *excluded_software; /* excluded software version; NULL: none */
+	const char *pending_software;  /* excluded too, its roll-out is not known yet; NULL: none */
+	double fill_part;	       /* part of one server's slots to fill first; 0: off */
 	int64_t now_ms;
 	uint64_t random;
-	double read_tokens;   /* tokens of the prompt; 0 for a service without models */
-	double shared_tokens; /* tokens of the prompt prefix, which other requests share */
-	double ms_per_token;  /* predicted prefill time per token */
-	double usual_work_ms; /* predicted work of an average queued request */
-	size_t bytes;	      /* of the request and its expected answer */
-	int *is_home; /* out, may be NULL: 1 if the affinity server of the prefix was chosen */
+	double read_tokens;	 /* tokens of the prompt; 0 for a service without models */
+	double shared_tokens;	 /* tokens of the prompt prefix, which other requests share */
+	double ms_per_token;	 /* predicted prefill time per token */
+	double usual_work_ms;	 /* predicted work of an average queued request */
+	size_t bytes;		 /* of the request and its expected answer */
+	int *is_affinity_server; /* out, may be NULL: 1 if the affinity server of the prefix was
+				    chosen */
 };
 
 /* A strategy that chooses among the servers that may serve a request. */
@@ -171,11 +172,12 @@
 const struct cw_choice_policy *cw_choice_policy_find(const char *name); /* NULL: unknown */
 
 struct cw_pool *cw_pool_create(const struct cw_choice_policy *policy);
-void cw_pool_set_places(struct cw_pool *pool,
-			void (*find)(void *context, uint64_t server, struct cw_warmup_place *place),
-			void *context); /* without a lookup, no other instance is assumed */
-int cw_pool_owns(const struct cw_pool *pool,
-		 uint64_t key); /* 1: this instance is the first by rendezvous of those known */
+void cw_pool_set_place_lookup(struct cw_pool *pool,
+			      void (*find)(void *context, uint64_t server,
+					   struct cw_warmup_place *place),
+			      void *context); /* without a lookup, no other instance is assumed */
+int cw_pool_is_owner(const struct cw_pool *pool,
+		     uint64_t key); /* 1: this instance is the first by rendezvous of those known */
 void cw_pool_set_region(struct cw_pool *pool, const char *failure_domain,
 			const char *region); /* call before its servers are added */
 int cw_pool_drain(struct cw_pool *pool, const struct cw_drain_order *order,
@@ -184,30 +186,31 @@
 void cw_pool_set_policy(struct cw_pool *pool,
 			const struct cw_policy *policy); /* call before servers are added */
 void cw_pool_destroy(struct cw_pool *pool);		 /* frees its servers */
-struct cw_server *cw_pool_learn(struct cw_pool *pool, const char *name, const char *service,
-				const char *address, const char *failure_domain,
-				int checks_fencing); /* NULL: the pool is full */
-enum cw_listing cw_pool_list(struct cw_pool *pool, const struct cw_server_entry *entry,
-			     int64_t now_ms); /* adds or updates a listed server */
+struct cw_server *cw_pool_add(struct cw_pool *pool, const char *name, const char *service,
+			      const char *address, const char *failure_domain,
+			      int checks_fencing); /* NULL: the pool is full */
+enum cw_listing cw_pool_apply_entry(struct cw_pool *pool, const struct cw_server_entry *entry,
+				    int64_t now_ms); /* adds or updates a listed server */
 const char *
-cw_pool_newcomer(const struct cw_pool *pool, const char *service,
-		 int64_t now_ms); /* a software version first listed moments ago; NULL: none */
-void cw_pool_entry(const struct cw_server *server, struct cw_server_entry *entry,
-		   int64_t now_ms); /* the entry to pass on, with the cold time left */
+cw_pool_new_software(const struct cw_pool *pool, const char *service,
+		     int64_t now_ms); /* a software version first listed moments ago; NULL: none */
+void cw_pool_get_entry(const struct cw_server *server, struct cw_server_entry *entry,
+		       int64_t now_ms); /* the entry to pass on, with the cold time left */
 void cw_pool_delist(struct cw_pool *pool, struct cw_server *server, int64_t until_ms,
 		    int64_t now_ms); /* removed at until_ms unless listed again before */
-void cw_pool_keep_listed(struct cw_pool *pool, int64_t since_ms, int64_t until_ms,
-			 int64_t now_ms); /* delists all servers not listed since since_ms */
+void cw_pool_delist_unlisted(struct cw_pool *pool, int64_t since_ms, int64_t until_ms,
+			     int64_t now_ms); /* delists all servers not listed since since_ms */
 void cw_pool_sweep(struct cw_pool *pool,
 		   int64_t now_ms); /* frees removed servers without requests */
 struct cw_server *cw_pool_find_name(struct cw_pool *pool,
 				    const char *name); /* the newest start; NULL: unknown */
 struct cw_server *cw_pool_find(struct cw_pool *pool, uint64_t id); /* NULL: unknown */
-void cw_pool_forget(struct cw_pool *pool,
+void cw_pool_remove(struct cw_pool *pool,
 		    struct cw_server *server); /* frees a server without running requests */
-void cw_pool_track(struct cw_pool *pool, uint64_t owner,
-		   const char *failure_domain); /* selects the servers that this instance uses */
-uint64_t cw_pool_version(const char *model, const char *version); /* hash of the two */
+void cw_pool_select_tracked(
+	struct cw_pool *pool, uint64_t owner,
+	const char *failure_domain); /* selects the servers that this instance uses */
+uint64_t cw_pool_version_hash(const char *model, const char *version); /* hash of the two */
 struct cw_server *cw_pool_choose(struct cw_pool *pool,
 				 const struct cw_choice *choice); /* NULL: no server may serve */
 int64_t cw_pool_cold_wait_ms(struct cw_pool *pool,
@@ -215,36 +218,36 @@
 								 request; -1: no cold server */
 int cw_pool_serves(const struct cw_server *server,
 		   uint64_t version); /* 1: the version is loaded, or the loaded ones are unknown */
-void cw_pool_dispatched(struct cw_server *server, int64_t now_ms);
-void cw_pool_ended(struct cw_server *server, int64_t now_ms,
-		   double service_ms); /* service_ms < 0: ended without an answer */
-void cw_pool_succeeded(struct cw_server *server, int64_t now_ms); /* closes the breaker */
-void cw_pool_failed(struct cw_server *server, int64_t now_ms,
-		    uint64_t random);			      /* may open the breaker */
-void cw_pool_heard(struct cw_server *server, int64_t now_ms); /* a byte came: reachable */
-int cw_pool_broke(struct cw_server *server,
-		  int64_t now_ms); /* 1: counts as a new crash; 0: part of the last one */
-void cw_pool_reached(struct cw_server *server,
-		     int64_t now_ms);		/* a probe's connection opened, no byte came */
-void cw_pool_unheard(struct cw_server *server); /* no connection opened in time */
-size_t cw_pool_doubt(struct cw_pool *pool, const struct cw_server *unreachable,
-		     const char *own_domain, struct cw_server **suspects, size_t max,
-		     int64_t now_ms); /* marks and returns servers to probe at once */
-int cw_pool_wants_probe(const struct cw_server *server, int64_t now_ms);
-void cw_pool_judged(struct cw_server *server, int is_failure, double slowness,
-		    int64_t now_ms); /* outcome of an attempt; slowness 0: unknown */
-void cw_pool_work_begin(struct cw_server *server, double work_ms, double usual_work_ms,
+void cw_pool_record_dispatch(struct cw_server *server, int64_t now_ms);
+void cw_pool_record_end(struct cw_server *server, int64_t now_ms,
+			double service_ms); /* service_ms < 0: ended without an answer */
+void cw_pool_record_success(struct cw_server *server, int64_t now_ms); /* closes the breaker */
+void cw_pool_record_failure(struct cw_server *server, int64_t now_ms,
+			    uint64_t random);			  /* may open the breaker */
+void cw_pool_mark_seen(struct cw_server *server, int64_t now_ms); /* a byte came: reachable */
+int cw_pool_record_crash(struct cw_server *server,
+			 int64_t now_ms); /* 1: counts as a new crash; 0: part of the last one */
+void cw_pool_mark_reachable(struct cw_server *server,
+			    int64_t now_ms); /* a probe's connection opened, no byte came */
+void cw_pool_mark_unreachable(struct cw_server *server); /* no connection opened in time */
+size_t cw_pool_mark_suspects(struct cw_pool *pool, const struct cw_server *unreachable,
+			     const char *own_domain, struct cw_server **suspects, size_t max,
+			     int64_t now_ms); /* marks and returns servers to probe at once */
+int cw_pool_needs_probe(const struct cw_server *server, int64_t now_ms);
+void cw_pool_record_outcome(struct cw_server *server, int is_failure, double slowness,
+			    int64_t now_ms); /* outcome of an attempt; slowness 0: unknown */
+void cw_pool_begin_work(struct cw_server *server, double work_ms, double usual_work_ms,
 			int64_t now_ms);			 /* a prompt was sent */
-void cw_pool_work_end(struct cw_server *server, double work_ms); /* its answer began or failed */
+void cw_pool_end_work(struct cw_server *server, double work_ms); /* its answer began or failed */
 double cw_pool_own_work_ms(const struct cw_server *server,
 			   int64_t now_ms); /* predicted work left of own prompts */
 double cw_pool_backlog_ms(const struct cw_server *server, double usual_work_ms,
 			  int64_t now_ms); /* predicted work queued, of all instances */
 double cw_pool_failure_rate(const struct cw_server *server, int64_t now_ms);
 double cw_pool_slowness(const struct cw_server *server, int64_t now_ms);
-void cw_pool_refused(struct cw_server *server, int64_t now_ms,
-		     uint64_t random); /* connection refused: opens the breaker */
-void cw_pool_reported(struct cw_server *server, const struct cw_load *load, int64_t now_ms);
+void cw_pool_record_refusal(struct cw_server *server, int64_t now_ms,
+			    uint64_t random); /* connection refused: opens the breaker */
+void cw_pool_apply_report(struct cw_server *server, const struct cw_load *load, int64_t now_ms);
 double cw_pool_load(const struct cw_server *server,
 		    int64_t now_ms); /* estimated requests running and queued */
 double cw_pool_wait_ms(const struct cw_server *server,
--- a/packages/pool/include/cw_warmup.h
+++ b/packages/pool/include/cw_warmup.h
@@ -13,8 +13,9 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_WARMUP_SENDS 16 /* own sends remembered per server, which caps the rate per second */
-#define CW_WARMUP_UNKNOWN_MS                                                                       \
+#define CW_WARMUP_SEND_HISTORY                                                                     \
+	16 /* own sends remembered per server, which caps the rate per second */
+#define CW_WARMUP_ASSUMED_COLD_MS                                                                  \
 	2000 /* within it a server that was unreachable has reported its cold time */
 
 /* The rank of this instance among those that may send to one cold server. */
@@ -32,19 +33,21 @@
 
 /* The cold state of one server, as known to this instance. */
 struct cw_warmup {
-	int64_t cold_until_ms;		  /* as the server reported */
-	int64_t assumed_cold_until_ms;	  /* assumed cold until then, as it was unreachable */
-	int64_t sent_ms[CW_WARMUP_SENDS]; /* ring of the newest sends */
+	int64_t cold_until_ms;	       /* as the server reported */
+	int64_t assumed_cold_until_ms; /* assumed cold until then, as it was unreachable */
+	int64_t sent_ms[CW_WARMUP_SEND_HISTORY]; /* ring of the newest sends */
 	size_t sent_next;
 	struct cw_warmup_place place;
 	int64_t place_ms; /* when place was last updated */
 };
 
 int cw_warmup_is_cold(const struct cw_warmup *warmup, int64_t now_ms);
-void cw_warmup_told(struct cw_warmup *warmup, int64_t cold_ms,
-		    int64_t now_ms); /* the server reported its cold time */
-void cw_warmup_away(struct cw_warmup *warmup, int64_t now_ms); /* may have restarted unseen */
-void cw_warmup_sent(struct cw_warmup *warmup, int64_t now_ms); /* a request was sent, cold or not */
+void cw_warmup_set_cold(struct cw_warmup *warmup, int64_t cold_ms,
+			int64_t now_ms); /* the server reported its cold time */
+void cw_warmup_assume_cold(struct cw_warmup *warmup,
+			   int64_t now_ms); /* may have restarted unseen */
+void cw_warmup_record_send(struct cw_warmup *warmup,
+			   int64_t now_ms); /* a request was sent, cold or not */
 unsigned int cw_warmup_quota(const struct cw_warmup_rate *rate,
 			     const struct cw_warmup_place *place); /* own requests a second */
 int cw_warmup_admits(const struct cw_warmup *warmup, const struct cw_warmup_rate *rate,
--- a/packages/pool/src/candidates.c
+++ b/packages/pool/src/candidates.c
@@ -48,7 +48,7 @@
 	server = choice->fill_part > 0 ? choose_server_to_fill(candidates, count, choice) : NULL;
 	if (server)
 		return server;
-	if (choice->spread > 0 && choice->spread < 1)
+	if (choice->server_share > 0 && choice->server_share < 1)
 		count = limit_to_share(candidates, count, choice);
 	return count ? pool->choice->choose(candidates, count, choice) : NULL;
 }
@@ -104,7 +104,7 @@
 /* The servers of a version that gets a share of the requests must not depend on the prompt. */
 static uint64_t sample_key(const struct cw_choice *choice)
 {
-	if (choice->fill_part > 0 || (choice->spread > 0 && choice->spread < 1))
+	if (choice->fill_part > 0 || (choice->server_share > 0 && choice->server_share < 1))
 		return 0;
 	return choice->prefix ? choice->prefix : choice->random;
 }
@@ -157,21 +157,21 @@
 
 static int may_serve(const struct cw_server *server, const struct cw_choice *choice)
 {
-	if (!server->tracked || strcmp(server->service, choice->service) != 0)
+	if (!server->is_tracked || strcmp(server->service, choice->service) != 0)
 		return 0;
 	if (server->leaving || server->is_drained || is_tried(choice, server->id))
 		return 0;
-	if (!cw_homes_allow(choice->route_homes, server->region) ||
-	    !cw_homes_allow(choice->organisation_homes, server->region))
+	if (!cw_home_regions_allow(choice->route_regions, server->region) ||
+	    !cw_home_regions_allow(choice->organisation_regions, server->region))
 		return 0;
-	if (!choice->is_desperate && !cw_pool_is_usable(server, choice->now_ms))
+	if (!choice->allows_unusable && !cw_pool_is_usable(server, choice->now_ms))
 		return 0;
 	if (choice->version && !cw_pool_serves(server, choice->version))
 		return 0;
-	if (choice->only_software && strcmp(server->software, choice->only_software) != 0)
+	if (choice->required_software && strcmp(server->software, choice->required_software) != 0)
 		return 0;
-	return !runs_software(server, choice->not_software) &&
-	       !runs_software(server, choice->not_yet);
+	return !runs_software(server, choice->excluded_software) &&
+	       !runs_software(server, choice->pending_software);
 }
 
 /* The members change slowly and each request needs the rank, so the rank is cached. */
@@ -194,7 +194,7 @@
 static size_t limit_to_share(struct cw_server **candidates, size_t count,
 			     const struct cw_choice *choice)
 {
-	size_t keep = (size_t)ceil((double)count * choice->spread);
+	size_t keep = (size_t)ceil((double)count * choice->server_share);
 
 	if (keep < SHARE_MIN_SERVERS)
 		keep = SHARE_MIN_SERVERS;
--- a/packages/pool/src/placement.c
+++ b/packages/pool/src/placement.c
@@ -14,7 +14,8 @@
 #define SLOWNESS_GAIN	  0.3  /* weight of the newest attempt */
 #define SLOWNESS_MAX	  20.0
 
-static double cost_of(const struct cw_server *server, const struct cw_choice *choice, int is_home);
+static double cost_of(const struct cw_server *server, const struct cw_choice *choice,
+		      int is_affinity_server);
 static struct cw_server *choose_cost(struct cw_server **candidates, size_t count,
 				     const struct cw_choice *choice);
 static const struct cw_server *find_affinity_server(struct cw_server **candidates, size_t count,
@@ -23,7 +24,8 @@
 
 const struct cw_choice_policy cw_choice_cost = {"cost", choose_cost};
 
-void cw_pool_judged(struct cw_server *server, int is_failure, double slowness, int64_t now_ms)
+void cw_pool_record_outcome(struct cw_server *server, int is_failure, double slowness,
+			    int64_t now_ms)
 {
 	double rate = cw_pool_failure_rate(server, now_ms);
 	double slow = cw_pool_slowness(server, now_ms);
@@ -35,7 +37,7 @@
 	server->evidence_ms = now_ms;
 }
 
-void cw_pool_work_begin(struct cw_server *server, double work_ms, double usual_work_ms,
+void cw_pool_begin_work(struct cw_server *server, double work_ms, double usual_work_ms,
 			int64_t now_ms)
 {
 	server->work_until_ms =
@@ -43,7 +45,7 @@
 	server->own_work_ms += work_ms;
 }
 
-void cw_pool_work_end(struct cw_server *server, double work_ms)
+void cw_pool_end_work(struct cw_server *server, double work_ms)
 {
 	server->own_work_ms = MAX(server->own_work_ms - work_ms, 0);
 }
@@ -112,8 +114,8 @@
 		best = candidates[i];
 		best_cost = cost;
 	}
-	if (choice->is_home)
-		*choice->is_home = affinity_server && best == affinity_server;
+	if (choice->is_affinity_server)
+		*choice->is_affinity_server = affinity_server && best == affinity_server;
 	return best;
 }
 
@@ -138,10 +140,11 @@
 	return affinity_server;
 }
 
-static double cost_of(const struct cw_server *server, const struct cw_choice *choice, int is_home)
+static double cost_of(const struct cw_server *server, const struct cw_choice *choice,
+		      int is_affinity_server)
 {
 	int64_t now_ms = choice->now_ms;
-	double tokens = choice->read_tokens - (is_home ? choice->shared_tokens : 0);
+	double tokens = choice->read_tokens - (is_affinity_server ? choice->shared_tokens : 0);
 	double work_ms = cw_pool_backlog_ms(server, choice->usual_work_ms, now_ms) +
 			 tokens * choice->ms_per_token;
 	const struct cw_policy *policy = server->policy;
@@ -150,7 +153,7 @@
 
 	cost += cw_pool_load(server, now_ms) * policy->running_ms;
 	cost += cw_pool_failure_rate(server, now_ms) * policy->failure_ms;
-	if (!is_home)
+	if (!is_affinity_server)
 		cost += choice->shared_tokens * policy->again_token_ms;
 	if (strcmp(server->failure_domain, choice->failure_domain) != 0)
 		cost += (double)choice->bytes * policy->cross_byte_ms;
--- a/packages/pool/src/pool.c
+++ b/packages/pool/src/pool.c
@@ -17,9 +17,9 @@
 #define LIST_ARRIVAL_MS	       1000 /* within it all entries of a server list arrive */
 
 static void deactivate(struct cw_server *server);
-static void set_gone_ms(struct cw_server *server, int64_t gone_ms);
+static void set_gone_ms(struct cw_server *server, int64_t removed_ms);
 static void free_removed(struct cw_pool *pool, int64_t now_ms);
-static struct cw_server *add(struct cw_pool *pool, const char *name, int64_t born_ms);
+static struct cw_server *add(struct cw_pool *pool, const char *name, int64_t process_start_ms);
 static void set_location(const struct cw_pool *pool, struct cw_server *server, const char *service,
 			 const char *address, const char *failure_domain);
 static void retire_start(struct cw_pool *pool, struct cw_server *server, int64_t now_ms);
@@ -56,7 +56,7 @@
 	if (!pool)
 		return;
 	while ((server = TAILQ_FIRST(&pool->servers)))
-		cw_pool_forget(pool, server);
+		cw_pool_remove(pool, server);
 	g_hash_table_destroy(pool->by_id);
 	g_hash_table_destroy(pool->by_name);
 	cw_drains_destroy(pool->drains);
@@ -64,15 +64,16 @@
 	g_free(pool);
 }
 
-void cw_pool_set_places(struct cw_pool *pool,
-			void (*find)(void *context, uint64_t server, struct cw_warmup_place *place),
-			void *context)
+void cw_pool_set_place_lookup(struct cw_pool *pool,
+			      void (*find)(void *context, uint64_t server,
+					   struct cw_warmup_place *place),
+			      void *context)
 {
 	pool->find_place = find;
 	pool->place_context = context;
 }
 
-int cw_pool_owns(const struct cw_pool *pool, uint64_t key)
+int cw_pool_is_owner(const struct cw_pool *pool, uint64_t key)
 {
 	struct cw_warmup_place place = {.instances = 1};
 
@@ -91,13 +92,13 @@
 {
 	struct cw_server *server;
 
-	if (!cw_drains_take(pool->drains, order))
+	if (!cw_drains_apply(pool->drains, order))
 		return 0;
 	TAILQ_FOREACH(server, &pool->servers, link) {
 		if (strcmp(server->failure_domain, order->failure_domain) != 0)
 			continue;
 		server->is_drained = order->is_drained;
-		cw_warmup_away(&server->warmup, now_ms);
+		cw_warmup_assume_cold(&server->warmup, now_ms);
 	}
 	return 1;
 }
@@ -107,8 +108,8 @@
 	return pool->drains;
 }
 
-struct cw_server *cw_pool_learn(struct cw_pool *pool, const char *name, const char *service,
-				const char *address, const char *failure_domain, int checks_fencing)
+struct cw_server *cw_pool_add(struct cw_pool *pool, const char *name, const char *service,
+			      const char *address, const char *failure_domain, int checks_fencing)
 {
 	struct cw_server *server = cw_pool_find_name(pool, name);
 
@@ -126,50 +127,53 @@
  * state of the earlier start (load, prompts, breaker, running requests) would then keep new
  * requests away from an idle server, and streams would wait for a terminated process; an entry that
  * the earlier start wrote may also arrive after the entry of the new one. A restart shows as a
- * later born_ms, so each start is a separate struct cw_server, and the name maps to the newest one.
+ * later process_start_ms, so each start is a separate struct cw_server, and the name maps to the
+ * newest one.
  */
-enum cw_listing cw_pool_list(struct cw_pool *pool, const struct cw_server_entry *entry,
-			     int64_t now_ms)
+enum cw_listing cw_pool_apply_entry(struct cw_pool *pool, const struct cw_server_entry *entry,
+				    int64_t now_ms)
 {
 	struct cw_server *server = cw_pool_find_name(pool, entry->name);
 	enum cw_listing listing = CW_LISTING_SAME;
 
-	if (server && entry->born_ms < server->born_ms) {
+	if (server && entry->process_start_ms < server->process_start_ms) {
 		server->listed_ms = now_ms;
-		return CW_LISTING_LATE;
+		return CW_LISTING_STALE;
 	}
-	if (server && server->born_ms > 0 && entry->born_ms > server->born_ms) {
+	if (server && server->process_start_ms > 0 &&
+	    entry->process_start_ms > server->process_start_ms) {
 		retire_start(pool, server, now_ms);
 		server = NULL;
 		listing = CW_LISTING_RESTARTED;
 	} else if (!server) {
 		listing = CW_LISTING_NEW;
-	} else if (server->leaving != entry->leaving || server->gone ||
+	} else if (server->leaving != entry->leaving || server->is_removed ||
 		   cw_warmup_is_cold(&server->warmup, now_ms) != (entry->cold_ms > 0)) {
 		listing = CW_LISTING_CHANGED;
 	}
 	if (!server)
-		server = add(pool, entry->name, entry->born_ms);
+		server = add(pool, entry->name, entry->process_start_ms);
 	if (!server)
 		return CW_LISTING_FULL;
 	set_location(pool, server, entry->service, entry->address, entry->failure_domain);
-	cw_warmup_told(&server->warmup, entry->cold_ms, now_ms);
-	server->born_ms = entry->born_ms;
+	cw_warmup_set_cold(&server->warmup, entry->cold_ms, now_ms);
+	server->process_start_ms = entry->process_start_ms;
 	g_strlcpy(server->software, entry->software, CW_NAME_MAX);
 	record_software(pool, entry, now_ms);
 	if (server->sampled_ms < 0)
 		server->slots = entry->slots;
 	server->leaving = entry->leaving;
-	server->gone = 0;
+	server->is_removed = 0;
 	set_gone_ms(server, 0);
 	server->listed_ms = now_ms;
 	return listing;
 }
 
-void cw_pool_entry(const struct cw_server *server, struct cw_server_entry *entry, int64_t now_ms)
+void cw_pool_get_entry(const struct cw_server *server, struct cw_server_entry *entry,
+		       int64_t now_ms)
 {
 	g_strlcpy(entry->name, server->name, CW_NAME_MAX);
-	entry->born_ms = server->born_ms;
+	entry->process_start_ms = server->process_start_ms;
 	g_strlcpy(entry->service, server->service, CW_NAME_MAX);
 	g_strlcpy(entry->address, server->address, CW_ADDRESS_MAX);
 	g_strlcpy(entry->failure_domain, server->failure_domain, CW_NAME_MAX);
@@ -182,16 +186,17 @@
 void cw_pool_delist(struct cw_pool *pool, struct cw_server *server, int64_t until_ms,
 		    int64_t now_ms)
 {
-	if (server->gone_ms)
+	if (server->removed_ms)
 		return;
 	set_gone_ms(server, MAX(until_ms, now_ms));
 	if (until_ms <= now_ms)
-		server->gone = 1;
-	if (server->gone)
+		server->is_removed = 1;
+	if (server->is_removed)
 		server->leaving = 1;
 }
 
-void cw_pool_keep_listed(struct cw_pool *pool, int64_t since_ms, int64_t until_ms, int64_t now_ms)
+void cw_pool_delist_unlisted(struct cw_pool *pool, int64_t since_ms, int64_t until_ms,
+			     int64_t now_ms)
 {
 	struct cw_server *server;
 
@@ -226,11 +231,11 @@
 	while (server) {
 		struct cw_server *next = TAILQ_NEXT(server, link);
 
-		if (server->gone_ms && now_ms >= server->gone_ms) {
-			server->gone = 1;
+		if (server->removed_ms && now_ms >= server->removed_ms) {
+			server->is_removed = 1;
 			server->leaving = 1;
 			if (server->own_running == 0)
-				cw_pool_forget(pool, server);
+				cw_pool_remove(pool, server);
 		}
 		server = next;
 	}
@@ -246,7 +251,7 @@
 	return g_hash_table_lookup(pool->by_id, &id);
 }
 
-void cw_pool_forget(struct cw_pool *pool, struct cw_server *server)
+void cw_pool_remove(struct cw_pool *pool, struct cw_server *server)
 {
 	deactivate(server);
 	set_gone_ms(server, 0);
@@ -264,7 +269,7 @@
  * other control traffic. They are selected by rendezvous, so that all servers are used alike, with
  * a higher weight for those of the instance's own failure domain.
  */
-void cw_pool_track(struct cw_pool *pool, uint64_t owner, const char *failure_domain)
+void cw_pool_select_tracked(struct cw_pool *pool, uint64_t owner, const char *failure_domain)
 {
 	GHashTable *by_service = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, unref_array);
 	GHashTableIter iter;
@@ -290,13 +295,13 @@
 		g_ptr_array_sort(servers, by_track_score);
 		for (guint i = 0; i < servers->len; i++) {
 			server = g_ptr_array_index(servers, i);
-			server->tracked = i < CW_TRACKED_SERVERS;
+			server->is_tracked = i < CW_TRACKED_SERVERS;
 		}
 	}
 	g_hash_table_destroy(by_service);
 }
 
-uint64_t cw_pool_version(const char *model, const char *version)
+uint64_t cw_pool_version_hash(const char *model, const char *version)
 {
 	return cw_hash_text(version, cw_hash_text(model, 5));
 }
@@ -311,18 +316,18 @@
 	return 0;
 }
 
-void cw_pool_dispatched(struct cw_server *server, int64_t now_ms)
+void cw_pool_record_dispatch(struct cw_server *server, int64_t now_ms)
 {
 	pool_activate(server);
 	server->own_running++;
 	server->sent_ms = now_ms;
-	cw_warmup_sent(&server->warmup, now_ms);
-	if (server->open_until_ms && now_ms >= server->open_until_ms)
+	cw_warmup_record_send(&server->warmup, now_ms);
+	if (server->breaker_open_until_ms && now_ms >= server->breaker_open_until_ms)
 		server->is_probing = 1;
 	record_change(server, now_ms, 1);
 }
 
-void cw_pool_ended(struct cw_server *server, int64_t now_ms, double service_ms)
+void cw_pool_record_end(struct cw_server *server, int64_t now_ms, double service_ms)
 {
 	if (server->own_running > 0)
 		server->own_running--;
@@ -335,17 +340,17 @@
 		server->service_ms += SERVICE_SMOOTHING * (service_ms - server->service_ms);
 }
 
-void cw_pool_succeeded(struct cw_server *server, int64_t now_ms)
+void cw_pool_record_success(struct cw_server *server, int64_t now_ms)
 {
-	if (server->open_until_ms)
+	if (server->breaker_open_until_ms)
 		server->breaker_closed_ms = now_ms;
 	server->consecutive_failures = 0;
-	server->open_until_ms = 0;
+	server->breaker_open_until_ms = 0;
 	server->backoff_ms = 0;
 	server->is_probing = 0;
 }
 
-void cw_pool_failed(struct cw_server *server, int64_t now_ms, uint64_t random)
+void cw_pool_record_failure(struct cw_server *server, int64_t now_ms, uint64_t random)
 {
 	int was_trial = server->is_probing;
 
@@ -353,25 +358,25 @@
 	server->consecutive_failures++;
 	if (server->consecutive_failures < server->policy->breaker_failures && !was_trial)
 		return;
-	if (server->open_until_ms > now_ms)
+	if (server->breaker_open_until_ms > now_ms)
 		return;
 	server->backoff_ms = server->backoff_ms
 				     ? MIN(server->backoff_ms * 2, BREAKER_BACKOFF_MAX_MS)
 				     : BREAKER_BACKOFF_MIN_MS;
 	/* Jitter: instances that saw the same failure must not all retry at the same time. */
-	server->open_until_ms =
+	server->breaker_open_until_ms =
 		now_ms + server->backoff_ms / 2 + (int64_t)(random % (uint64_t)server->backoff_ms);
 }
 
-void cw_pool_refused(struct cw_server *server, int64_t now_ms, uint64_t random)
+void cw_pool_record_refusal(struct cw_server *server, int64_t now_ms, uint64_t random)
 {
-	cw_warmup_away(&server->warmup, now_ms);
+	cw_warmup_assume_cold(&server->warmup, now_ms);
 	server->consecutive_failures = MAX(server->consecutive_failures,
 					   (unsigned int)server->policy->breaker_failures - 1);
-	cw_pool_failed(server, now_ms, random);
+	cw_pool_record_failure(server, now_ms, random);
 }
 
-void cw_pool_reported(struct cw_server *server, const struct cw_load *load, int64_t now_ms)
+void cw_pool_apply_report(struct cw_server *server, const struct cw_load *load, int64_t now_ms)
 {
 	int64_t sampled_ms = now_ms - load->age_ms;
 
@@ -393,7 +398,7 @@
 		char **names = g_strsplit(load->versions[i], "/", 2);
 
 		server->versions[i] =
-			names[0] && names[1] ? cw_pool_version(names[0], names[1]) : 0;
+			names[0] && names[1] ? cw_pool_version_hash(names[0], names[1]) : 0;
 		g_strfreev(names);
 	}
 	server->versions_known = 1;
@@ -428,9 +433,9 @@
 {
 	if (server->leaving || server->is_unreachable || server->is_suspect)
 		return 0;
-	if (!server->open_until_ms)
+	if (!server->breaker_open_until_ms)
 		return 1;
-	return now_ms >= server->open_until_ms && !server->is_probing;
+	return now_ms >= server->breaker_open_until_ms && !server->is_probing;
 }
 
 const struct cw_server_list *cw_pool_servers(const struct cw_pool *pool)
@@ -459,14 +464,14 @@
 	TAILQ_REMOVE(&server->pool->active, server, active_link);
 }
 
-static void set_gone_ms(struct cw_server *server, int64_t gone_ms)
+static void set_gone_ms(struct cw_server *server, int64_t removed_ms)
 {
-	server->pool->delisted += (size_t)(gone_ms != 0);
-	server->pool->delisted -= (size_t)(server->gone_ms != 0);
-	server->gone_ms = gone_ms;
+	server->pool->delisted += (size_t)(removed_ms != 0);
+	server->pool->delisted -= (size_t)(server->removed_ms != 0);
+	server->removed_ms = removed_ms;
 }
 
-static struct cw_server *add(struct cw_pool *pool, const char *name, int64_t born_ms)
+static struct cw_server *add(struct cw_pool *pool, const char *name, int64_t process_start_ms)
 {
 	struct cw_server *server;
 
@@ -476,13 +481,13 @@
 	server->pool = pool;
 	server->policy = pool->policy;
 	g_strlcpy(server->name, name, CW_NAME_MAX);
-	server->born_ms = born_ms;
-	server->id = cw_hash_text(server->name, ID_SEED + (uint64_t)born_ms);
+	server->process_start_ms = process_start_ms;
+	server->id = cw_hash_text(server->name, ID_SEED + (uint64_t)process_start_ms);
 	server->sampled_ms = -1;
 	server->breaker_closed_ms = -1;
 	server->warmup.place.instances = 1;
 	server->listed_ms = -1;
-	server->tracked = 1;
+	server->is_tracked = 1;
 	TAILQ_INSERT_TAIL(&pool->servers, server, link);
 	g_hash_table_insert(pool->by_id, &server->id, server);
 	g_hash_table_replace(pool->by_name, server->name, server);
@@ -498,7 +503,7 @@
 	g_strlcpy(server->address, address, CW_ADDRESS_MAX);
 	g_strlcpy(server->failure_domain, failure_domain, CW_NAME_MAX);
 	g_strlcpy(server->region, region ? region : "", CW_NAME_MAX);
-	server->is_drained = cw_drains_has(pool->drains, failure_domain);
+	server->is_drained = cw_drains_is_drained(pool->drains, failure_domain);
 }
 
 /*
@@ -507,7 +512,7 @@
  * version therefore gets no requests for NEW_SOFTWARE_HOLD_MS while servers of other versions
  * exist. If no order arrives, its servers are then used like any others.
  */
-const char *cw_pool_newcomer(const struct cw_pool *pool, const char *service, int64_t now_ms)
+const char *cw_pool_new_software(const struct cw_pool *pool, const char *service, int64_t now_ms)
 {
 	for (size_t i = 0; i < pool->software_count; i++) {
 		const struct software *software = &pool->software[i];
@@ -545,9 +550,9 @@
 /* Marks an earlier start as removed; the sweep frees it once its last request has ended. */
 static void retire_start(struct cw_pool *pool, struct cw_server *server, int64_t now_ms)
 {
-	server->has_ended = 1;
+	server->is_superseded = 1;
 	server->leaving = 1;
-	server->gone = 1;
+	server->is_removed = 1;
 	set_gone_ms(server, MAX(now_ms, 1));
 	g_hash_table_remove(pool->by_name, server->name);
 }
--- a/packages/pool/src/pool_internal.h
+++ b/packages/pool/src/pool_internal.h
@@ -27,7 +27,7 @@
 	void *place_context;
 	struct cw_server_list servers;
 	struct cw_server_list active; /* linked by active_link */
-	size_t delisted;	      /* number of servers with gone_ms set */
+	size_t delisted;	      /* number of servers with removed_ms set */
 	GHashTable *by_id;
 	GHashTable *by_name; /* the newest start of each server */
 	struct software software[SOFTWARE_MAX];
--- a/packages/pool/src/reach.c
+++ b/packages/pool/src/reach.c
@@ -12,9 +12,9 @@
 #define PROBE_INTERVAL_MS     300  /* bounds the time until a reachable server is used again */
 #define PROBE_INTERVAL_MAX_MS 2400 /* a server that is only slow gets few probe connections */
 
-void cw_pool_heard(struct cw_server *server, int64_t now_ms)
+void cw_pool_mark_seen(struct cw_server *server, int64_t now_ms)
 {
-	server->heard_ms = now_ms;
+	server->last_seen_ms = now_ms;
 	server->probe_gap_ms = 0;
 	server->is_unreachable = 0;
 	server->is_suspect = 0;
@@ -25,7 +25,7 @@
  * version. Counted per request, one crash of the only server that ran a good new version under load
  * (55 requests, against 14 on all servers of the old version) rolled that version back.
  */
-int cw_pool_broke(struct cw_server *server, int64_t now_ms)
+int cw_pool_record_crash(struct cw_server *server, int64_t now_ms)
 {
 	if (server->crash_ms && now_ms - server->crash_ms < CRASH_WINDOW_MS)
 		return 0;
@@ -34,17 +34,17 @@
 }
 
 /* The server may have restarted while it was unreachable, and its new entry may not be here yet. */
-void cw_pool_reached(struct cw_server *server, int64_t now_ms)
+void cw_pool_mark_reachable(struct cw_server *server, int64_t now_ms)
 {
 	if (server->is_unreachable)
-		cw_warmup_away(&server->warmup, now_ms);
+		cw_warmup_assume_cold(&server->warmup, now_ms);
 	server->is_unreachable = 0;
 	server->is_suspect = 0;
 	server->probe_gap_ms =
 		MIN(MAX(server->probe_gap_ms * 2, PROBE_INTERVAL_MS), PROBE_INTERVAL_MAX_MS);
 }
 
-void cw_pool_unheard(struct cw_server *server)
+void cw_pool_mark_unreachable(struct cw_server *server)
 {
 	pool_activate(server);
 	server->is_unreachable = 1;
@@ -58,9 +58,9 @@
  * this instance's own domain is cut off, all other domains. Servers there that were not seen
  * recently get no requests until a probe is answered, which takes one round trip.
  */
-size_t cw_pool_doubt(struct cw_pool *pool, const struct cw_server *unreachable,
-		     const char *own_domain, struct cw_server **suspects, size_t max,
-		     int64_t now_ms)
+size_t cw_pool_mark_suspects(struct cw_pool *pool, const struct cw_server *unreachable,
+			     const char *own_domain, struct cw_server **suspects, size_t max,
+			     int64_t now_ms)
 {
 	int is_own = !strcmp(unreachable->failure_domain, own_domain);
 	struct cw_server *server;
@@ -72,8 +72,9 @@
 		int is_same_domain = !strcmp(server->failure_domain, unreachable->failure_domain);
 		int is_remote = !is_own && strcmp(server->failure_domain, own_domain) != 0;
 
-		if (server->gone || server->is_unreachable || server->is_suspect || count == max ||
-		    !(is_same_domain || is_remote) || now_ms - server->heard_ms < RECENTLY_SEEN_MS)
+		if (server->is_removed || server->is_unreachable || server->is_suspect ||
+		    count == max || !(is_same_domain || is_remote) ||
+		    now_ms - server->last_seen_ms < RECENTLY_SEEN_MS)
 			continue;
 		pool_activate(server);
 		server->is_suspect = 1;
@@ -83,13 +84,13 @@
 	return count;
 }
 
-int cw_pool_wants_probe(const struct cw_server *server, int64_t now_ms)
+int cw_pool_needs_probe(const struct cw_server *server, int64_t now_ms)
 {
-	if (server->gone ||
+	if (server->is_removed ||
 	    now_ms - server->probed_ms < MAX(server->probe_gap_ms, PROBE_INTERVAL_MS))
 		return 0;
 	if (server->is_unreachable)
 		return 1;
 	return server->own_running > 0 &&
-	       now_ms - MAX(server->heard_ms, server->sent_ms) >= server->policy->quiet_ms;
+	       now_ms - MAX(server->last_seen_ms, server->sent_ms) >= server->policy->quiet_ms;
 }
--- a/packages/pool/src/warmup.c
+++ b/packages/pool/src/warmup.c
@@ -13,19 +13,19 @@
 	return cold_left_ms(warmup, now_ms) > 0;
 }
 
-void cw_warmup_told(struct cw_warmup *warmup, int64_t cold_ms, int64_t now_ms)
+void cw_warmup_set_cold(struct cw_warmup *warmup, int64_t cold_ms, int64_t now_ms)
 {
 	warmup->cold_until_ms = now_ms + cold_ms;
 }
 
-void cw_warmup_away(struct cw_warmup *warmup, int64_t now_ms)
+void cw_warmup_assume_cold(struct cw_warmup *warmup, int64_t now_ms)
 {
-	warmup->assumed_cold_until_ms = now_ms + CW_WARMUP_UNKNOWN_MS;
+	warmup->assumed_cold_until_ms = now_ms + CW_WARMUP_ASSUMED_COLD_MS;
 }
 
-void cw_warmup_sent(struct cw_warmup *warmup, int64_t now_ms)
+void cw_warmup_record_send(struct cw_warmup *warmup, int64_t now_ms)
 {
-	warmup->sent_ms[warmup->sent_next++ % CW_WARMUP_SENDS] = now_ms;
+	warmup->sent_ms[warmup->sent_next++ % CW_WARMUP_SEND_HISTORY] = now_ms;
 }
 
 /*
@@ -41,7 +41,7 @@
 
 	if (place->instances == 0 || place->rank >= MIN(senders, all / each))
 		return 0;
-	return MIN(each, CW_WARMUP_SENDS);
+	return MIN(each, CW_WARMUP_SEND_HISTORY);
 }
 
 int cw_warmup_admits(const struct cw_warmup *warmup, const struct cw_warmup_rate *rate,
@@ -63,8 +63,8 @@
 	if (quota == 0)
 		return warm_ms;
 	/* The oldest of the last `quota` sends: all of them must not fall into one window. */
-	oldest_ms =
-		warmup->sent_ms[(warmup->sent_next + CW_WARMUP_SENDS - quota) % CW_WARMUP_SENDS];
+	oldest_ms = warmup->sent_ms[(warmup->sent_next + CW_WARMUP_SEND_HISTORY - quota) %
+				    CW_WARMUP_SEND_HISTORY];
 	if (oldest_ms == 0)
 		return 0;
 	return CLAMP(oldest_ms + WINDOW_MS - now_ms, 0, warm_ms);
--- a/packages/table/src/table.c
+++ b/packages/table/src/table.c
@@ -338,7 +338,7 @@
 			     "a drain needs an id, a failure domain and whether it is drained");
 		return CW_FOLD_MALFORMED;
 	}
-	cw_drains_take(table->drains, &order);
+	cw_drains_apply(table->drains, &order);
 	remember_edit(table, id_hash);
 	return CW_FOLD_APPLIED;
 }
@@ -359,8 +359,8 @@
 static struct json_object *print_drains(const struct cw_table *table)
 {
 	struct json_object *list = json_object_new_array();
-	struct cw_drain_order orders[CW_DRAINS];
-	size_t count = cw_drains_tell(table->drains, orders, CW_DRAINS);
+	struct cw_drain_order orders[CW_DRAINS_MAX];
+	size_t count = cw_drains_list(table->drains, orders, CW_DRAINS_MAX);
 
 	for (size_t i = 0; i < count; i++) {
 		struct json_object *out = json_object_new_object();
@@ -498,7 +498,7 @@
 	struct cw_drain_order order;
 
 	if (read_drain(source, number_of(source, "offset"), &order))
-		cw_drains_take(table->drains, &order);
+		cw_drains_apply(table->drains, &order);
 }
 
 static void clear(struct cw_table *table)
--- a/tests/bench/capacity.c
+++ b/tests/bench/capacity.c
@@ -337,11 +337,10 @@
 		for (int j = 0; j < known[i]; j++) {
 			char *name = g_strdup_printf("runner-%d", j);
 
-			cw_pool_learn(pool, name, "llm", "10.0.0.1:8000", j % 8 ? "other" : "own",
-				      1);
+			cw_pool_add(pool, name, "llm", "10.0.0.1:8000", j % 8 ? "other" : "own", 1);
 			g_free(name);
 		}
-		cw_pool_track(pool, 7, "own");
+		cw_pool_select_tracked(pool, 7, "own");
 		printf("  servers known %3d: heap %.0f kB\n", known[i],
 		       (heap_bytes() - heap) / 1024);
 		add(&memory, known[i], (heap_bytes() - heap) / 1024);
--- a/tests/fuzz/users_input.c
+++ b/tests/fuzz/users_input.c
@@ -122,7 +122,8 @@
 	entry = &page.news[0].server;
 	if (page.news[0].kind == CW_UP_SERVER)
 		check(*entry->service && *entry->address && *entry->failure_domain &&
-			      *entry->software && entry->born_ms >= 0 && entry->slots <= 65536,
+			      *entry->software && entry->process_start_ms >= 0 &&
+			      entry->slots <= 65536,
 		      "half an entry names a server");
 	else
 		check(page.news[0].kind == CW_UP_OTHER || page.news[0].error.status != CW_OK,
@@ -260,7 +261,7 @@
 	struct cw_server_entry entry = {
 		.slots = 4,
 		.leaving = choice / SERVERS % 4 == 3,
-		.born_ms = 1 + choice / 16 % 4,
+		.process_start_ms = 1 + choice / 16 % 4,
 	};
 
 	snprintf(entry.name, sizeof(entry.name), "s%d", choice % SERVERS);
@@ -268,7 +269,7 @@
 	g_strlcpy(entry.service, "s", sizeof(entry.service));
 	g_strlcpy(entry.software, choice & 64 ? "v2" : "v1", sizeof(entry.software));
 	g_strlcpy(entry.address, "10.0.0.1:80", sizeof(entry.address));
-	cw_pool_list(cw_gate_pool(stage->gate), &entry, stage->now_ms);
+	cw_pool_apply_entry(cw_gate_pool(stage->gate), &entry, stage->now_ms);
 }
 
 static void act(struct stage *stage)
@@ -373,7 +374,7 @@
 		account->sends++;
 		account->is_showing = 0;
 		check(!step->server->leaving, "a leaving server got a request");
-		check(!step->server->has_ended, "an earlier start of a server got a request");
+		check(!step->server->is_superseded, "an earlier start of a server got a request");
 		check(account->route->retry_policy != CW_RETRY_NEVER || !account->may_ran,
 		      "sent again though it may have run, and may run once");
 		check(account->sends <= account->route->max_attempts,
--- a/tests/unit/gate_bed.c
+++ b/tests/unit/gate_bed.c
@@ -13,8 +13,9 @@
 	snprintf(entry.software, sizeof(entry.software), "%s", software);
 	snprintf(entry.address, sizeof(entry.address), "10.0.0.1:%d", 1000 + name[1]);
 	strcpy(entry.failure_domain, "d1");
-	assert_int_not_equal(cw_pool_list(cw_gate_pool(fixture->gate), &entry, FIXTURE_NOW_MS),
-			     CW_LISTING_FULL);
+	assert_int_not_equal(
+		cw_pool_apply_entry(cw_gate_pool(fixture->gate), &entry, FIXTURE_NOW_MS),
+		CW_LISTING_FULL);
 }
 
 static struct cw_route *add_route(struct cw_config *config, const char *prefix,
--- a/tests/unit/test_drain.c
+++ b/tests/unit/test_drain.c
@@ -10,21 +10,21 @@
 	struct cw_drain_order order = {.offset = offset, .is_drained = is_drained};
 
 	strncpy(order.failure_domain, domain, CW_NAME_MAX - 1);
-	return cw_drains_take(drains, &order);
+	return cw_drains_apply(drains, &order);
 }
 
 static void a_domain_is_drained_until_it_is_restored(void **state)
 {
 	struct cw_drains *drains = cw_drains_create();
 
-	assert_false(cw_drains_has(drains, "d1"));
+	assert_false(cw_drains_is_drained(drains, "d1"));
 	assert_true(apply(drains, "d1", 5, 1));
-	assert_true(cw_drains_has(drains, "d1"));
-	assert_false(cw_drains_has(drains, "d2"));
+	assert_true(cw_drains_is_drained(drains, "d1"));
+	assert_false(cw_drains_is_drained(drains, "d2"));
 	assert_true(apply(drains, "d2", 6, 1));
 	assert_true(apply(drains, "d1", 7, 0));
-	assert_false(cw_drains_has(drains, "d1"));
-	assert_true(cw_drains_has(drains, "d2"));
+	assert_false(cw_drains_is_drained(drains, "d1"));
+	assert_true(cw_drains_is_drained(drains, "d2"));
 	cw_drains_destroy(drains);
 }
 
@@ -36,11 +36,11 @@
 	assert_true(apply(drains, "d1", 7, 1));
 	assert_true(apply(drains, "d1", 9, 0));
 	assert_false(apply(drains, "d1", 7, 1));
-	assert_false(cw_drains_has(drains, "d1"));
+	assert_false(cw_drains_is_drained(drains, "d1"));
 	assert_true(apply(drains, "d1", 11, 1));
 	assert_false(apply(drains, "d1", 9, 0));
 	assert_false(apply(drains, "d1", 11, 1));
-	assert_true(cw_drains_has(drains, "d1"));
+	assert_true(cw_drains_is_drained(drains, "d1"));
 	cw_drains_destroy(drains);
 }
 
@@ -56,17 +56,17 @@
 	apply(drains, "d1", 5, 1);
 	apply(drains, "d2", 6, 1);
 	apply(drains, "d3", 30, 1);
-	cw_drains_collect(drains);
+	cw_drains_begin_scan(drains);
 	apply(drains, "d2", 6, 1);
-	assert_true(cw_drains_collected(drains, 20, &restored));
+	assert_true(cw_drains_next_unseen(drains, 20, &restored));
 	assert_string_equal(restored.failure_domain, "d1");
 	assert_false(restored.is_drained);
-	assert_true(cw_drains_take(drains, &restored));
+	assert_true(cw_drains_apply(drains, &restored));
 	/* The order on d3 came from a peer, and its record lies past the end of the scan. */
-	assert_false(cw_drains_collected(drains, 20, &restored));
-	assert_false(cw_drains_has(drains, "d1"));
-	assert_true(cw_drains_has(drains, "d2"));
-	assert_true(cw_drains_has(drains, "d3"));
+	assert_false(cw_drains_next_unseen(drains, 20, &restored));
+	assert_false(cw_drains_is_drained(drains, "d1"));
+	assert_true(cw_drains_is_drained(drains, "d2"));
+	assert_true(cw_drains_is_drained(drains, "d3"));
 	/* The next record of d1 is at the end of the scan. */
 	assert_true(apply(drains, "d1", 20, 1));
 	cw_drains_destroy(drains);
@@ -78,15 +78,15 @@
 	struct cw_drains *drains = cw_drains_create();
 	char name[16];
 
-	for (int i = 0; i < CW_DRAINS; i++) {
+	for (int i = 0; i < CW_DRAINS_MAX; i++) {
 		g_snprintf(name, sizeof(name), "d%d", i);
 		assert_true(apply(drains, name, (uint64_t)i + 1, 1));
 	}
 	assert_false(apply(drains, "more", 50, 1));
 	assert_true(apply(drains, "d3", 51, 0));
 	assert_true(apply(drains, "more", 52, 1));
-	assert_true(cw_drains_has(drains, "more"));
-	assert_true(cw_drains_has(drains, "d0"));
+	assert_true(cw_drains_is_drained(drains, "more"));
+	assert_true(cw_drains_is_drained(drains, "d0"));
 	cw_drains_destroy(drains);
 }
 
--- a/tests/unit/test_gate.c
+++ b/tests/unit/test_gate.c
@@ -252,15 +252,16 @@
 	fixture_open(&fixture);
 	fixture_open_call(&fixture, "/chat/x");
 	first = fixture.step.server;
-	cw_pool_entry(first, &entry, FIXTURE_NOW_MS + 40);
+	cw_pool_get_entry(first, &entry, FIXTURE_NOW_MS + 40);
 	cw_call_handle_head(fixture.call, &sure, FIXTURE_NOW_MS + 20, &fixture.step);
 	cw_call_add_event(fixture.call, 1, FIXTURE_NOW_MS + 30);
 	cw_pool_find_name(cw_gate_pool(fixture.gate), strcmp(first->name, "e1") ? "e1" : "e2")
 		->leaving = 1;
-	entry.born_ms = 900;
-	first->born_ms = 800;
-	assert_int_equal(cw_pool_list(cw_gate_pool(fixture.gate), &entry, FIXTURE_NOW_MS + 40),
-			 CW_LISTING_RESTARTED);
+	entry.process_start_ms = 900;
+	first->process_start_ms = 800;
+	assert_int_equal(
+		cw_pool_apply_entry(cw_gate_pool(fixture.gate), &entry, FIXTURE_NOW_MS + 40),
+		CW_LISTING_RESTARTED);
 	cw_call_handle_failure(fixture.call, CW_ATTEMPT_CONNECTION_LOST, FIXTURE_NOW_MS + 40,
 			       &fixture.step);
 	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
@@ -299,7 +300,7 @@
 	struct cw_server *server;
 
 	TAILQ_FOREACH(server, servers, link)
-		cw_pool_reported(server, &reported, now_ms - 1);
+		cw_pool_apply_report(server, &reported, now_ms - 1);
 	cw_call_close(fixture->call, now_ms);
 	fixture->facts.path = "/chat/x";
 	fixture->facts.segment_count = 2;
@@ -355,11 +356,12 @@
 	int used = 0;
 
 	fixture_open(&fixture);
-	cw_pool_entry(cw_pool_find_name(cw_gate_pool(fixture.gate), "e1"), &entry, FIXTURE_NOW_MS);
+	cw_pool_get_entry(cw_pool_find_name(cw_gate_pool(fixture.gate), "e1"), &entry,
+			  FIXTURE_NOW_MS);
 	strcpy(entry.name, "e9");
 	strcpy(entry.software, "v2");
 	fixture.facts.path = "/chat/x";
-	cw_pool_list(cw_gate_pool(fixture.gate), &entry, FIXTURE_NOW_MS + 5000);
+	cw_pool_apply_entry(cw_gate_pool(fixture.gate), &entry, FIXTURE_NOW_MS + 5000);
 	for (int i = 0; i < 30; i++) {
 		cw_call_close(fixture.call, FIXTURE_NOW_MS + 5100);
 		fixture.call = cw_call_open(fixture.gate, &fixture.facts, FIXTURE_NOW_MS + 5100,
@@ -378,7 +380,7 @@
 	/* Servers of a version without a roll-out order are used after a while. */
 	fixture_open(&fixture);
 	fixture.facts.path = "/chat/x";
-	cw_pool_list(cw_gate_pool(fixture.gate), &entry, FIXTURE_NOW_MS + 5000);
+	cw_pool_apply_entry(cw_gate_pool(fixture.gate), &entry, FIXTURE_NOW_MS + 5000);
 	for (int i = 0; i < 60; i++) {
 		cw_call_close(fixture.call, FIXTURE_NOW_MS + 8000);
 		fixture.call = cw_call_open(fixture.gate, &fixture.facts, FIXTURE_NOW_MS + 8000,
--- a/tests/unit/test_gate_drain.c
+++ b/tests/unit/test_gate_drain.c
@@ -18,8 +18,9 @@
 	strcpy(entry.software, "v1");
 	strcpy(entry.address, "10.0.0.2:80");
 	g_strlcpy(entry.failure_domain, domain, CW_NAME_MAX);
-	assert_int_not_equal(cw_pool_list(cw_gate_pool(fixture->gate), &entry, FIXTURE_NOW_MS),
-			     CW_LISTING_FULL);
+	assert_int_not_equal(
+		cw_pool_apply_entry(cw_gate_pool(fixture->gate), &entry, FIXTURE_NOW_MS),
+		CW_LISTING_FULL);
 }
 
 static void drain(struct fixture *fixture, const char *domain, uint64_t offset, int is_drained)
@@ -156,14 +157,15 @@
 	struct cw_config *config = fixture_make_config(version);
 
 	if (route)
-		cw_homes_add(
+		cw_home_regions_add(
 			&((struct cw_route *)cw_config_find_route(config, "h.example", "/once/x"))
 				 ->homes,
 			route);
 	if (organisation)
-		cw_homes_add(&((struct cw_organisation *)cw_config_find_organisation(config, "key"))
-				      ->homes,
-			     organisation);
+		cw_home_regions_add(
+			&((struct cw_organisation *)cw_config_find_organisation(config, "key"))
+				 ->homes,
+			organisation);
 	cw_gate_configure(fixture->gate, config);
 	cw_config_unref(config);
 }
--- a/tests/unit/test_gate_quarantine.c
+++ b/tests/unit/test_gate_quarantine.c
@@ -109,7 +109,7 @@
 		cw_call_handle_failure(fixture.call, CW_ATTEMPT_CONNECTION_LOST,
 				       FIXTURE_NOW_MS + i * 2000, &fixture.step);
 		server->leaving = 0;
-		server->open_until_ms = 0;
+		server->breaker_open_until_ms = 0;
 	}
 	assert_false(cw_call_is_quarantined(fixture.call));
 	fixture_close(&fixture);
@@ -215,7 +215,7 @@
 
 	fixture_open(&fixture);
 	quarantine_suspect(&fixture);
-	cw_pool_set_places(cw_gate_pool(fixture.gate), set_second_place, NULL);
+	cw_pool_set_place_lookup(cw_gate_pool(fixture.gate), set_second_place, NULL);
 	fixture_open_call(&fixture, "/read/x");
 	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
 	fixture_close(&fixture);
--- a/tests/unit/test_gossip.c
+++ b/tests/unit/test_gossip.c
@@ -24,7 +24,7 @@
 	strcpy(gossip->changes[0].entry.name, "s1");
 	strcpy(gossip->changes[0].entry.address, "10.0.0.9:80");
 	gossip->changes[0].entry.leaving = 1;
-	gossip->changes[0].entry.born_ms = 1790651616045;
+	gossip->changes[0].entry.process_start_ms = 1790651616045;
 	gossip->changes[1].offset = 42;
 	gossip->changes[1].is_gone = 1;
 	strcpy(gossip->changes[1].entry.name, "s2");
@@ -162,7 +162,7 @@
 		memset(entries[i].service, 's', CW_NAME_MAX - 1);
 		memset(entries[i].failure_domain, 'd', CW_NAME_MAX - 1);
 		entries[i].slots = (unsigned int)i;
-		entries[i].born_ms = 1790651616045 + i;
+		entries[i].process_start_ms = 1790651616045 + i;
 	}
 	bytes = cw_gossip_list_encode(&sent, &size);
 	assert_int_equal(cw_gossip_list_decode(bytes, size, &read), CW_OK);
--- a/tests/unit/test_many.c
+++ b/tests/unit/test_many.c
@@ -34,7 +34,7 @@
 
 		name_of(name, "s", number);
 		name_of(domain, "d", number % DOMAINS);
-		assert_non_null(cw_pool_learn(pool, name, "llm", "127.0.0.1:1", domain, 0));
+		assert_non_null(cw_pool_add(pool, name, "llm", "127.0.0.1:1", domain, 0));
 	}
 	return pool;
 }
@@ -106,19 +106,19 @@
 	struct cw_server *server = cw_pool_find_name(pool, "s7");
 
 	assert_true(TAILQ_EMPTY(cw_pool_active(pool)));
-	cw_pool_dispatched(server, NOW);
-	cw_pool_dispatched(server, NOW);
-	cw_pool_unheard(cw_pool_find_name(pool, "s8"));
+	cw_pool_record_dispatch(server, NOW);
+	cw_pool_record_dispatch(server, NOW);
+	cw_pool_mark_unreachable(cw_pool_find_name(pool, "s8"));
 	cw_pool_sweep(pool, NOW);
 	assert_ptr_equal(TAILQ_FIRST(cw_pool_active(pool)), server);
 	assert_string_equal(TAILQ_NEXT(server, active_link)->name, "s8");
-	cw_pool_ended(server, NOW, 10);
-	cw_pool_ended(server, NOW, 10);
-	cw_pool_reached(cw_pool_find_name(pool, "s8"), NOW);
+	cw_pool_record_end(server, NOW, 10);
+	cw_pool_record_end(server, NOW, 10);
+	cw_pool_mark_reachable(cw_pool_find_name(pool, "s8"), NOW);
 	cw_pool_sweep(pool, NOW);
 	assert_true(TAILQ_EMPTY(cw_pool_active(pool)));
-	cw_pool_dispatched(server, NOW);
-	cw_pool_forget(pool, server);
+	cw_pool_record_dispatch(server, NOW);
+	cw_pool_remove(pool, server);
 	assert_true(TAILQ_EMPTY(cw_pool_active(pool)));
 	cw_pool_destroy(pool);
 }
@@ -135,7 +135,7 @@
 	assert_true(sizeof(*server) <= 1024);
 	assert_null(server->history);
 	assert_true(cw_pool_load(server, NOW) == 0);
-	cw_pool_dispatched(server, NOW);
+	cw_pool_record_dispatch(server, NOW);
 	assert_non_null(server->history);
 	cw_pool_destroy(pool);
 }
@@ -148,7 +148,7 @@
 
 	cw_pool_delist(pool, cw_pool_find_name(pool, "s8"), NOW, NOW);
 	cw_pool_delist(pool, cw_pool_find_name(pool, "s9"), NOW + 1000, NOW);
-	cw_pool_list(pool, &entry, NOW + 500);
+	cw_pool_apply_entry(pool, &entry, NOW + 500);
 	cw_pool_sweep(pool, NOW + 2000);
 	assert_null(cw_pool_find_name(pool, "s8"));
 	assert_non_null(cw_pool_find_name(pool, "s9"));
--- a/tests/unit/test_policy.c
+++ b/tests/unit/test_policy.c
@@ -72,7 +72,7 @@
 	for (size_t i = 0; i < count; i++) {
 		assert_true(fields[i].off_value >= fields[i].min &&
 			    fields[i].off_value <= fields[i].max);
-		assert_true(fields[i].off_value != fields[i].fallback);
+		assert_true(fields[i].off_value != fields[i].default_value);
 	}
 	g_string_free(faults, TRUE);
 }
--- a/tests/unit/test_pool.c
+++ b/tests/unit/test_pool.c
@@ -10,7 +10,7 @@
 	char name[16];
 
 	snprintf(name, sizeof(name), "s%d", number);
-	return cw_pool_learn(pool, name, "llm", "127.0.0.1:1", domain, 1);
+	return cw_pool_add(pool, name, "llm", "127.0.0.1:1", domain, 1);
 }
 
 static void load_reports_are_corrected_by_own_requests_since_sampling(void **state)
@@ -22,15 +22,15 @@
 		.running = 3, .queued = 1, .slots = 8, .age_ms = 200, .versions = none};
 	struct cw_load older = {.running = 9, .slots = 8, .age_ms = 900, .versions = none};
 
-	cw_pool_dispatched(server, 700);
-	cw_pool_dispatched(server, 900);
-	cw_pool_reported(server, &load, 1000);
+	cw_pool_record_dispatch(server, 700);
+	cw_pool_record_dispatch(server, 900);
+	cw_pool_apply_report(server, &load, 1000);
 	assert_true(cw_pool_load(server, 1000) == 5);
-	cw_pool_ended(server, 1050, 100);
+	cw_pool_record_end(server, 1050, 100);
 	assert_true(cw_pool_load(server, 1060) == 4);
-	cw_pool_reported(server, &older, 1100);
+	cw_pool_apply_report(server, &older, 1100);
 	assert_true(cw_pool_load(server, 1100) == 4);
-	assert_false(cw_pool_serves(server, cw_pool_version("m", "1")));
+	assert_false(cw_pool_serves(server, cw_pool_version_hash("m", "1")));
 	cw_pool_destroy(pool);
 }
 
@@ -42,20 +42,20 @@
 
 	for (int i = 0; i < 3; i++) {
 		assert_ptr_equal(cw_pool_choose(pool, &choice), server);
-		cw_pool_dispatched(server, 1000);
-		cw_pool_ended(server, 1000, -1);
-		cw_pool_failed(server, 1000, 0);
+		cw_pool_record_dispatch(server, 1000);
+		cw_pool_record_end(server, 1000, -1);
+		cw_pool_record_failure(server, 1000, 0);
 	}
 	assert_null(cw_pool_choose(pool, &choice));
 	choice.now_ms = 2000;
 	assert_ptr_equal(cw_pool_choose(pool, &choice), server);
-	cw_pool_dispatched(server, 2000);
+	cw_pool_record_dispatch(server, 2000);
 	assert_null(cw_pool_choose(pool, &choice));
-	cw_pool_failed(server, 2000, 0);
+	cw_pool_record_failure(server, 2000, 0);
 	assert_null(cw_pool_choose(pool, &choice));
 	choice.now_ms = 4000;
-	cw_pool_dispatched(server, 4000);
-	cw_pool_succeeded(server, 4000);
+	cw_pool_record_dispatch(server, 4000);
+	cw_pool_record_success(server, 4000);
 	assert_ptr_equal(cw_pool_choose(pool, &choice), server);
 	cw_pool_destroy(pool);
 }
@@ -75,7 +75,7 @@
 		assert_ptr_equal(cw_pool_choose(pool, &choice), affinity_server);
 	}
 	for (int i = 0; i < 6; i++)
-		cw_pool_dispatched(affinity_server, 1000);
+		cw_pool_record_dispatch(affinity_server, 1000);
 	assert_ptr_not_equal(cw_pool_choose(pool, &choice), affinity_server);
 	cw_pool_destroy(pool);
 }
@@ -89,7 +89,7 @@
 
 	assert_ptr_equal(cw_pool_choose(pool, &choice), local);
 	for (int i = 0; i < 20; i++)
-		cw_pool_dispatched(local, 1000);
+		cw_pool_record_dispatch(local, 1000);
 	assert_ptr_equal(cw_pool_choose(pool, &choice), remote);
 	local->leaving = 1;
 	remote->leaving = 1;
@@ -109,11 +109,12 @@
 
 		for (int i = 0; i < 400; i++)
 			add(pool, i, i % 4 ? "far" : "near");
-		cw_pool_track(pool, owner * 7919, "near");
+		cw_pool_select_tracked(pool, owner * 7919, "near");
 		TAILQ_FOREACH(server, cw_pool_servers(pool), link) {
-			tracked_count += server->tracked;
-			own += server->tracked && server->failure_domain[0] == 'n';
-			users[atoi(server->name + 1)] += server->tracked; /* NOLINT(cert-err34-c) */
+			tracked_count += server->is_tracked;
+			own += server->is_tracked && server->failure_domain[0] == 'n';
+			users[atoi(server->name + 1)] +=
+				server->is_tracked; /* NOLINT(cert-err34-c) */
 		}
 		assert_int_equal(tracked_count, CW_TRACKED_SERVERS);
 		assert_true(own > tracked_count / 2);
@@ -135,15 +136,15 @@
 	struct cw_server *server = add(pool, 1, "d1");
 
 	for (int i = 0; i < 3; i++)
-		cw_pool_work_begin(server, 600, 100, 1000);
+		cw_pool_begin_work(server, 600, 100, 1000);
 	assert_true(cw_pool_own_work_ms(server, 1000) == 1800);
 	assert_true(cw_pool_own_work_ms(server, 1900) == 900);
 	/* A server may be slower than predicted, so part of unanswered work always counts. */
 	assert_true(cw_pool_own_work_ms(server, 9000) == 450);
-	cw_pool_work_end(server, 600);
+	cw_pool_end_work(server, 600);
 	assert_true(cw_pool_own_work_ms(server, 9000) == 300);
-	cw_pool_work_end(server, 600);
-	cw_pool_work_end(server, 600);
+	cw_pool_end_work(server, 600);
+	cw_pool_end_work(server, 600);
 	assert_true(cw_pool_own_work_ms(server, 9000) == 0);
 	cw_pool_destroy(pool);
 }
@@ -164,15 +165,15 @@
 	first = cw_pool_choose(pool, &choice);
 	for (int i = 0; i < 6; i++) {
 		assert_ptr_equal(cw_pool_choose(pool, &choice), first);
-		cw_pool_dispatched(first, 1000);
+		cw_pool_record_dispatch(first, 1000);
 	}
 	/* At fill_part of its slots, so before the server is full, others are chosen. */
 	assert_ptr_not_equal(cw_pool_choose(pool, &choice), first);
-	cw_pool_ended(first, 1100, 100);
+	cw_pool_record_end(first, 1100, 100);
 	choice.now_ms = 1100;
 	assert_ptr_equal(cw_pool_choose(pool, &choice), first);
 	/* A server with a queue is not filled further. */
-	cw_pool_work_begin(first, 900, 100, 1100);
+	cw_pool_begin_work(first, 900, 100, 1100);
 	assert_ptr_not_equal(cw_pool_choose(pool, &choice), first);
 	cw_pool_destroy(pool);
 }
@@ -184,13 +185,13 @@
 	int counted = 0;
 
 	for (int i = 0; i < 55; i++)
-		counted += cw_pool_broke(server, 1000 + i);
+		counted += cw_pool_record_crash(server, 1000 + i);
 	assert_int_equal(counted, 1);
-	assert_int_equal(cw_pool_broke(server, 2100), 1);
+	assert_int_equal(cw_pool_record_crash(server, 2100), 1);
 	cw_pool_destroy(pool);
 }
 
-static enum cw_listing list_entry(struct cw_pool *pool, int64_t born_ms, int leaving,
+static enum cw_listing list_entry(struct cw_pool *pool, int64_t process_start_ms, int leaving,
 				  int64_t now_ms)
 {
 	struct cw_server_entry entry = {.name = "s1",
@@ -199,10 +200,10 @@
 					.failure_domain = "d1",
 					.software = "v1",
 					.slots = 64,
-					.born_ms = born_ms,
+					.process_start_ms = process_start_ms,
 					.leaving = leaving};
 
-	return cw_pool_list(pool, &entry, now_ms);
+	return cw_pool_apply_entry(pool, &entry, now_ms);
 }
 
 /*
@@ -220,13 +221,13 @@
 
 	assert_int_equal(list_entry(pool, 5000, 0, 1000), CW_LISTING_NEW);
 	first = cw_pool_find_name(pool, "s1");
-	cw_pool_dispatched(first, 1100);
-	cw_pool_work_begin(first, 900, 100, 1100);
-	cw_pool_reported(first, &full, 1200);
-	cw_pool_judged(first, 1, 9, 1200);
+	cw_pool_record_dispatch(first, 1100);
+	cw_pool_begin_work(first, 900, 100, 1100);
+	cw_pool_apply_report(first, &full, 1200);
+	cw_pool_record_outcome(first, 1, 9, 1200);
 	for (int i = 0; i < 3; i++)
-		cw_pool_failed(first, 1200, 7);
-	cw_pool_unheard(first);
+		cw_pool_record_failure(first, 1200, 7);
+	cw_pool_mark_unreachable(first);
 	first->peers_work_ms = 400;
 	first->peers_ms = 1200;
 	assert_false(cw_pool_is_usable(first, 1300));
@@ -235,19 +236,19 @@
 	second = cw_pool_find_name(pool, "s1");
 	assert_ptr_not_equal(second, first);
 	assert_int_not_equal(second->id, first->id);
-	assert_true(first->has_ended);
-	assert_false(second->has_ended);
+	assert_true(first->is_superseded);
+	assert_false(second->is_superseded);
 	assert_true(cw_pool_is_usable(second, 1300));
 	assert_true(cw_pool_load(second, 1300) == 0);
 	assert_true(cw_pool_backlog_ms(second, 100, 1300) == 0);
 	assert_true(cw_pool_failure_rate(second, 1300) == 0);
 	assert_true(cw_pool_slowness(second, 1300) == 1);
-	assert_false(cw_pool_wants_probe(second, 1300));
+	assert_false(cw_pool_needs_probe(second, 1300));
 	/* The running request ends on the earlier start, which is then freed. */
 	cw_pool_sweep(pool, 1400);
 	assert_ptr_equal(cw_pool_find(pool, first->id), first);
-	cw_pool_work_end(first, 900);
-	cw_pool_ended(first, 1400, -1);
+	cw_pool_end_work(first, 900);
+	cw_pool_record_end(first, 1400, -1);
 	cw_pool_sweep(pool, 1500);
 	assert_ptr_equal(TAILQ_FIRST(cw_pool_servers(pool)), second);
 	assert_null(TAILQ_NEXT(second, link));
@@ -267,13 +268,13 @@
 
 	list_entry(pool, 7000, 0, 1000);
 	server = cw_pool_find_name(pool, "s1");
-	assert_int_equal(list_entry(pool, 5000, 1, 2000), CW_LISTING_LATE);
+	assert_int_equal(list_entry(pool, 5000, 1, 2000), CW_LISTING_STALE);
 	assert_ptr_equal(cw_pool_find_name(pool, "s1"), server);
 	assert_false(server->leaving);
 	/* The late entry keeps the server listed, although a newer entry is known. */
-	cw_pool_keep_listed(pool, 1500, 2000, 2000);
+	cw_pool_delist_unlisted(pool, 1500, 2000, 2000);
 	cw_pool_sweep(pool, 2100);
-	assert_false(server->gone);
+	assert_false(server->is_removed);
 	/* Entries of the same start, or without start times, are applied in order of arrival. */
 	assert_int_equal(list_entry(pool, 7000, 1, 2200), CW_LISTING_CHANGED);
 	assert_true(server->leaving);
--- a/tests/unit/test_table.c
+++ b/tests/unit/test_table.c
@@ -197,17 +197,17 @@
 	char *snapshot;
 
 	assert_int_equal(fold(table, DRAIN("1", "d1", "true")), CW_FOLD_APPLIED);
-	assert_true(cw_drains_has(cw_table_drains(table), "d1"));
+	assert_true(cw_drains_is_drained(cw_table_drains(table), "d1"));
 	assert_int_equal(fold(table, DRAIN("2", "d2", "true")), CW_FOLD_APPLIED);
 	assert_int_equal(fold(table, DRAIN("3", "d1", "false")), CW_FOLD_APPLIED);
 	assert_int_equal(fold(table, DRAIN("1", "d1", "true")), CW_FOLD_DUPLICATE);
-	assert_false(cw_drains_has(cw_table_drains(table), "d1"));
+	assert_false(cw_drains_is_drained(cw_table_drains(table), "d1"));
 	assert_int_equal(fold(table, DRAIN("4", "", "true")), CW_FOLD_MALFORMED);
 	assert_int_equal(fold(table, DRAIN("5", "d1", "1")), CW_FOLD_MALFORMED);
 	snapshot = cw_table_snapshot(table);
 	assert_int_equal(cw_table_load(copy, snapshot, NULL), CW_OK);
-	assert_true(cw_drains_has(cw_table_drains(copy), "d2"));
-	assert_false(cw_drains_has(cw_table_drains(copy), "d1"));
+	assert_true(cw_drains_is_drained(cw_table_drains(copy), "d2"));
+	assert_false(cw_drains_is_drained(cw_table_drains(copy), "d1"));
 	g_free(snapshot);
 	cw_table_destroy(copy);
 	cw_table_destroy(table);
--- a/tests/unit/test_up_store.c
+++ b/tests/unit/test_up_store.c
@@ -73,11 +73,11 @@
 	assert_string_equal(news->server.software, "v1");
 	assert_int_equal(news->server.slots, 64);
 	assert_int_equal(news->server.leaving, 0);
-	assert_true(news->server.born_ms == 1790651616045);
+	assert_true(news->server.process_start_ms == 1790651616045);
 	cw_up_page_clear(&page);
 	news = collect(&page, "s1", WHOLE, strlen(WHOLE));
 	assert_int_equal(news->kind, CW_UP_SERVER);
-	assert_true(news->server.born_ms == 1790651616045);
+	assert_true(news->server.process_start_ms == 1790651616045);
 	cw_up_page_clear(&page);
 }
 
@@ -155,7 +155,7 @@
 
 	assert_int_equal(news->kind, CW_UP_SERVER);
 	assert_int_equal(news->server.leaving, 1);
-	assert_true(news->server.born_ms == 0);
+	assert_true(news->server.process_start_ms == 0);
 	cw_up_page_clear(&page);
 }
 
--- a/tests/unit/test_warmup.c
+++ b/tests/unit/test_warmup.c
@@ -25,10 +25,10 @@
 	struct cw_warmup warmup = {.place = {.rank = 0, .instances = 20}};
 	unsigned int sent = 0;
 
-	cw_warmup_told(&warmup, 3000, NOW);
+	cw_warmup_set_cold(&warmup, 3000, NOW);
 	for (int64_t now_ms = NOW; now_ms < NOW + 1000; now_ms++)
 		if (cw_warmup_admits(&warmup, &rate, now_ms)) {
-			cw_warmup_sent(&warmup, now_ms);
+			cw_warmup_record_send(&warmup, now_ms);
 			sent++;
 		}
 	assert_int_equal(sent, cw_warmup_quota(&rate, &warmup.place));
@@ -53,11 +53,11 @@
 {
 	struct cw_warmup warmup = {.place = {.rank = 9, .instances = 20}};
 
-	cw_warmup_told(&warmup, 0, NOW);
+	cw_warmup_set_cold(&warmup, 0, NOW);
 	assert_true(cw_warmup_admits(&warmup, &rate, NOW));
-	cw_warmup_away(&warmup, NOW);
+	cw_warmup_assume_cold(&warmup, NOW);
 	assert_false(cw_warmup_admits(&warmup, &rate, NOW + 1));
-	cw_warmup_told(&warmup, 2500, NOW + 800);
+	cw_warmup_set_cold(&warmup, 2500, NOW + 800);
 	assert_false(cw_warmup_admits(&warmup, &rate, NOW + 3200));
 	assert_true(cw_warmup_admits(&warmup, &rate, NOW + 3300));
 }
@@ -89,7 +89,7 @@
 	node->membership = cw_membership_create(node->name, "d1", SILENT_MS);
 	cw_membership_settle(node->membership, now_ms, KNOWN_MS, 0);
 	memset(&node->warmup, 0, sizeof(node->warmup));
-	cw_warmup_told(&node->warmup, SIMULATION_MS, now_ms);
+	cw_warmup_set_cold(&node->warmup, SIMULATION_MS, now_ms);
 }
 
 /* Each instance announces itself and some known members to a few others. */
@@ -158,7 +158,7 @@
 					cw_membership_place(node->membership, SERVER, now_ms,
 							    &node->warmup.place.instances);
 			while (cw_warmup_admits(&node->warmup, &rate, now_ms)) {
-				cw_warmup_sent(&node->warmup, now_ms);
+				cw_warmup_record_send(&node->warmup, now_ms);
 				g_array_append_val(sent, now_ms);
 			}
 		}
