--- a/packages/membership/include/cw_membership.h
+++ b/packages/membership/include/cw_membership.h
@@ -1,4 +1,7 @@
-/* The instances one node knows: from its settings, the platform's lagging list, and heartbeats. */
+/*
+ * The instances known to one instance: from its settings, from the platform's list, which lags, and
+ * from heartbeats.
+ */
 #ifndef CW_MEMBERSHIP_H
 #define CW_MEMBERSHIP_H
 
@@ -12,11 +15,11 @@
 	TAILQ_ENTRY(cw_member) link;
 	char instance[CW_NAME_MAX];
 	char failure_domain[CW_NAME_MAX];
-	char address[CW_ADDRESS_MAX]; /* of its peer listener */
-	uint64_t id;		      /* hash of the name */
-	uint64_t boot;		      /* 0 until heard */
-	int64_t heard_ms;	      /* last heartbeat, -1 never */
-	int64_t listed_ms;	      /* last seen in the platform's list, -1 never */
+	char address[CW_ADDRESS_MAX]; /* of its peer listener, IP:PORT */
+	uint64_t id;		      /* hash of the instance's name */
+	uint64_t boot;		      /* drawn at each start; 0: no heartbeat yet */
+	int64_t heard_ms;  /* last sign of life, direct or by a peer's report; -1: none */
+	int64_t listed_ms; /* last seen in the platform's list; -1: never */
 	int leaving;
 	int configured; /* named by the settings */
 	uint64_t table_offset;
@@ -27,50 +30,53 @@
 struct cw_membership;
 
 struct cw_membership *cw_membership_create(const char *instance, const char *failure_domain,
-					   int64_t silent_ms);
+					   int64_t timeout_ms);
 void cw_membership_destroy(struct cw_membership *membership); /* frees its members */
 void cw_membership_set_silent(struct cw_membership *membership,
-			      int64_t silent_ms); /* unheard longer: not live */
-struct cw_member *cw_membership_learn(struct cw_membership *membership, const char *instance,
-				      const char *failure_domain,
-				      const char *address); /* NULL: itself, or full */
+			      int64_t timeout_ms); /* without a sign of life for longer: not live */
+struct cw_member *
+cw_membership_learn(struct cw_membership *membership, const char *instance,
+		    const char *failure_domain,
+		    const char *address); /* adds or updates; NULL: own name, or full */
 struct cw_member *cw_membership_find(struct cw_membership *membership,
 				     const char *instance); /* NULL: unknown */
 void cw_membership_heard(struct cw_member *member, uint64_t boot, int leaving, int64_t now_ms);
 void cw_membership_listed(struct cw_member *member, int leaving, int64_t now_ms);
 void cw_membership_forget(struct cw_membership *membership, int64_t now_ms,
-			  int64_t keep_ms); /* drops who is unheard and unlisted that long */
+			  int64_t keep_ms); /* drops members neither seen nor listed for keep_ms */
 int cw_membership_is_live(
 	const struct cw_membership *membership, const struct cw_member *member,
-	int64_t now_ms); /* heard within the limit, which grows with hundreds of members */
+	int64_t now_ms); /* seen within the time-out, which is longer for hundreds of members */
 int cw_membership_is_gone(const struct cw_membership *membership, const struct cw_member *member,
-			  int64_t now_ms); /* silent for four times the limit, or a new boot */
-size_t cw_membership_homes(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
-			   struct cw_member **homes,
-			   size_t count); /* by rendezvous; the second in another domain if any */
-size_t cw_membership_sample(
-	const struct cw_membership *membership, uint64_t random, struct cw_member **members,
-	size_t count); /* for gossip: silent ones too, so that a healed cut is noticed */
+			  int64_t now_ms); /* not seen for four times the time-out, or never */
+size_t
+cw_membership_homes(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
+		    struct cw_member **owners,
+		    size_t count); /* by rendezvous; the second in another failure domain if any */
+size_t cw_membership_sample(const struct cw_membership *membership, uint64_t random,
+			    struct cw_member **members,
+			    size_t count); /* gossip targets: unreachable ones too, to detect a
+					      healed network partition */
 size_t cw_membership_first(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
 			   struct cw_member **members,
-			   size_t count); /* the first others by rendezvous, best first, of those
-					     heard within the limit that was set: whoever is first
-					     is named in each message, and missed at once */
+			   size_t count); /* the top-ranked others by rendezvous hashing, best
+					     first, of those seen within the configured time-out:
+					     every message names them, so a failure shows at once */
 size_t cw_membership_rank(const struct cw_membership *membership, uint64_t key,
-			  int64_t now_ms); /* 0: first by rendezvous among these */
+			  int64_t now_ms); /* own rank among the same members; 0: first */
 void cw_membership_settle(struct cw_membership *membership, int64_t now_ms, int64_t settle_ms,
-			  int is_only); /* for so long after the start, or after many others became
-					   known, a place isn't; is_only: there are no others */
+			  int is_only); /* own rank is unknown for settle_ms after now_ms and after
+					   each growth by a quarter; is_only: there are no others */
 size_t cw_membership_place(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
-			   size_t *instances); /* as rank, but silent ones keep their places unless
-						  most are heard: a cut makes nobody the first of
-						  itself alone; instances: that were ranked, 0: the
-						  place isn't known */
+			   size_t *instances); /* as rank, but unreachable members are ranked too
+						  unless a majority is live: no instance in a
+						  network partition ranks itself alone; instances:
+						  ranked ones, 0: the rank is unknown */
 int cw_membership_is_calm(const struct cw_membership *membership, int64_t now_ms,
-			  int64_t calm_ms); /* 1: not many others became known for so long */
-size_t cw_membership_size(const struct cw_membership *membership); /* itself included */
+			  int64_t calm_ms); /* 1: no growth by a quarter within calm_ms */
+size_t cw_membership_size(const struct cw_membership *membership); /* counts this instance */
 size_t cw_membership_live(const struct cw_membership *membership,
-			  int64_t now_ms); /* itself included */
+			  int64_t now_ms); /* counts this instance */
 const struct cw_member_list *cw_membership_members(const struct cw_membership *membership);
 
 #endif
--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -4,41 +4,41 @@
 #include <glib.h>
 #include <string.h>
 
-#define GONE_FACTOR 4	 /* silences after which a member counts as gone */
-#define MEMBER_MS   15	 /* between two words of a member, at most, for each member that there is */
-#define GROWN	    1.25 /* by more than a quarter: many had not been known */
+#define UNREACHABLE_FACTOR   4	  /* time-outs without a sign of life */
+#define REPORT_MS_PER_MEMBER 15	  /* longest usual gap between two reports of one member */
+#define SIGNIFICANT_GROWTH   1.25 /* ratio of sizes: many members had been unknown */
 
 struct cw_membership {
 	char instance[CW_NAME_MAX];
 	char failure_domain[CW_NAME_MAX];
 	uint64_t id;
-	int64_t silent_ms;
+	int64_t timeout_ms;
 	struct cw_member_list members;
 	GHashTable *by_name;
 	size_t size;
-	int64_t settle_ms; /* that the number of members must have stood */
-	int64_t grown_ms;  /* when it last grew much, */
-	size_t grown_to;   /* and to what */
+	int64_t settle_ms; /* time without significant growth until the own rank is known */
+	int64_t grown_ms;  /* time of the last significant growth */
+	size_t grown_to;   /* size after that growth, the instance itself included */
 	int is_only;
 };
 
-static int is_heard_within(const struct cw_member *member, int64_t limit_ms, int64_t now_ms);
+static int is_seen_within(const struct cw_member *member, int64_t limit_ms, int64_t now_ms);
 static int is_settled(const struct cw_membership *membership, int64_t now_ms);
-static void note_growth(struct cw_membership *membership, int64_t now_ms);
+static void update_growth(struct cw_membership *membership, int64_t now_ms);
 static int has_grown(const struct cw_membership *membership);
-static struct cw_member *best_home(const struct cw_membership *membership, uint64_t key,
-				   int64_t now_ms, const struct cw_member *other_than,
-				   const char *avoid_domain);
+static struct cw_member *find_best_owner(const struct cw_membership *membership, uint64_t key,
+					 int64_t now_ms, const struct cw_member *excluded,
+					 const char *excluded_domain);
 
 struct cw_membership *cw_membership_create(const char *instance, const char *failure_domain,
-					   int64_t silent_ms)
+					   int64_t timeout_ms)
 {
 	struct cw_membership *membership = g_new0(struct cw_membership, 1);
 
 	g_strlcpy(membership->instance, instance, CW_NAME_MAX);
 	g_strlcpy(membership->failure_domain, failure_domain, CW_NAME_MAX);
 	membership->id = cw_hash_text(instance, 0);
-	membership->silent_ms = silent_ms;
+	membership->timeout_ms = timeout_ms;
 	membership->by_name = g_hash_table_new(g_str_hash, g_str_equal);
 	TAILQ_INIT(&membership->members);
 	return membership;
@@ -58,9 +58,9 @@
 	g_free(membership);
 }
 
-void cw_membership_set_silent(struct cw_membership *membership, int64_t silent_ms)
+void cw_membership_set_silent(struct cw_membership *membership, int64_t timeout_ms)
 {
-	membership->silent_ms = silent_ms;
+	membership->timeout_ms = timeout_ms;
 }
 
 struct cw_member *cw_membership_learn(struct cw_membership *membership, const char *instance,
@@ -113,7 +113,7 @@
 {
 	struct cw_member *member = TAILQ_FIRST(&membership->members);
 
-	note_growth(membership, now_ms);
+	update_growth(membership, now_ms);
 	while (member) {
 		struct cw_member *next = TAILQ_NEXT(member, link);
 		int64_t seen = MAX(member->heard_ms, member->listed_ms);
@@ -130,18 +130,19 @@
 }
 
 /*
- * Load pattern: a thousand members. Each message names a few, so that a member is heard of every
- * few seconds: by a fixed limit half of them were silent at any time, other ones for each instance.
+ * The time-out grows with the number of members. Load pattern: a thousand members. Each message
+ * names a few, so that reports of one member arrive seconds apart: with a fixed time-out half of
+ * the members counted as unreachable at any time, and not the same ones at each instance.
  */
 int cw_membership_is_live(const struct cw_membership *membership, const struct cw_member *member,
 			  int64_t now_ms)
 {
-	int64_t usual_ms = (int64_t)membership->size * MEMBER_MS;
+	int64_t report_interval_ms = (int64_t)membership->size * REPORT_MS_PER_MEMBER;
 
-	return is_heard_within(member, MAX(membership->silent_ms, usual_ms), now_ms);
+	return is_seen_within(member, MAX(membership->timeout_ms, report_interval_ms), now_ms);
 }
 
-static int is_heard_within(const struct cw_member *member, int64_t limit_ms, int64_t now_ms)
+static int is_seen_within(const struct cw_member *member, int64_t limit_ms, int64_t now_ms)
 {
 	return !member->leaving && member->heard_ms >= 0 && now_ms - member->heard_ms <= limit_ms;
 }
@@ -150,24 +151,25 @@
 			  int64_t now_ms)
 {
 	return member->heard_ms < 0 ||
-	       now_ms - member->heard_ms > membership->silent_ms * GONE_FACTOR;
+	       now_ms - member->heard_ms > membership->timeout_ms * UNREACHABLE_FACTOR;
 }
 
 size_t cw_membership_homes(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
-			   struct cw_member **homes, size_t count)
+			   struct cw_member **owners, size_t count)
 {
 	size_t found = 0;
 
 	if (count > 0)
-		homes[found] = best_home(membership, key, now_ms, NULL, NULL);
-	if (count == 0 || !homes[0])
+		owners[found] = find_best_owner(membership, key, now_ms, NULL, NULL);
+	if (count == 0 || !owners[0])
 		return 0;
 	found++;
 	if (count > 1) {
-		homes[1] = best_home(membership, key, now_ms, homes[0], homes[0]->failure_domain);
-		if (!homes[1])
-			homes[1] = best_home(membership, key, now_ms, homes[0], NULL);
-		found += homes[1] != NULL;
+		owners[1] = find_best_owner(membership, key, now_ms, owners[0],
+					    owners[0]->failure_domain);
+		if (!owners[1])
+			owners[1] = find_best_owner(membership, key, now_ms, owners[0], NULL);
+		found += owners[1] != NULL;
 	}
 	return found;
 }
@@ -205,7 +207,7 @@
 		double score = cw_rendezvous(key, member->id, 1);
 		size_t at = found;
 
-		if (!*member->address || !is_heard_within(member, membership->silent_ms, now_ms))
+		if (!*member->address || !is_seen_within(member, membership->timeout_ms, now_ms))
 			continue;
 		while (at > 0 && cw_rendezvous(key, members[at - 1]->id, 1) < score)
 			at--;
@@ -226,7 +228,7 @@
 	size_t rank = 0;
 
 	TAILQ_FOREACH(member, &membership->members, link) {
-		if (is_heard_within(member, membership->silent_ms, now_ms) &&
+		if (is_seen_within(member, membership->timeout_ms, now_ms) &&
 		    cw_rendezvous(key, member->id, 1) > own)
 			rank++;
 	}
@@ -293,16 +295,16 @@
 }
 
 /*
- * Symptom this prevents: all instances send to one server that can take few. An instance that has
- * just started, or started behind a cut that has healed, knows few others, and would be among the
- * first in every place.
+ * Symptom this prevents: all instances send to one server that has room for few requests. An
+ * instance that has just started, or that started behind a network partition that has since healed,
+ * knows few others and would rank itself among the first for every key.
  */
 static int is_settled(const struct cw_membership *membership, int64_t now_ms)
 {
 	return cw_membership_is_calm(membership, now_ms, membership->settle_ms);
 }
 
-static void note_growth(struct cw_membership *membership, int64_t now_ms)
+static void update_growth(struct cw_membership *membership, int64_t now_ms)
 {
 	if (!has_grown(membership))
 		return;
@@ -312,12 +314,12 @@
 
 static int has_grown(const struct cw_membership *membership)
 {
-	return (double)(membership->size + 1) > GROWN * (double)membership->grown_to;
+	return (double)(membership->size + 1) > SIGNIFICANT_GROWTH * (double)membership->grown_to;
 }
 
-static struct cw_member *best_home(const struct cw_membership *membership, uint64_t key,
-				   int64_t now_ms, const struct cw_member *other_than,
-				   const char *avoid_domain)
+static struct cw_member *find_best_owner(const struct cw_membership *membership, uint64_t key,
+					 int64_t now_ms, const struct cw_member *excluded,
+					 const char *excluded_domain)
 {
 	struct cw_member *best = NULL;
 	struct cw_member *member;
@@ -326,9 +328,9 @@
 	TAILQ_FOREACH(member, &membership->members, link) {
 		double score = cw_rendezvous(key, member->id, 1);
 
-		if (member == other_than || !cw_membership_is_live(membership, member, now_ms))
+		if (member == excluded || !cw_membership_is_live(membership, member, now_ms))
 			continue;
-		if (avoid_domain && !strcmp(member->failure_domain, avoid_domain))
+		if (excluded_domain && !strcmp(member->failure_domain, excluded_domain))
 			continue;
 		if (score > best_score) {
 			best_score = score;
