--- a/packages/gossip/include/cw_gossip.h
+++ b/packages/gossip/include/cw_gossip.h
@@ -1,8 +1,8 @@
 /*
- * What entry instances tell each other several times a second, in one datagram: who lives, how new
- * their knowledge is, what they have under way at the backend servers, how roll-outs go,
- * which requests end servers, which failure domains are drained. Encoded with ONC RPC's XDR; a
- * datagram that is lost or old does no harm, the next one follows.
+ * The datagram that instances send each other several times a second: live members, the versions of
+ * the sender's state, its load on the backend servers, the progress of roll-outs, poison requests,
+ * drained failure domains. Encoded with ONC RPC's XDR. A lost or old datagram does no harm, since
+ * the next one carries the state again.
  */
 #ifndef CW_GOSSIP_H
 #define CW_GOSSIP_H
@@ -17,27 +17,27 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_GOSSIP_BYTES	       (16 * 1024) /* of one datagram at most */
-#define CW_GOSSIP_MEMBERS      24	   /* other instances named in one message, at most */
+#define CW_GOSSIP_BYTES	       (16 * 1024) /* of one datagram, at most */
+#define CW_GOSSIP_MEMBERS      24	   /* named in one message, at most */
 #define CW_GOSSIP_SERVERS      128
 #define CW_GOSSIP_ROLLOUTS     4
-#define CW_GOSSIP_CUT_SESSIONS 16 /* of a roll-out, in a message to all */
-#define CW_GOSSIP_FOREIGN      2  /* instances of other domains told each time, in a small domain */
-#define CW_GOSSIP_NO_AGE       UINT32_MAX /* the sender knows no list, or does not tell of it */
-#define CW_GOSSIP_SMALL	       20 /* a domain of so many; a larger one sends no more than this one */
+#define CW_GOSSIP_CUT_SESSIONS 16 /* of a roll-out, in a trimmed message */
+#define CW_GOSSIP_FOREIGN      2  /* recipients in other domains per round, in a small domain */
+#define CW_GOSSIP_NO_AGE       UINT32_MAX /* the message carries no server list state */
+#define CW_GOSSIP_SMALL	       20 /* instances; a larger domain sends no more than one of this size */
 
 struct cw_gossip_member {
 	char instance[CW_NAME_MAX];
 	char failure_domain[CW_NAME_MAX];
 	char address[CW_ADDRESS_MAX];
-	uint32_t age_ms; /* since it was heard, by the sender or by others */
+	uint32_t age_ms; /* since its last sign of life, to the sender or to others */
 };
 
-/* Work that the sender has under way at one backend server. */
+/* Load that the sender has in progress at one backend server. */
 struct cw_gossip_load {
 	uint64_t server;  /* cw_server.id */
 	uint32_t running; /* requests */
-	uint32_t work_ms; /* of prompts that wait to be read */
+	uint32_t work_ms; /* of prompts that wait for prefill */
 };
 
 struct cw_gossip {
@@ -45,9 +45,9 @@
 	uint64_t boot; /* drawn at each start */
 	int is_leaving;
 	uint64_t config_version;
-	uint64_t operator_offset; /* how far the sender has read the store's topics */
-	uint64_t servers_offset;
-	uint32_t servers_age_ms; /* since it was known that nothing newer was there */
+	uint64_t operator_offset; /* the sender's read position in the operator's topic */
+	uint64_t servers_offset;  /* its position in the server list */
+	uint32_t servers_age_ms;  /* since the server list was known to be current */
 	struct cw_follow_proof servers_proof;
 	size_t change_count; /* all records from the first one's offset to servers_offset */
 	struct cw_change changes[CW_FOLLOW_CHANGES];
@@ -62,10 +62,10 @@
 	size_t held_count;
 	struct cw_quarantine_record held[CW_QUARANTINE_RECORDS];
 	size_t drain_count;
-	struct cw_drain_order drains[CW_DRAINS]; /* also those taken back */
+	struct cw_drain_order drains[CW_DRAINS]; /* withdrawn ones included */
 };
 
-/* The whole list of servers, for an instance that can't read it from the store. */
+/* Snapshot of the server list, for an instance that can't read it from the shared store. */
 struct cw_gossip_list {
 	uint64_t from; /* offset of the next record */
 	uint32_t age_ms;
@@ -73,7 +73,7 @@
 	struct cw_server_entry *entries;
 };
 
-/* What a peer asks for that has missed records: all from an offset up to word.from. */
+/* Reply to a peer that has missed records: all from its offset up to word.from. */
 struct cw_gossip_changes {
 	struct cw_follow_word word;
 	size_t count;
@@ -87,12 +87,12 @@
 char *cw_gossip_list_encode(const struct cw_gossip_list *list, size_t *size); /* g_free */
 enum cw_status cw_gossip_list_decode(const char *bytes, size_t size,
 				     struct cw_gossip_list *list); /* g_free(list->entries) */
-void cw_gossip_cut(struct cw_gossip *gossip); /* to what all instances must hear at once */
+void cw_gossip_cut(struct cw_gossip *gossip); /* keeps only what all instances need at once */
 size_t cw_gossip_encode(const struct cw_gossip *gossip, char *bytes,
 			size_t size); /* 0: it does not fit */
 enum cw_status cw_gossip_decode(const char *bytes, size_t size, struct cw_gossip *gossip);
 
-/* How many instances of other domains one of own_domain instances tells now; random: any number. */
+/* Recipients in other domains for one instance of own_domain instances; random: any number. */
 size_t cw_gossip_foreign_fanout(size_t own_domain, uint64_t random);
 
 #endif
--- a/packages/gossip/src/audience.c
+++ b/packages/gossip/src/audience.c
@@ -5,30 +5,30 @@
 #include <glib.h>
 #include <string.h>
 
-#define OWN_FANOUT    6 /* of more neighbours, others each time */
-#define NAMED_USUALLY 5
-#define GROWING_MS    3000 /* since many became known: others start as well, and know few */
-#define CUT_FANOUT    64   /* what is for all at once: two rounds reach a thousand */
+#define OWN_FANOUT	  6 /* per round; a larger domain takes turns */
+#define NAMED_WHEN_STABLE 5
+#define GROWTH_WINDOW_MS  3000 /* after growth: other instances start too, and know few members */
+#define TRIMMED_FANOUT	  64   /* trimmed messages: two rounds reach a thousand instances */
 
-static void learn_of(struct cw_membership *membership, const struct cw_gossip_member *told,
-		     int64_t now_ms);
+static void merge_member(struct cw_membership *membership, const struct cw_gossip_member *report,
+			 int64_t now_ms);
 
-/* Some of a large system hear everything this time, a few more what is for all, if anything is. */
+/* In a large system some members get the full message in a round, some more the trimmed one. */
 void cw_audience_choose(struct cw_audience *audience, const struct cw_membership *membership,
 			const char *own_domain, uint64_t random)
 {
 	size_t known = cw_membership_size(membership);
 	struct cw_member **members = g_new(struct cw_member *, known);
-	struct cw_member **cut = g_new(struct cw_member *, known);
+	struct cw_member **trimmed = g_new(struct cw_member *, known);
 	size_t count = cw_membership_sample(membership, random, members, known);
 	size_t own_left = OWN_FANOUT;
 	size_t own_size = 1;
-	size_t cut_count = 0;
+	size_t trimmed_count = 0;
 	size_t other_left;
 
 	for (size_t i = 0; i < count; i++)
 		own_size += !strcmp(members[i]->failure_domain, own_domain);
-	/* Not the bits that choose whom to tell: a part of the members would never be told. */
+	/* Not the bits that choose the sample: a part of the members would never get a message. */
 	other_left = cw_gossip_foreign_fanout(own_size, random >> 32);
 	audience->members = members;
 	audience->whole_count = 0;
@@ -38,14 +38,14 @@
 
 		if (count <= CW_AUDIENCE_ALL || *left > 0)
 			members[audience->whole_count++] = members[i];
-		else if (cut_count < CUT_FANOUT)
-			cut[cut_count++] = members[i];
+		else if (trimmed_count < TRIMMED_FANOUT)
+			trimmed[trimmed_count++] = members[i];
 		*left -= *left > 0;
 	}
-	for (size_t i = 0; i < cut_count; i++)
-		members[audience->whole_count + i] = cut[i];
-	audience->count = audience->whole_count + cut_count;
-	g_free(cut);
+	for (size_t i = 0; i < trimmed_count; i++)
+		members[audience->whole_count + i] = trimmed[i];
+	audience->count = audience->whole_count + trimmed_count;
+	g_free(trimmed);
 }
 
 void cw_audience_clear(struct cw_audience *audience)
@@ -55,8 +55,8 @@
 }
 
 /*
- * Load pattern: a thousand instances start, and each tells three seeds that it knows nothing yet,
- * seven times a second. Whoever has heard of some others asks these instead.
+ * Load pattern: a thousand instances start, and each announces to three seeds seven times a second
+ * that it has no state yet. An instance that knows some other members asks these instead.
  */
 int cw_audience_needs_seeds(const struct cw_membership *membership, int knows_enough)
 {
@@ -64,18 +64,19 @@
 }
 
 /*
- * The readers of the store are named each time, with others in turn. An instance that had not heard
- * of a reader for 2 s took its place: of 195, seven at a time read what two read for all.
+ * Each message names the readers of the shared store, and other members in turn. An instance
+ * without a report of a reader for 2 s took over its reads: of 195 instances, seven at a time read
+ * what two can read for all.
  */
 void cw_gossip_name(struct cw_gossip *gossip, const struct cw_membership *membership, uint64_t key,
 		    uint64_t random, int64_t now_ms)
 {
-	int is_calm = cw_membership_is_calm(membership, now_ms, GROWING_MS);
-	size_t most = is_calm ? NAMED_USUALLY : CW_GOSSIP_MEMBERS;
+	int is_stable = cw_membership_is_calm(membership, now_ms, GROWTH_WINDOW_MS);
+	size_t max_count = is_stable ? NAMED_WHEN_STABLE : CW_GOSSIP_MEMBERS;
 	struct cw_member *members[CW_GOSSIP_MEMBERS];
 	size_t count = cw_membership_first(membership, key, now_ms, members, CW_READERS);
 
-	count += cw_membership_sample(membership, random, members + count, most - count);
+	count += cw_membership_sample(membership, random, members + count, max_count - count);
 	for (size_t i = 0; i < count; i++) {
 		struct cw_gossip_member *member = &gossip->members[gossip->member_count];
 
@@ -102,22 +103,23 @@
 	*is_new = member->boot != gossip->boot;
 	cw_membership_heard(member, gossip->boot, gossip->is_leaving, now_ms);
 	for (size_t i = 0; i < gossip->member_count; i++)
-		learn_of(membership, &gossip->members[i], now_ms);
+		merge_member(membership, &gossip->members[i], now_ms);
 	return member;
 }
 
 /*
- * In a large system a peer is heard directly every second or so only. What others heard of it keeps
- * it from seeming gone, which would make every instance read the store for itself.
+ * In a large system a peer's own messages arrive about once a second only. The reports of others
+ * keep it from counting as unreachable, which would make every instance read the shared store
+ * itself.
  */
-static void learn_of(struct cw_membership *membership, const struct cw_gossip_member *told,
-		     int64_t now_ms)
+static void merge_member(struct cw_membership *membership, const struct cw_gossip_member *report,
+			 int64_t now_ms)
 {
-	struct cw_member *member = cw_membership_learn(membership, told->instance,
-						       told->failure_domain, told->address);
+	struct cw_member *member = cw_membership_learn(membership, report->instance,
+						       report->failure_domain, report->address);
 
 	if (member)
-		member->heard_ms = MAX(member->heard_ms, now_ms - (int64_t)told->age_ms);
+		member->heard_ms = MAX(member->heard_ms, now_ms - (int64_t)report->age_ms);
 	else if (cw_membership_size(membership) >= CW_MAX_INSTANCES)
 		cw_count("instances_not_kept", "", 1);
 }
--- a/packages/gossip/src/gossip.c
+++ b/packages/gossip/src/gossip.c
@@ -6,25 +6,25 @@
 #include <stdio.h>
 #include <string.h>
 
-#define GOSSIP_MAGIC 0x6377303a /* names the layout below; others are ignored */
+#define GOSSIP_MAGIC 0x6377303a /* identifies the layout below; other values are rejected */
 
 static bool_t code(XDR *xdr, struct cw_gossip *gossip);
 static bool_t code_member(XDR *xdr, struct cw_gossip_member *member);
 static bool_t code_address(XDR *xdr, char *address);
 static bool_t code_load(XDR *xdr, struct cw_gossip_load *load);
 static bool_t code_rollout(XDR *xdr, struct cw_rollout_news *news);
-static bool_t code_end(XDR *xdr, struct cw_quarantine_end *end);
-static bool_t code_held(XDR *xdr, struct cw_quarantine_record *record);
+static bool_t code_crash(XDR *xdr, struct cw_quarantine_end *end);
+static bool_t code_quarantined(XDR *xdr, struct cw_quarantine_record *record);
 static bool_t code_drain(XDR *xdr, struct cw_drain_order *order);
 static bool_t code_plan(XDR *xdr, struct cw_rollout_news *news);
 static bool_t code_evidence(XDR *xdr, struct cw_rollout_evidence *evidence);
 static bool_t code_number(XDR *xdr, float *number);
 
 /*
- * Sixty instances that each told all others everything filled links of 10 Mbit/s for half a second:
- * 2.5 kB to 65 peers each 150 ms. Sessions and loads take a tenth of it; what ended servers was up
- * to 4 kB more, just as they crash. The offset is left out as well: without the records before it,
- * it would send every reader to the store.
+ * Sixty instances that each sent the full message to all others filled links of 10 Mbit/s for half
+ * a second: 2.5 kB to 65 peers every 150 ms. Sessions and loads take a tenth of that; reports of
+ * server crashes took up to 4 kB more, just while servers crash. The offset is left out as well:
+ * without the records before it, every recipient would see a gap and read the shared store.
  */
 void cw_gossip_cut(struct cw_gossip *gossip)
 {
@@ -45,7 +45,7 @@
 	size_t used = 0;
 
 	xdrmem_create(&xdr, bytes, (u_int)size, XDR_ENCODE);
-	/* One function for both directions: encoding only reads what it is given. */
+	/* One function codes both directions; encoding doesn't write to the message. */
 	if (code(&xdr, (struct cw_gossip *)gossip))
 		used = xdr_getpos(&xdr);
 	xdr_destroy(&xdr);
@@ -53,9 +53,10 @@
 }
 
 /*
- * Load pattern: hundreds of instances that each tell a few of the other domains send bytes between
- * domains, the dear ones, in proportion to their number, though a domain passes on among its own
- * what any of it heard. A large domain sends as much as a small one, its instances by turns.
+ * Load pattern: when each of hundreds of instances sends to a few of the other domains, traffic
+ * between domains, which is the expensive part, grows with their number, though instances of one
+ * domain pass on to each other what any of them received. So a large domain sends as much as a
+ * small one, its instances in turn.
  */
 size_t cw_gossip_foreign_fanout(size_t own_domain, uint64_t random)
 {
@@ -69,13 +70,13 @@
 enum cw_status cw_gossip_decode(const char *bytes, size_t size, struct cw_gossip *gossip)
 {
 	XDR xdr;
-	bool_t whole;
+	bool_t is_complete;
 
 	memset(gossip, 0, sizeof(*gossip));
 	xdrmem_create(&xdr, (char *)bytes, (u_int)size, XDR_DECODE);
-	whole = code(&xdr, gossip);
+	is_complete = code(&xdr, gossip);
 	xdr_destroy(&xdr);
-	return whole ? CW_OK : CW_INVALID;
+	return is_complete ? CW_OK : CW_INVALID;
 }
 
 static bool_t code(XDR *xdr, struct cw_gossip *gossip)
@@ -115,12 +116,12 @@
 	if (!gossip_code_count(xdr, &gossip->end_count, CW_QUARANTINE_ENDS))
 		return FALSE;
 	for (size_t i = 0; i < gossip->end_count; i++)
-		if (!code_end(xdr, &gossip->ends[i]))
+		if (!code_crash(xdr, &gossip->ends[i]))
 			return FALSE;
 	if (!gossip_code_count(xdr, &gossip->held_count, CW_QUARANTINE_RECORDS))
 		return FALSE;
 	for (size_t i = 0; i < gossip->held_count; i++)
-		if (!code_held(xdr, &gossip->held[i]))
+		if (!code_quarantined(xdr, &gossip->held[i]))
 			return FALSE;
 	if (!gossip_code_count(xdr, &gossip->drain_count, CW_DRAINS))
 		return FALSE;
@@ -130,7 +131,7 @@
 	return TRUE;
 }
 
-static bool_t code_end(XDR *xdr, struct cw_quarantine_end *end)
+static bool_t code_crash(XDR *xdr, struct cw_quarantine_end *end)
 {
 	return xdr_uint64_t(xdr, &end->fingerprint) && xdr_uint64_t(xdr, &end->server) &&
 	       xdr_int(xdr, &end->is_alive) && xdr_u_int(xdr, &end->age_ms) &&
@@ -138,7 +139,7 @@
 	       xdr_int(xdr, &end->is_confirmed) && xdr_u_int(xdr, &end->answered_ms);
 }
 
-static bool_t code_held(XDR *xdr, struct cw_quarantine_record *record)
+static bool_t code_quarantined(XDR *xdr, struct cw_quarantine_record *record)
 {
 	return xdr_uint64_t(xdr, &record->fingerprint) &&
 	       gossip_code_text(xdr, record->organisation, CW_NAME_MAX) &&
@@ -160,7 +161,7 @@
 	       code_address(xdr, member->address) && xdr_u_int(xdr, &member->age_ms);
 }
 
-/* "IP:PORT" in eight bytes: most of what instances tell all the time is who there is. */
+/* "IP:PORT" in eight bytes: names and addresses of members are the bulk of each message. */
 static bool_t code_address(XDR *xdr, char *address)
 {
 	struct in_addr ip = {0};
@@ -238,7 +239,7 @@
 	return TRUE;
 }
 
-/* A step in force before its order would move sessions at once: no instance tells that. */
+/* A step in force before its order would move sessions at once: no instance announces that. */
 static bool_t code_plan(XDR *xdr, struct cw_rollout_news *news)
 {
 	for (size_t i = 0; i < CW_ROLLOUT_STEPS; i++)
@@ -271,7 +272,7 @@
 	       code_number(xdr, &evidence->new_past_bad);
 }
 
-/* A figure that is no finite count would poison every sum it enters. */
+/* A number that is not finite would corrupt every sum that it is added to. */
 static bool_t code_number(XDR *xdr, float *number)
 {
 	return xdr_float(xdr, number) && isfinite(*number) && *number >= 0;
--- a/packages/gossip/src/gossip_internal.h
+++ b/packages/gossip/src/gossip_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the package share: how parts of messages are coded, in both directions. */
+/* XDR functions for parts of messages, each for both directions: encoding and decoding. */
 #ifndef GOSSIP_INTERNAL_H
 #define GOSSIP_INTERNAL_H
 
--- a/packages/gossip/src/list.c
+++ b/packages/gossip/src/list.c
@@ -1,6 +1,6 @@
 /*
- * The servers' list as it goes over a connection: whole, or the records since an offset. Both are
- * compressed, since most of an entry is the same text in all of them.
+ * Encoding of the server list for a connection: as a snapshot, or as the records since an offset.
+ * Both are compressed, since most of an entry's text repeats in all entries.
  */
 #include "cw_pack.h"
 #include "gossip_internal.h"
@@ -8,24 +8,24 @@
 #include <glib.h>
 #include <string.h>
 
-#define LIST_MAGIC    0x6377303b		   /* names the layout of a whole list, */
-#define CHANGES_MAGIC 0x6377303c		   /* of records; others are ignored */
-#define HEAD_BYTES    64			   /* of either, before the first entry */
-#define ENTRY_BYTES   (5 * (CW_NAME_MAX + 4) + 64) /* of one entry at most, with its lengths */
-#define RAW_MAX	      (HEAD_BYTES + CW_MAX_SERVERS * ENTRY_BYTES)
+#define LIST_MAGIC    0x6377303b		   /* identifies the layout of a snapshot */
+#define CHANGES_MAGIC 0x6377303c		   /* of records; another value is rejected */
+#define HEADER_BYTES  64			   /* of either layout, before the first entry */
+#define ENTRY_BYTES   (5 * (CW_NAME_MAX + 4) + 64) /* of one entry at most, lengths included */
+#define RAW_MAX_BYTES (HEADER_BYTES + CW_MAX_SERVERS * ENTRY_BYTES)
 
 static bool_t code_list(XDR *xdr, struct cw_gossip_list *list);
 static bool_t code_changes(XDR *xdr, struct cw_gossip_changes *changes);
 
 char *cw_gossip_list_encode(const struct cw_gossip_list *list, size_t *size)
 {
-	size_t room = HEAD_BYTES + list->count * ENTRY_BYTES;
-	char *raw = g_malloc(room);
+	size_t capacity = HEADER_BYTES + list->count * ENTRY_BYTES;
+	char *raw = g_malloc(capacity);
 	char *bytes;
 	XDR xdr;
 
-	xdrmem_create(&xdr, raw, (u_int)room, XDR_ENCODE);
-	/* The room is the most that the entries can take: this can't fail. */
+	xdrmem_create(&xdr, raw, (u_int)capacity, XDR_ENCODE);
+	/* Can't fail: the buffer has the largest size that the entries can take. */
 	code_list(&xdr, (struct cw_gossip_list *)list);
 	bytes = cw_pack(raw, xdr_getpos(&xdr), size);
 	xdr_destroy(&xdr);
@@ -36,18 +36,18 @@
 enum cw_status cw_gossip_list_decode(const char *bytes, size_t size, struct cw_gossip_list *list)
 {
 	size_t raw_size;
-	char *raw = cw_unpack(bytes, size, RAW_MAX, &raw_size);
-	bool_t is_whole = FALSE;
+	char *raw = cw_unpack(bytes, size, RAW_MAX_BYTES, &raw_size);
+	bool_t is_complete = FALSE;
 	XDR xdr;
 
 	memset(list, 0, sizeof(*list));
 	if (raw) {
 		xdrmem_create(&xdr, raw, (u_int)raw_size, XDR_DECODE);
-		is_whole = code_list(&xdr, list);
+		is_complete = code_list(&xdr, list);
 		xdr_destroy(&xdr);
 	}
 	g_free(raw);
-	if (is_whole)
+	if (is_complete)
 		return CW_OK;
 	g_clear_pointer(&list->entries, g_free);
 	list->count = 0;
@@ -56,12 +56,12 @@
 
 char *cw_gossip_changes_encode(const struct cw_gossip_changes *changes, size_t *size)
 {
-	size_t room = HEAD_BYTES + changes->count * ENTRY_BYTES;
-	char *raw = g_malloc(room);
+	size_t capacity = HEADER_BYTES + changes->count * ENTRY_BYTES;
+	char *raw = g_malloc(capacity);
 	char *bytes;
 	XDR xdr;
 
-	xdrmem_create(&xdr, raw, (u_int)room, XDR_ENCODE);
+	xdrmem_create(&xdr, raw, (u_int)capacity, XDR_ENCODE);
 	code_changes(&xdr, (struct cw_gossip_changes *)changes);
 	bytes = cw_pack(raw, xdr_getpos(&xdr), size);
 	xdr_destroy(&xdr);
@@ -73,18 +73,18 @@
 					struct cw_gossip_changes *changes)
 {
 	size_t raw_size;
-	char *raw = cw_unpack(bytes, size, RAW_MAX, &raw_size);
-	bool_t is_whole = FALSE;
+	char *raw = cw_unpack(bytes, size, RAW_MAX_BYTES, &raw_size);
+	bool_t is_complete = FALSE;
 	XDR xdr;
 
 	memset(changes, 0, sizeof(*changes));
 	if (raw) {
 		xdrmem_create(&xdr, raw, (u_int)raw_size, XDR_DECODE);
-		is_whole = code_changes(&xdr, changes);
+		is_complete = code_changes(&xdr, changes);
 		xdr_destroy(&xdr);
 	}
 	g_free(raw);
-	if (is_whole)
+	if (is_complete)
 		return CW_OK;
 	g_clear_pointer(&changes->changes, g_free);
 	changes->count = 0;
