--- a/packages/follow/include/cw_uplink.h
+++ b/packages/follow/include/cw_uplink.h
@@ -1,6 +1,6 @@
 /*
- * How much state an instance sends to peers that ask for it. Its link carries its callers' answers
- * as well. Sans-I/O.
+ * Rate limit for the state that an instance sends to peers on request: the same link carries the
+ * answers to callers. Sans-I/O.
  */
 #ifndef CW_UPLINK_H
 #define CW_UPLINK_H
@@ -9,13 +9,13 @@
 #include <stdint.h>
 
 struct cw_uplink {
-	double bytes_per_ms;  /* that may go to peers; 0: no limit */
-	double busy_until_ms; /* what was taken on is sent by then */
+	double bytes_per_ms;  /* allowed for peers; 0: no limit */
+	double busy_until_ms; /* end of the transfers that were admitted */
 };
 
-void cw_uplink_open(struct cw_uplink *uplink, double link_mbps); /* 0: not known */
+void cw_uplink_open(struct cw_uplink *uplink, double link_mbps); /* 0: unknown, no limit */
 int cw_uplink_admits(const struct cw_uplink *uplink,
-		     int64_t now_ms); /* 0: peers wait already, another instance is to be asked */
+		     int64_t now_ms); /* 0: transfers are queued; the peer asks another instance */
 void cw_uplink_sent(struct cw_uplink *uplink, size_t bytes, int64_t now_ms);
 
 #endif
--- a/packages/follow/src/follow.c
+++ b/packages/follow/src/follow.c
@@ -4,13 +4,14 @@
 #include <glib.h>
 #include <string.h>
 
-static int is_news(struct cw_follow *follow, const struct cw_follow_proof *proof);
-static void keep(struct cw_follow *follow, const struct cw_change *change, int64_t now_ms);
+static int is_new_evidence(struct cw_follow *follow, const struct cw_follow_proof *proof);
+static void append_change(struct cw_follow *follow, const struct cw_change *change, int64_t now_ms);
 
 /*
- * An own read may be under way when the whole list comes from a peer: its answer still counts from
- * where it was asked. Counted from the new list's end, 140 records were taken twice, the list stood
- * at 423 of 283, and of 80 instances 78 took no record for 14 s, while 37 servers left.
+ * An own read may be in progress when a peer's snapshot arrives: the records of its answer are
+ * still counted from the offset that it was sent with. Counted from the snapshot's end, 140 records
+ * were applied twice, the read position was 423 in a log of 283 records, and 78 of 80 instances
+ * applied no record for 14 s, while 37 servers left.
  */
 void cw_follow_start(struct cw_follow *follow, uint64_t from)
 {
@@ -24,16 +25,16 @@
 }
 
 /*
- * Peers may bring records while an own read waits, and its answer then repeats them. Counting the
- * answer's records from where the list stands now, instead of by their offsets, skips as many that
- * were never seen: a server that has left goes on getting requests.
+ * Peers may send records while an own read is in progress, and its answer then repeats them.
+ * Counting the answer's records from the current read position, instead of by their offsets, would
+ * skip as many unseen records: a server that has left would still get requests.
  */
 int cw_follow_take_record(struct cw_follow *follow, const struct cw_change *change, int64_t now_ms)
 {
 	if (change->offset != follow->from)
 		return 0;
 	follow->from++;
-	keep(follow, change, now_ms);
+	append_change(follow, change, now_ms);
 	return 1;
 }
 
@@ -64,15 +65,15 @@
 
 int cw_follow_hear(struct cw_follow *follow, const struct cw_change *changes, size_t count,
 		   const struct cw_follow_word *word, int64_t now_ms,
-		   void (*take)(void *context, const struct cw_change *change), void *context)
+		   void (*apply)(void *context, const struct cw_change *change), void *context)
 {
 	for (size_t i = 0; i < count; i++)
 		if (cw_follow_take_record(follow, &changes[i], now_ms))
-			take(context, &changes[i]);
+			apply(context, &changes[i]);
 	if (follow->from < word->from)
 		return 0;
-	/* Their word is as old as the last answer that one of us got from the store. */
-	if (is_news(follow, &word->proof) && now_ms - word->age_ms > follow->fresh_ms) {
+	/* A peer's list is as old as the last answer of the shared store that it rests on. */
+	if (is_new_evidence(follow, &word->proof) && now_ms - word->age_ms > follow->fresh_ms) {
 		follow->fresh_ms = now_ms - word->age_ms;
 		follow->proof = word->proof;
 	}
@@ -87,30 +88,31 @@
 }
 
 /*
- * Symptom this prevents: readers were cut off from the store, and for 3 s nobody read in their
- * place. A word loses the time that it was on its way; passed on from peer to peer again and again,
- * the same old answer seemed ever newer. So each answer counts once, as it is first heard of.
+ * Symptom this prevents: the readers lost the shared store, and for 3 s no other instance took
+ * over. The age in a report leaves out the time of its transfer; passed on from peer to peer
+ * repeatedly, the same old answer seemed ever newer. So each answer counts once, when it is first
+ * reported.
  */
-static int is_news(struct cw_follow *follow, const struct cw_follow_proof *proof)
+static int is_new_evidence(struct cw_follow *follow, const struct cw_follow_proof *proof)
 {
-	struct cw_follow_proof *known = NULL;
+	struct cw_follow_proof *newest = NULL;
 
 	if (!proof->number || proof->reader == follow->self)
 		return 0;
 	for (size_t i = 0; i < CW_FOLLOW_READERS; i++)
-		if (follow->known[i].reader == proof->reader)
-			known = &follow->known[i];
-	if (!known) {
-		known = &follow->known[follow->known_next++ % CW_FOLLOW_READERS];
-		*known = (struct cw_follow_proof){.reader = proof->reader};
+		if (follow->newest[i].reader == proof->reader)
+			newest = &follow->newest[i];
+	if (!newest) {
+		newest = &follow->newest[follow->newest_next++ % CW_FOLLOW_READERS];
+		*newest = (struct cw_follow_proof){.reader = proof->reader};
 	}
-	if (proof->number <= known->number)
+	if (proof->number <= newest->number)
 		return 0;
-	known->number = proof->number;
+	newest->number = proof->number;
 	return 1;
 }
 
-static void keep(struct cw_follow *follow, const struct cw_change *change, int64_t now_ms)
+static void append_change(struct cw_follow *follow, const struct cw_change *change, int64_t now_ms)
 {
 	if (follow->count == CW_FOLLOW_CHANGES) {
 		follow->count--;
--- a/packages/follow/src/readers.c
+++ b/packages/follow/src/readers.c
@@ -4,24 +4,24 @@
 #include <glib.h>
 #include <math.h>
 
-#define STEP_MS		50 /* between two of those that stand in: a message in a domain takes less */
-#define LATE_STEP_MS	25  /* between two of the others: at most 40 more calls a second, */
-#define LATE_RANKS	200 /* up to this one; then at most 10 */
-#define LAST_STEP_MS	100
-#define RETRY_MS	150  /* a lost answer */
-#define RETRY_MAX_MS	1200 /* the return of the store is noticed within it, and then told on */
-#define RETRY_RARE_MS	5000 /* of those after the first ten: when these all fail, so do they */
-#define RETRY_RANKS	100  /* later ones, which may be a thousand, wait longer in proportion */
-#define HEAR_MS		30 /* a live peer's answer and its state take 20 ms; callers wait meanwhile */
-#define SPREAD_MS	120 /* of the early ones, one in so many: who starts alone is soon served */
-#define EARLY		20
-#define ALONE_MS	600 /* who has heard of nobody by then starts alone, or behind a cut */
-#define ALONE_SPREAD_MS 400
-#define FIRST_HEAR_MS	500 /* the same before the first callers come, seconds later */
-#define FIRST_SPREAD_MS 1500
-#define PATIENCE_MS	10000  /* after a start, for peers that send state to others first */
-#define REST_MS		6000   /* until one of so few instances reads on that no other has */
-#define REST_INSTANCES	4096.0 /* of so many, one reads on at once */
+#define STANDBY_STEP_MS	      50 /* between standby ranks: a message in a failure domain takes less */
+#define LATE_STEP_MS	      25  /* between two later ranks: at most 40 more calls per second */
+#define LATE_RANKS	      200 /* last of these ranks; then at most 10 calls per second */
+#define REMAINING_STEP_MS     100
+#define RETRY_MS	      150  /* after a lost answer */
+#define RETRY_MAX_MS	      1200 /* bounds the delay in detecting that the shared store is back */
+#define RETRY_OTHERS_MS	      5000 /* of later ranks: if all of the first ten fail, so do these */
+#define RETRY_BASE_RANKS      100  /* later ranks, up to a thousand, wait longer in proportion */
+#define PEER_ANSWER_MS	      30   /* a live peer's answer and its state take 20 ms; callers wait */
+#define EARLY_SPREAD_MS	      120  /* of early instances: one that starts alone is ready soon */
+#define EARLY_DIVISOR	      20   /* one instance in so many reads early */
+#define ALONE_WAIT_MS	      600 /* without a known peer by then: alone, or in a network partition */
+#define ALONE_SPREAD_MS	      400
+#define FIRST_START_WAIT_MS   500 /* the same at the system's first start, seconds before callers */
+#define FIRST_START_SPREAD_MS 1500
+#define PEER_STATE_TIMEOUT_MS 10000  /* after a start: peers may serve others first */
+#define JITTER_MAX_MS	      6000   /* longest startup jitter, for few instances */
+#define JITTER_INSTANCES      4096.0 /* one in so many skips the jitter */
 
 int cw_readers_is_first(size_t rank)
 {
@@ -29,24 +29,25 @@
 }
 
 /*
- * Load pattern: the store is silent for 8 s in a system of 195 instances. Each found its list old
- * and asked for it and for the configuration every 1.2 s: 1,830 calls, each of them paid for. What
- * one instance learns reaches the others in messages; the readers may be the ones that are cut off,
- * so ten ranks step in within 0.4 s. Only when these fail too does it come to the rest, one by one.
+ * Load pattern: the shared store doesn't answer for 8 s in a system of 195 instances. Each instance
+ * found its list stale and requested the list and the configuration every 1.2 s: 1,830 calls, each
+ * of which costs money. What one instance reads reaches the others by gossip. The readers may be
+ * the ones that lost the shared store, so ten ranks take over within 0.4 s; only when these fail
+ * too do the other ranks follow, one by one.
  */
 int64_t cw_readers_step_in_ms(size_t rank)
 {
-	int64_t stand_in_ms = CW_READERS_STAND_IN * STEP_MS;
+	int64_t standby_ms = CW_READERS_STAND_IN * STANDBY_STEP_MS;
 	size_t late;
-	size_t last;
+	size_t remaining;
 
 	if (cw_readers_is_first(rank))
 		return 0;
 	if (rank < CW_READERS_STAND_IN)
-		return (int64_t)(rank - CW_READERS) * STEP_MS;
+		return (int64_t)(rank - CW_READERS) * STANDBY_STEP_MS;
 	late = MIN(rank, LATE_RANKS) - CW_READERS_STAND_IN;
-	last = rank > LATE_RANKS ? rank - LATE_RANKS : 0;
-	return stand_in_ms + (int64_t)late * LATE_STEP_MS + (int64_t)last * LAST_STEP_MS;
+	remaining = rank > LATE_RANKS ? rank - LATE_RANKS : 0;
+	return standby_ms + (int64_t)late * LATE_STEP_MS + (int64_t)remaining * REMAINING_STEP_MS;
 }
 
 int64_t cw_readers_again_ms(size_t rank, unsigned int failures, uint64_t random)
@@ -54,7 +55,7 @@
 	int64_t wait_ms = RETRY_MS;
 
 	if (rank >= CW_READERS_STAND_IN) {
-		wait_ms = RETRY_RARE_MS * (int64_t)MAX(rank, RETRY_RANKS) / RETRY_RANKS;
+		wait_ms = RETRY_OTHERS_MS * (int64_t)MAX(rank, RETRY_BASE_RANKS) / RETRY_BASE_RANKS;
 		return wait_ms + (int64_t)(random % (uint64_t)wait_ms);
 	}
 	while (failures-- > 1 && wait_ms < RETRY_MAX_MS)
@@ -64,31 +65,34 @@
 }
 
 /*
- * Load pattern: 195 instances start at one moment. Each that knew no other took itself for the
- * first and read by itself: 2,356 calls before the first caller came, and as many again when all
- * were restarted. The seeds, which the others ask first, read at once; who hears of no peer in time
- * reads all the same. A configuration is hundreds of kilobytes: read by a thousand instances it
- * keeps the store busy for ten seconds, and every call that comes meanwhile fails.
+ * Load pattern: 195 instances start at one moment. Each instance without a known peer ranked itself
+ * first and read the shared store: 2,356 calls before the first caller, and as many when all were
+ * restarted. Now the seeds, which the others ask first, read at once, and an instance that learns
+ * of no peer in time reads as well. A configuration is hundreds of kilobytes: read by a thousand
+ * instances it keeps the shared store busy for ten seconds, and every call in that time fails.
  */
 void cw_readers_start(const struct cw_readers_start *start, struct cw_readers_first *first)
 {
-	first->is_early = start->is_seed || (!start->is_first && start->random % EARLY == 0);
+	first->is_early =
+		start->is_seed || (!start->is_first && start->random % EARLY_DIVISOR == 0);
 	if (start->is_seed)
 		first->wait_ms = 0;
 	else if (start->is_first)
-		first->wait_ms = FIRST_HEAR_MS + (int64_t)(start->random % FIRST_SPREAD_MS);
+		first->wait_ms =
+			FIRST_START_WAIT_MS + (int64_t)(start->random % FIRST_START_SPREAD_MS);
 	else if (first->is_early)
-		first->wait_ms = HEAR_MS + (int64_t)(start->random / EARLY % SPREAD_MS);
+		first->wait_ms =
+			PEER_ANSWER_MS + (int64_t)(start->random / EARLY_DIVISOR % EARLY_SPREAD_MS);
 	else
-		first->wait_ms = ALONE_MS + (int64_t)(start->random % ALONE_SPREAD_MS);
+		first->wait_ms = ALONE_WAIT_MS + (int64_t)(start->random % ALONE_SPREAD_MS);
 }
 
-/* State that peers have is awaited from them; a long list is sent to some of those that ask. */
+/* Prefers state from peers; with a long list, peers serve only some of the requests. */
 enum cw_readers_step cw_readers_next(const struct cw_readers_view *view)
 {
 	if (view->is_awaited)
 		return CW_READERS_ASK;
-	if (view->is_coming && view->running_ms < PATIENCE_MS)
+	if (view->is_coming && view->running_ms < PEER_STATE_TIMEOUT_MS)
 		return CW_READERS_AWAIT;
 	if (!view->has_rested && view->knows_peers)
 		return CW_READERS_REST;
@@ -97,12 +101,13 @@
 
 /*
  * Load pattern: a thousand instances are restarted at one moment, and a list of ten thousand
- * servers is twenty pages. How many read it is not known to any of them, so each draws its wait
- * such that as many begin early of a thousand as of a hundred: a few, whose lists the others take.
+ * servers is twenty pages. No instance knows how many others read the list, so the jitter is drawn
+ * such that as many of a thousand begin early as of a hundred: a few, from which the others get the
+ * list.
  */
 int64_t cw_readers_rest_ms(uint64_t random)
 {
-	double part = MAX(cw_hash_part(random), 1 / REST_INSTANCES);
+	double part = MAX(cw_hash_part(random), 1 / JITTER_INSTANCES);
 
-	return (int64_t)(REST_MS * (1 + log(part) / log(REST_INSTANCES)));
+	return (int64_t)(JITTER_MAX_MS * (1 + log(part) / log(JITTER_INSTANCES)));
 }
--- a/packages/follow/src/tail.c
+++ b/packages/follow/src/tail.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 struct cw_tail {
-	GQueue records; /* of struct cw_change, by offset without a gap */
+	GQueue records; /* of struct cw_change, of consecutive offsets */
 };
 
 static const struct cw_change *newest(const struct cw_tail *tail);
@@ -54,7 +54,7 @@
 	return count;
 }
 
-/* NULL: none is kept. */
+/* NULL: the tail is empty. */
 static const struct cw_change *newest(const struct cw_tail *tail)
 {
 	return tail->records.tail ? tail->records.tail->data : NULL;
