--- a/packages/limits/include/cw_repeats.h
+++ b/packages/limits/include/cw_repeats.h
@@ -1,6 +1,6 @@
 /*
- * A budget of sends beyond the first of each request, over a sliding window. Without it, a service
- * that fails is met by more load than before and can't recover.
+ * A budget for sends beyond the first of each request, over a sliding window. Without the budget, a
+ * failing service gets more load than before and can't recover.
  */
 #ifndef CW_REPEATS_H
 #define CW_REPEATS_H
@@ -12,16 +12,16 @@
 
 struct cw_repeats {
 	double ratio;
-	double slack; /* sends beyond the ratio, of this instance */
+	double slack; /* sends allowed beyond the ratio, for this instance */
 	int64_t bucket_ms;
-	int64_t bucket; /* number of the newest one */
+	int64_t bucket; /* number of the newest bucket */
 	unsigned int first[CW_REPEAT_BUCKETS];
-	unsigned int again[CW_REPEAT_BUCKETS];
+	unsigned int repeated[CW_REPEAT_BUCKETS];
 };
 
 void cw_repeats_open(struct cw_repeats *repeats, double ratio, double slack, int64_t window_ms);
-double cw_repeats_part(double slack, size_t instances); /* one instance's; 0 instances: unknown */
+double cw_repeats_part(double slack, size_t instances); /* of one instance; 0 instances: unknown */
 void cw_repeats_first(struct cw_repeats *repeats, int64_t now_ms);
-int cw_repeats_take(struct cw_repeats *repeats, int64_t now_ms); /* 0: spent */
+int cw_repeats_take(struct cw_repeats *repeats, int64_t now_ms); /* 0: the budget is spent */
 
 #endif
--- a/packages/limits/src/limits.c
+++ b/packages/limits/src/limits.c
@@ -5,14 +5,14 @@
 #include <string.h>
 #include <sys/queue.h>
 
-#define BURST_S		   1.0 /* a bucket holds this many seconds of its rate */
-#define DEMAND_WINDOW_MS   1000
-#define WANTED_MS	   2000 /* a refusal asks for loans this long */
-#define KEEP_FACTOR	   1.05 /* a lender keeps its own usual demand and a little more */
-#define DEMAND_SMOOTHING   0.3
-#define RETRY_FILL	   0.1 /* of a retry per success */
-#define RETRY_MAX	   20.0
-#define RETRY_AFTER_MAX_MS 5000
+#define BURST_S		    1.0 /* seconds of its rate that a bucket holds */
+#define DEMAND_WINDOW_MS    1000
+#define LOAN_REQUEST_MS	    2000 /* time after a rejection during which loans are requested */
+#define KEEP_FACTOR	    1.05 /* a lender keeps its own smoothed demand and 5 % */
+#define DEMAND_SMOOTHING    0.3
+#define RETRIES_PER_SUCCESS 0.1 /* retries gained per success */
+#define RETRY_BUDGET_MAX    20.0
+#define RETRY_AFTER_MAX_MS  5000
 
 struct loan {
 	LIST_ENTRY(loan) link;
@@ -25,16 +25,16 @@
 
 struct row_share {
 	uint64_t row;
-	double requests; /* tokens in the bucket of requests */
+	double requests; /* tokens in the bucket for requests */
 	double tokens;
 	int64_t filled_ms;
 	unsigned int running;
 	struct loan_list lent;
 	struct loan_list borrowed;
-	int64_t refused_ms; /* -1 never */
-	int64_t window_ms;  /* start of the window in which demand is counted */
-	double window_use;  /* parts' worth of use in the window: the largest of the three limits */
-	double demand;	    /* smoothed over windows, in parts */
+	int64_t rejected_ms; /* last rejection; -1: none */
+	int64_t window_ms;   /* start of the window in which demand is counted */
+	double window_use;   /* use in the window, in parts: the largest of the three limits' */
+	double demand;	     /* smoothed over windows, in parts */
 };
 
 struct cw_limits {
@@ -45,12 +45,12 @@
 
 static struct row_share *share_of(struct cw_limits *limits, uint64_t row);
 static void share_destroy(gpointer share);
-static uint32_t loans_out(struct loan_list *loans, int64_t now_ms);
-static uint32_t loans_in(struct loan_list *loans, int64_t now_ms);
+static uint32_t lent_parts(struct loan_list *loans, int64_t now_ms);
+static uint32_t borrowed_parts(struct loan_list *loans, int64_t now_ms);
 static void drop_expired(struct loan_list *loans, int64_t now_ms);
 static int is_largest(struct loan_list *loans, const struct loan *loan);
 static void drop_covered(struct loan_list *loans, uint64_t peer, uint32_t parts);
-static double fraction(struct cw_limits *limits, struct row_share *share, int64_t now_ms);
+static double share_fraction(struct cw_limits *limits, struct row_share *share, int64_t now_ms);
 static void refill(struct row_share *share, const struct cw_limit *limit, double part,
 		   int64_t now_ms);
 static unsigned int slots(const struct cw_limits *limits, struct row_share *share,
@@ -58,7 +58,7 @@
 static double base_slots(const struct cw_limits *limits, double concurrent);
 static void count_demand(struct row_share *share, const struct cw_limit *limit, double tokens,
 			 int64_t now_ms);
-static int64_t wait_for(double lacking, double rate);
+static int64_t refill_time_ms(double lacking, double rate);
 
 struct cw_limits *cw_limits_create(void)
 {
@@ -91,22 +91,23 @@
 			       double tokens, int64_t now_ms, int64_t *retry_after_ms)
 {
 	struct row_share *share = share_of(limits, limit->row);
-	double part = fraction(limits, share, now_ms);
+	double part = share_fraction(limits, share, now_ms);
 	int64_t wait_ms = 0;
 
 	count_demand(share, limit, tokens, now_ms);
 	refill(share, limit, part, now_ms);
 	if (!isnan(limit->requests_per_s) && share->requests < 1)
-		wait_ms = wait_for(1 - share->requests, limit->requests_per_s * part);
-	/* Tokens are known only at the end: a bucket above zero admits, and the answer may overdraw
-	 * it. */
+		wait_ms = refill_time_ms(1 - share->requests, limit->requests_per_s * part);
+	/* The token count is known only at the end: a bucket above zero admits a request, whose
+	 * answer may overdraw the bucket. */
 	if (!isnan(limit->tokens_per_s) && share->tokens <= 0)
-		wait_ms = MAX(wait_ms, wait_for(1 - share->tokens, limit->tokens_per_s * part));
+		wait_ms =
+			MAX(wait_ms, refill_time_ms(1 - share->tokens, limit->tokens_per_s * part));
 	if (!isnan(limit->concurrent) &&
 	    share->running >= slots(limits, share, limit->concurrent, now_ms))
 		wait_ms = MAX(wait_ms, 250);
 	if (wait_ms > 0) {
-		share->refused_ms = now_ms;
+		share->rejected_ms = now_ms;
 		*retry_after_ms = wait_ms;
 		return CW_FULL;
 	}
@@ -127,7 +128,7 @@
 
 uint32_t cw_limits_share(struct cw_limits *limits, uint64_t row, int64_t now_ms)
 {
-	return (uint32_t)(fraction(limits, share_of(limits, row), now_ms) * CW_LIMIT_WHOLE);
+	return (uint32_t)(share_fraction(limits, share_of(limits, row), now_ms) * CW_LIMIT_WHOLE);
 }
 
 size_t cw_limits_wanted(struct cw_limits *limits, int64_t now_ms, uint64_t *rows, uint32_t *parts,
@@ -140,16 +141,16 @@
 	g_hash_table_iter_init(&iter, limits->rows);
 	while (count < max && g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct row_share *share = value;
-		double lacks = share->demand * KEEP_FACTOR -
-			       fraction(limits, share, now_ms) * CW_LIMIT_WHOLE;
-		uint32_t held = loans_in(&share->borrowed, now_ms);
+		double missing = share->demand * KEEP_FACTOR -
+				 share_fraction(limits, share, now_ms) * CW_LIMIT_WHOLE;
+		uint32_t borrowed = borrowed_parts(&share->borrowed, now_ms);
 
-		if (share->refused_ms < 0 || now_ms - share->refused_ms > WANTED_MS)
-			if (held == 0)
+		if (share->rejected_ms < 0 || now_ms - share->rejected_ms > LOAN_REQUEST_MS)
+			if (borrowed == 0)
 				continue;
-		/* A loan still used is asked for again before its term ends. */
+		/* A loan still in use is renewed before its term ends. */
 		rows[count] = share->row;
-		parts[count] = (uint32_t)CLAMP(lacks + held, 0, CW_LIMIT_WHOLE);
+		parts[count] = (uint32_t)CLAMP(missing + borrowed, 0, CW_LIMIT_WHOLE);
 		count += parts[count] > 0;
 	}
 	return count;
@@ -162,26 +163,26 @@
 	double base = limits->instances ? (double)CW_LIMIT_WHOLE / (double)limits->instances : 0;
 	double idle = now_ms - share->window_ms > 2 * DEMAND_WINDOW_MS ? 0 : share->demand;
 	double spare = base - idle * KEEP_FACTOR;
-	uint32_t bound = 0;
+	uint32_t committed = 0;
 	struct loan *loan;
 
-	/* Slots are whole: no part of a slot may be lent that this instance does not hold. */
+	/* Slots are whole: this instance may lend only those that are its own. */
 	if (limit->concurrent > 0)
 		spare = MIN(spare, base_slots(limits, limit->concurrent) * CW_LIMIT_WHOLE /
 					   limit->concurrent);
-	loans_out(&share->lent, now_ms);
+	lent_parts(&share->lent, now_ms);
 	/*
-	 * A new grant takes the place of the borrower's last one, but the lender stays bound by the
-	 * largest until its term ends: granting less than that would leave the rest to nobody.
+	 * A new grant replaces the borrower's last one, but the lender stays bound by the
+	 * largest until its term ends: the difference to a smaller grant would be unused by both.
 	 */
 	LIST_FOREACH(loan, &share->lent, link) {
 		if (loan->peer == borrower)
-			bound = MAX(bound, loan->parts);
+			committed = MAX(committed, loan->parts);
 		else
 			spare -= loan->parts;
 	}
-	spare = MAX(spare, bound);
-	/* What is borrowed must not be lent on: its term is another's. */
+	spare = MAX(spare, committed);
+	/* Borrowed parts must not be lent on: another instance set their term. */
 	if (spare <= 0 || wanted == 0)
 		return 0;
 	wanted = MIN(wanted, (uint32_t)spare);
@@ -209,7 +210,7 @@
 		loan->peer = lender;
 		LIST_INSERT_HEAD(&share->borrowed, loan, link);
 	}
-	/* Grants may overtake each other; the later ask is the one the lender holds longest. */
+	/* Grants may arrive out of order; the lender holds the latest request's grant longest. */
 	if (asked_ms + CW_LOAN_TERM_MS < loan->until_ms)
 		return;
 	loan->parts = parts;
@@ -218,12 +219,12 @@
 
 void cw_retry_budget_open(struct cw_retry_budget *budget)
 {
-	budget->tokens = RETRY_MAX;
+	budget->tokens = RETRY_BUDGET_MAX;
 }
 
 void cw_retry_budget_success(struct cw_retry_budget *budget)
 {
-	budget->tokens = MIN(budget->tokens + RETRY_FILL, RETRY_MAX);
+	budget->tokens = MIN(budget->tokens + RETRIES_PER_SUCCESS, RETRY_BUDGET_MAX);
 }
 
 int cw_retry_budget_take(struct cw_retry_budget *budget)
@@ -243,7 +244,7 @@
 	share = g_new0(struct row_share, 1);
 	share->row = row;
 	share->filled_ms = -1;
-	share->refused_ms = -1;
+	share->rejected_ms = -1;
 	LIST_INIT(&share->lent);
 	LIST_INIT(&share->borrowed);
 	g_hash_table_insert(limits->rows, &share->row, share);
@@ -266,8 +267,8 @@
 	g_free(share);
 }
 
-/* Parts lent now: of one borrower only its largest loan, since each new grant replaces the last. */
-static uint32_t loans_out(struct loan_list *loans, int64_t now_ms)
+/* Parts lent now: only the largest loan per borrower, since each new grant replaces the last. */
+static uint32_t lent_parts(struct loan_list *loans, int64_t now_ms)
 {
 	const struct loan *loan;
 	uint32_t parts = 0;
@@ -280,7 +281,7 @@
 	return parts;
 }
 
-static uint32_t loans_in(struct loan_list *loans, int64_t now_ms)
+static uint32_t borrowed_parts(struct loan_list *loans, int64_t now_ms)
 {
 	const struct loan *loan;
 	uint32_t parts = 0;
@@ -306,7 +307,7 @@
 	}
 }
 
-/* Loans of one peer differ in their parts: cw_limits_lend drops what a new one covers. */
+/* Loans of one peer differ in parts: cw_limits_lend drops those that a new one covers. */
 static int is_largest(struct loan_list *loans, const struct loan *loan)
 {
 	const struct loan *other;
@@ -318,7 +319,7 @@
 	return 1;
 }
 
-/* A new loan lasts longer: one to the same borrower that is no larger says nothing more. */
+/* A new loan ends later, so the borrower's loans that are no larger are redundant. */
 static void drop_covered(struct loan_list *loans, uint64_t peer, uint32_t parts)
 {
 	struct loan *loan = LIST_FIRST(loans);
@@ -334,12 +335,12 @@
 	}
 }
 
-static double fraction(struct cw_limits *limits, struct row_share *share, int64_t now_ms)
+static double share_fraction(struct cw_limits *limits, struct row_share *share, int64_t now_ms)
 {
 	double parts = limits->instances ? (double)CW_LIMIT_WHOLE / (double)limits->instances : 0;
 
-	parts -= loans_out(&share->lent, now_ms);
-	parts = MAX(parts, 0) + loans_in(&share->borrowed, now_ms);
+	parts -= lent_parts(&share->lent, now_ms);
+	parts = MAX(parts, 0) + borrowed_parts(&share->borrowed, now_ms);
 	return parts / CW_LIMIT_WHOLE;
 }
 
@@ -351,29 +352,28 @@
 	double seconds =
 		share->filled_ms < 0 ? BURST_S : (double)(now_ms - share->filled_ms) / 1000;
 
-	/* Without a share the bucket is not empty but unknown: it is full once there is one. */
+	/* Without a share the bucket's size is unknown; the bucket is full once a share is set. */
 	if (part <= 0 && share->filled_ms < 0)
 		return;
 
 	share->filled_ms = now_ms;
-	/* A bucket holds one whole request even where a share is less than one a second. */
+	/* A bucket holds one whole request even if the share is less than one per second. */
 	share->requests = MIN(share->requests + requests * seconds, MAX(requests * BURST_S, 1));
 	share->tokens = MIN(share->tokens + tokens * seconds, tokens * BURST_S);
 }
 
-/* A lender gives up whole slots, a borrower gains only whole ones: the sum never exceeds the limit.
- */
+/* Loans move whole slots only, so that the sum of all slots never exceeds the limit. */
 static unsigned int slots(const struct cw_limits *limits, struct row_share *share,
 			  double concurrent, int64_t now_ms)
 {
-	double lent = ceil(loans_out(&share->lent, now_ms) * concurrent / CW_LIMIT_WHOLE - 1e-6);
-	double borrowed =
-		floor(loans_in(&share->borrowed, now_ms) * concurrent / CW_LIMIT_WHOLE + 1e-6);
+	double lent = ceil(lent_parts(&share->lent, now_ms) * concurrent / CW_LIMIT_WHOLE - 1e-6);
+	double borrowed = floor(
+		borrowed_parts(&share->borrowed, now_ms) * concurrent / CW_LIMIT_WHOLE + 1e-6);
 
 	return (unsigned int)MAX(base_slots(limits, concurrent) - lent + borrowed, 0);
 }
 
-/* Whole slots of a base share: rank by rank they add up to the limit. */
+/* Whole slots of a base share: over all ranks they add up to the limit. */
 static double base_slots(const struct cw_limits *limits, double concurrent)
 {
 	double total = floor(concurrent);
@@ -391,8 +391,8 @@
 	double use = 0;
 
 	if (now_ms - share->window_ms >= DEMAND_WINDOW_MS) {
-		/* One second's peak is noise: held back for it, every share would stand idle in
-		 * part. */
+		/* Smoothed, since a one-second peak is noise: reserving for peaks would leave a
+		 * part of every share unused. */
 		if (now_ms - share->window_ms < 2 * DEMAND_WINDOW_MS)
 			share->demand += DEMAND_SMOOTHING * (share->window_use - share->demand);
 		else
@@ -410,7 +410,7 @@
 					(share->running + 1) * CW_LIMIT_WHOLE / limit->concurrent);
 }
 
-static int64_t wait_for(double lacking, double rate)
+static int64_t refill_time_ms(double lacking, double rate)
 {
 	if (rate <= 0)
 		return RETRY_AFTER_MAX_MS;
