--- a/packages/follow/include/cw_follow.h
+++ b/packages/follow/include/cw_follow.h
@@ -48,7 +48,7 @@
 	int64_t fresh_ms; /* when the list was last known to be current */
 	size_t count;
 	struct cw_change changes[CW_FOLLOW_CHANGES]; /* consecutive; the last is from - 1 */
-	int64_t at_ms[CW_FOLLOW_CHANGES];
+	int64_t applied_ms[CW_FOLLOW_CHANGES];
 };
 
 void cw_follow_start(struct cw_follow *follow, uint64_t from); /* a snapshot was applied */
--- a/packages/follow/src/follow.c
+++ b/packages/follow/src/follow.c
@@ -58,7 +58,7 @@
 	size_t count = 0;
 
 	for (size_t i = 0; i < follow->count; i++)
-		if (now_ms - follow->at_ms[i] <= CW_FOLLOW_TOLD_MS)
+		if (now_ms - follow->applied_ms[i] <= CW_FOLLOW_TOLD_MS)
 			changes[count++] = follow->changes[i];
 	return count;
 }
@@ -118,9 +118,9 @@
 		follow->count--;
 		memmove(&follow->changes[0], &follow->changes[1],
 			follow->count * sizeof(follow->changes[0]));
-		memmove(&follow->at_ms[0], &follow->at_ms[1],
-			follow->count * sizeof(follow->at_ms[0]));
+		memmove(&follow->applied_ms[0], &follow->applied_ms[1],
+			follow->count * sizeof(follow->applied_ms[0]));
 	}
-	follow->at_ms[follow->count] = now_ms;
+	follow->applied_ms[follow->count] = now_ms;
 	follow->changes[follow->count++] = *change;
 }
--- a/packages/gossip/include/cw_audience.h
+++ b/packages/gossip/include/cw_audience.h
@@ -8,7 +8,7 @@
 #include "cw_gossip.h"
 #include "cw_membership.h"
 
-#define CW_AUDIENCE_ALL 12 /* up to this many other instances all get each full message */
+#define CW_AUDIENCE_FULL_FANOUT 12 /* up to this many other instances all get each full message */
 
 /* Recipients of one gossip round. */
 struct cw_audience {
--- a/packages/gossip/src/audience.c
+++ b/packages/gossip/src/audience.c
@@ -36,7 +36,7 @@
 		int is_own = !strcmp(members[i]->failure_domain, own_domain);
 		size_t *left = is_own ? &own_left : &other_left;
 
-		if (count <= CW_AUDIENCE_ALL || *left > 0)
+		if (count <= CW_AUDIENCE_FULL_FANOUT || *left > 0)
 			members[audience->whole_count++] = members[i];
 		else if (trimmed_count < TRIMMED_FANOUT)
 			trimmed[trimmed_count++] = members[i];
@@ -60,7 +60,7 @@
  */
 int cw_audience_needs_seeds(const struct cw_membership *membership, int knows_enough)
 {
-	return !knows_enough && cw_membership_size(membership) <= CW_AUDIENCE_ALL;
+	return !knows_enough && cw_membership_size(membership) <= CW_AUDIENCE_FULL_FANOUT;
 }
 
 /*
