--- a/tests/unit/test_follow.c
+++ b/tests/unit/test_follow.c
@@ -1,4 +1,4 @@
-/* Reading the servers' list together: each record once, in order, none skipped. */
+/* Shared reading of the server list: each record is applied once, in order, without a gap. */
 #include "cw_follow.h"
 #include "cw_readers.h"
 #include "unit.h"
@@ -8,16 +8,16 @@
 
 #define NOW 50000
 
-struct taken {
+struct applied {
 	size_t count;
 	uint64_t offsets[64];
 };
 
-static void take(void *context, const struct cw_change *change)
+static void apply(void *context, const struct cw_change *change)
 {
-	struct taken *taken = context;
+	struct applied *applied = context;
 
-	taken->offsets[taken->count++] = change->offset;
+	applied->offsets[applied->count++] = change->offset;
 }
 
 static struct cw_change record(uint64_t offset)
@@ -29,24 +29,24 @@
 }
 
 /*
- * Symptom: a server that had left got requests for seconds, at one instance only.
- * Sequence: an own read waits from 5; a peer brings 5 and 6; the answer brings 5, 6 and 7; 8
- * follows. Cause: the answer's records were numbered from where the list stood then (7), so 7
- * counted as 9 and 8 was never read.
+ * Symptom: one instance sent requests for seconds to a server that had left.
+ * Sequence: an own read from offset 5 is in progress; a peer sends 5 and 6; the answer holds 5, 6
+ * and 7; 8 follows. Cause: the answer's records were numbered from the read position at that time
+ * (7), so 7 counted as 9 and 8 was never read.
  */
-static void an_answer_that_repeats_what_peers_brought_skips_nothing(void **state)
+static void an_answer_that_repeats_records_from_peers_skips_none(void **state)
 {
 	struct cw_follow follow = {0};
-	struct taken taken = {0};
-	struct cw_change heard[] = {record(5), record(6)};
+	struct applied applied = {0};
+	struct cw_change received[] = {record(5), record(6)};
 	struct cw_change change;
 
 	cw_follow_start(&follow, 5);
 	cw_follow_ask(&follow);
-	assert_int_equal(cw_follow_hear(&follow, heard, 2, &(struct cw_follow_word){.from = 7}, NOW,
-					take, &taken),
+	assert_int_equal(cw_follow_hear(&follow, received, 2, &(struct cw_follow_word){.from = 7},
+					NOW, apply, &applied),
 			 1);
-	assert_int_equal(taken.count, 2);
+	assert_int_equal(applied.count, 2);
 	for (uint64_t offset = follow.asked_from; offset < 8; offset++) {
 		change = record(offset);
 		assert_int_equal(cw_follow_take_record(&follow, &change, NOW), offset == 7);
@@ -56,36 +56,37 @@
 	assert_int_equal(cw_follow_take_record(&follow, &change, NOW), 1);
 }
 
-static void a_gap_is_read_and_not_jumped(void **state)
+static void a_gap_is_read_and_not_skipped(void **state)
 {
 	struct cw_follow follow = {0};
-	struct taken taken = {0};
-	struct cw_change heard[] = {record(7), record(8)};
+	struct applied applied = {0};
+	struct cw_change received[] = {record(7), record(8)};
 
 	cw_follow_start(&follow, 5);
-	assert_int_equal(cw_follow_hear(&follow, heard, 2, &(struct cw_follow_word){.from = 9}, NOW,
-					take, &taken),
+	assert_int_equal(cw_follow_hear(&follow, received, 2, &(struct cw_follow_word){.from = 9},
+					NOW, apply, &applied),
 			 0);
-	assert_int_equal(taken.count, 0);
+	assert_int_equal(applied.count, 0);
 	assert_int_equal(follow.from, 5);
 	assert_int_equal(cw_follow_reads(&follow, CW_READERS, NOW), 1);
 }
 
-/* One message that was on its way until now_ms. */
-static void tell(const struct cw_follow *from, struct cw_follow *to, int64_t sent_ms,
-		 int64_t now_ms)
+/* Delivers at now_ms a message that was sent at sent_ms. */
+static void deliver(const struct cw_follow *from, struct cw_follow *to, int64_t sent_ms,
+		    int64_t now_ms)
 {
 	struct cw_follow_word word = {
 		.from = from->from, .age_ms = sent_ms - from->fresh_ms, .proof = from->proof};
 
-	cw_follow_hear(to, NULL, 0, &word, now_ms, take, NULL);
+	cw_follow_hear(to, NULL, 0, &word, now_ms, apply, NULL);
 }
 
 /*
- * Both readers were cut off from the store, and a changed configuration came 3.1 s late: no other
- * instance found the list old, for an answer passed round among peers seemed ever newer.
+ * Symptom: both readers had lost the shared store, and a changed configuration arrived 3.1 s late.
+ * Cause: no other instance found the list stale, since an answer forwarded among peers seemed ever
+ * newer.
  */
-static void an_answer_that_is_passed_round_grows_old(void **state)
+static void a_forwarded_answer_becomes_stale(void **state)
 {
 	struct cw_follow nodes[12];
 	int64_t now_ms;
@@ -99,19 +100,19 @@
 		for (size_t i = 0; i < 12; i++)
 			for (size_t k = 0; k < 12; k++)
 				if (i != k)
-					tell(&nodes[i], &nodes[k], now_ms, now_ms + 40);
-	/* What a message takes may be lost once on each leg of the way, not with each round. */
+					deliver(&nodes[i], &nodes[k], now_ms, now_ms + 40);
+	/* The transfer time may be left out once for each hop, not again with each round. */
 	for (size_t i = 0; i < 12; i++)
 		assert_in_range(nodes[i].fresh_ms, NOW, NOW + 100);
 	assert_int_equal(cw_follow_reads(&nodes[5], CW_READERS, now_ms), 1);
 }
 
 /*
- * Symptom: requests reached a server 2.3 s after it had said that it leaves.
- * Sequence: the two instances that read for all are cut off from the store, not from their peers.
- * Cause: they called their view new while a call waited that would never be answered.
+ * Symptom: requests reached a server 2.3 s after it had announced that it leaves.
+ * Sequence: the two readers lose the shared store, but not their peers.
+ * Cause: they reported their list as current while a call was pending that was never answered.
  */
-static void a_view_is_as_old_as_the_last_answer_not_as_the_last_word(void **state)
+static void a_list_is_as_old_as_the_last_answer_of_the_store(void **state)
 {
 	struct cw_follow reader = {.self = 1};
 	struct cw_follow other = {.self = 2};
@@ -122,22 +123,23 @@
 	cw_follow_answered(&reader, NOW);
 	for (int64_t now_ms = NOW; now_ms < NOW + CW_FOLLOW_STALE_MS; now_ms += 150) {
 		assert_int_equal(cw_follow_tell(&reader, now_ms, changes), 0);
-		tell(&reader, &other, now_ms, now_ms);
+		deliver(&reader, &other, now_ms, now_ms);
 		assert_int_equal(cw_follow_reads(&other, CW_READERS, now_ms), 0);
 	}
 	assert_int_equal(cw_follow_reads(&other, CW_READERS, NOW + CW_FOLLOW_STALE_MS), 1);
 }
 
 /*
- * Symptom: of 80 instances 78 go on sending to servers that left 14 s ago; strangers at their
- * addresses reject it all. Sequence: a read from 143 is under way, a peer's list brings all up to
- * 283, then the read is answered with the same records. Cause: its records were counted from 283
- * on, so the list stood ahead of the store and nothing that came seemed new.
+ * Symptom: 78 of 80 instances still sent requests to servers that had left 14 s ago; other
+ * processes at their addresses rejected them all. Sequence: a read from 143 is in progress, a
+ * peer's snapshot holds all records up to 283, then the read is answered with the same records.
+ * Cause: its records were counted from 283 on, so the read position was ahead of the shared store
+ * and no later record counted as new.
  */
-static void a_list_taken_during_a_read_does_not_move_where_it_was_asked(void **state)
+static void a_snapshot_applied_during_a_read_keeps_the_reads_offset(void **state)
 {
 	struct cw_follow follow = {0};
-	int taken = 0;
+	int applied = 0;
 
 	cw_follow_start(&follow, 143);
 	cw_follow_ask(&follow);
@@ -146,18 +148,18 @@
 	for (uint64_t i = 0; i < 140; i++) {
 		struct cw_change change = {.offset = follow.asked_from + i};
 
-		taken += cw_follow_take_record(&follow, &change, NOW);
+		applied += cw_follow_take_record(&follow, &change, NOW);
 	}
-	assert_int_equal(taken, 0);
+	assert_int_equal(applied, 0);
 	assert_int_equal(follow.from, 283);
-	/* The next read is asked from there, and what it brings is new. */
+	/* The next read begins at the new position, and its records are new. */
 	cw_follow_ask(&follow);
 	assert_int_equal(cw_follow_take_record(
 				 &follow, &(struct cw_change){.offset = follow.asked_from}, NOW),
 			 1);
 }
 
-static void records_are_told_on_for_a_while_and_no_longer(void **state)
+static void records_are_announced_for_a_limited_time(void **state)
 {
 	struct cw_follow follow = {0};
 	struct cw_change changes[CW_FOLLOW_CHANGES];
@@ -171,7 +173,7 @@
 	assert_int_equal(cw_follow_tell(&follow, NOW, changes), CW_FOLLOW_CHANGES);
 	assert_int_equal(changes[0].offset, 40 - CW_FOLLOW_CHANGES);
 	assert_int_equal(cw_follow_tell(&follow, NOW + CW_FOLLOW_TOLD_MS + 1, changes), 0);
-	/* A record that is no entry can't be told: what lies before it isn't told either. */
+	/* A record that holds no entry can't be announced, and so neither can those before it. */
 	cw_follow_skip(&follow, 40);
 	change = record(41);
 	cw_follow_take_record(&follow, &change, NOW);
@@ -182,12 +184,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(an_answer_that_repeats_what_peers_brought_skips_nothing),
-		cmocka_unit_test(a_gap_is_read_and_not_jumped),
-		cmocka_unit_test(a_view_is_as_old_as_the_last_answer_not_as_the_last_word),
-		cmocka_unit_test(an_answer_that_is_passed_round_grows_old),
-		cmocka_unit_test(a_list_taken_during_a_read_does_not_move_where_it_was_asked),
-		cmocka_unit_test(records_are_told_on_for_a_while_and_no_longer),
+		cmocka_unit_test(an_answer_that_repeats_records_from_peers_skips_none),
+		cmocka_unit_test(a_gap_is_read_and_not_skipped),
+		cmocka_unit_test(a_list_is_as_old_as_the_last_answer_of_the_store),
+		cmocka_unit_test(a_forwarded_answer_becomes_stale),
+		cmocka_unit_test(a_snapshot_applied_during_a_read_keeps_the_reads_offset),
+		cmocka_unit_test(records_are_announced_for_a_limited_time),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_gossip.c
+++ b/tests/unit/test_gossip.c
@@ -1,4 +1,4 @@
-/* Messages between instances: what was sent is what is read; what is no message is refused. */
+/* Gossip messages: decoding restores what was encoded, and rejects anything else. */
 #include "cw_gossip.h"
 #include "unit.h"
 
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void fill(struct cw_gossip *gossip)
+static void init_message(struct cw_gossip *gossip)
 {
 	memset(gossip, 0, sizeof(*gossip));
 	strcpy(gossip->sender.instance, "e1");
@@ -53,14 +53,14 @@
 	gossip->drains[1] = (struct cw_drain_order){"d2", 14, 0};
 }
 
-static void what_was_sent_is_read(void **state)
+static void a_message_is_decoded_as_it_was_encoded(void **state)
 {
 	struct cw_gossip sent;
 	struct cw_gossip read;
 	char bytes[CW_GOSSIP_BYTES];
 	size_t size;
 
-	fill(&sent);
+	init_message(&sent);
 	size = cw_gossip_encode(&sent, bytes, sizeof(bytes));
 	assert_true(size > 0);
 	assert_int_equal(cw_gossip_decode(bytes, size, &read), CW_OK);
@@ -68,52 +68,52 @@
 }
 
 /*
- * Symptom: at the start of each roll-out 400 of 1,800 answers of 66 instances were late, plain ones
- * too.
- * Sequence: for half a second each instance tells all others what it knows, every 150 ms.
- * Cause: whole messages, of 2.5 kB and more, filled links of 10 Mbit/s.
+ * Symptom: at the start of each roll-out 400 of 1,800 answers of 66 instances were late, answers
+ * outside the roll-out included.
+ * Sequence: for half a second each instance sends its state to all others, every 150 ms.
+ * Cause: full messages, of 2.5 kB and more, filled links of 10 Mbit/s.
  */
-static void what_all_must_hear_is_a_small_message(void **state)
+static void a_trimmed_message_is_small(void **state)
 {
 	struct cw_gossip sent;
 	struct cw_gossip read;
 	char bytes[CW_GOSSIP_BYTES];
 	size_t size;
 
-	fill(&sent);
+	init_message(&sent);
 	sent.load_count = 10;
 	sent.change_count = CW_FOLLOW_CHANGES;
 	sent.member_count = CW_GOSSIP_MEMBERS;
 	sent.rollouts[0].session_count = CW_ROLLOUT_SESSIONS;
-	/* Servers that end meanwhile are told of in the others, which reach all within a second. */
+	/* Full messages carry server crashes, and reach all instances within a second. */
 	sent.end_count = CW_QUARANTINE_ENDS;
 	sent.held_count = CW_QUARANTINE_RECORDS;
 	cw_gossip_cut(&sent);
 	size = cw_gossip_encode(&sent, bytes, sizeof(bytes));
-	/* 65 of them every 150 ms take at most 3 Mbit/s. */
+	/* 65 messages of this size every 150 ms take at most 3 Mbit/s. */
 	assert_true(size > 0 && size < 800);
 	assert_int_equal(cw_gossip_decode(bytes, size, &read), CW_OK);
 	assert_int_equal(read.load_count, 10);
 	assert_int_equal(read.rollouts[0].session_count, CW_GOSSIP_CUT_SESSIONS);
-	/* An offset without the records before it would be a gap, and send its reader to the store.
-	 */
+	/* An offset without the records before it would be a gap, which makes recipients read the
+	 * shared store. */
 	assert_int_equal(read.servers_offset, 0);
 }
 
-static void a_message_cut_anywhere_is_refused(void **state)
+static void a_truncated_message_is_rejected(void **state)
 {
 	struct cw_gossip sent;
 	struct cw_gossip read;
 	char bytes[CW_GOSSIP_BYTES];
 	size_t size;
 
-	fill(&sent);
+	init_message(&sent);
 	size = cw_gossip_encode(&sent, bytes, sizeof(bytes));
-	for (size_t cut = 0; cut < size; cut++)
-		assert_int_equal(cw_gossip_decode(bytes, cut, &read), CW_INVALID);
+	for (size_t length = 0; length < size; length++)
+		assert_int_equal(cw_gossip_decode(bytes, length, &read), CW_INVALID);
 }
 
-/* A count or a figure out of range must not be believed, whatever else the message says. */
+/* A count or a number out of range must be rejected, whatever else the message contains. */
 static void a_message_with_any_byte_changed_does_no_harm(void **state)
 {
 	struct cw_gossip sent;
@@ -121,11 +121,11 @@
 	char bytes[CW_GOSSIP_BYTES];
 	size_t size;
 
-	fill(&sent);
+	init_message(&sent);
 	size = cw_gossip_encode(&sent, bytes, sizeof(bytes));
 	for (size_t at = 0; at < size; at++) {
 		for (int value = 0; value < 256; value += 17) {
-			char kept = bytes[at];
+			char original = bytes[at];
 
 			bytes[at] = (char)value;
 			if (cw_gossip_decode(bytes, size, &read) == CW_OK) {
@@ -133,21 +133,21 @@
 				assert_true(read.change_count <= CW_FOLLOW_CHANGES);
 				assert_true(isfinite(read.rollouts[0].kinds[0].new_bad));
 			}
-			bytes[at] = kept;
+			bytes[at] = original;
 		}
 	}
 }
 
-static void a_message_that_does_not_fit_is_not_sent(void **state)
+static void a_message_larger_than_the_buffer_is_not_encoded(void **state)
 {
 	struct cw_gossip sent;
 	char bytes[64];
 
-	fill(&sent);
+	init_message(&sent);
 	assert_int_equal(cw_gossip_encode(&sent, bytes, sizeof(bytes)), 0);
 }
 
-static void a_whole_list_is_read_as_it_was_sent(void **state)
+static void a_list_snapshot_is_decoded_as_it_was_encoded(void **state)
 {
 	struct cw_server_entry entries[300] = {0};
 	struct cw_gossip_list sent = {.from = 9, .age_ms = 70, .count = 300, .entries = entries};
@@ -176,9 +176,9 @@
 }
 
 /*
- * Symptom: at 300 instances bytes between domains were the dearest price of a day, 0.22 GB.
- * Sequence: 75 instances of a domain each tell three of the other domains seven times a second.
- * Cause: what a domain sends grew with the number of its instances.
+ * Symptom: at 300 instances traffic between failure domains was the largest cost of a day, 0.22 GB.
+ * Sequence: each of 75 instances of a domain sends to three of other domains seven times a second.
+ * Cause: a domain's traffic grew with the number of its instances.
  */
 static void a_large_domain_sends_no_more_than_a_small_one(void **state)
 {
@@ -186,7 +186,7 @@
 
 	for (size_t size = 1; size <= 400; size++) {
 		sent = 0;
-		/* Every residue once: what the instances of a domain send in a round on average. */
+		/* Every residue once: the average number of messages of a domain in a round. */
 		for (uint64_t random = 0; random < size; random++)
 			sent += cw_gossip_foreign_fanout(size, random);
 		assert_int_equal(sent, (size_t)CW_GOSSIP_FOREIGN * MIN(size, CW_GOSSIP_SMALL));
@@ -196,12 +196,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(what_was_sent_is_read),
-		cmocka_unit_test(what_all_must_hear_is_a_small_message),
-		cmocka_unit_test(a_message_cut_anywhere_is_refused),
+		cmocka_unit_test(a_message_is_decoded_as_it_was_encoded),
+		cmocka_unit_test(a_trimmed_message_is_small),
+		cmocka_unit_test(a_truncated_message_is_rejected),
 		cmocka_unit_test(a_message_with_any_byte_changed_does_no_harm),
-		cmocka_unit_test(a_message_that_does_not_fit_is_not_sent),
-		cmocka_unit_test(a_whole_list_is_read_as_it_was_sent),
+		cmocka_unit_test(a_message_larger_than_the_buffer_is_not_encoded),
+		cmocka_unit_test(a_list_snapshot_is_decoded_as_it_was_encoded),
 		cmocka_unit_test(a_large_domain_sends_no_more_than_a_small_one),
 	};
 
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -14,13 +14,13 @@
 				 .concurrent = concurrent};
 }
 
-static int admitted(struct cw_limits *limits, const struct cw_limit *limit, int tries,
+static int admitted(struct cw_limits *limits, const struct cw_limit *limit, int attempts,
 		    int64_t now_ms)
 {
 	int64_t retry_ms;
 	int count = 0;
 
-	for (int i = 0; i < tries; i++)
+	for (int i = 0; i < attempts; i++)
 		count += cw_limits_admit(limits, limit, 0, now_ms, &retry_ms) == CW_OK;
 	return count;
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-static void a_loan_moves_slots_and_never_makes_one(void **state)
+static void a_loan_never_adds_slots(void **state)
 {
 	for (uint32_t wanted = 1000; wanted < CW_LIMIT_WHOLE; wanted += 37777) {
 		struct cw_limit limit = limit_of(NAN, 10);
@@ -63,8 +63,8 @@
 }
 
 /*
- * Symptom: an organisation ran more at a time than its limit.
- * Sequence: a loan is granted, the borrower is cut off or paused, the lender takes the loan back.
+ * Symptom: an organisation had more requests running than its limit allows.
+ * Sequence: a loan is granted, the borrower is partitioned or paused, the lender ends the loan.
  * Cause: the borrower's term ended later than the lender's.
  */
 static void the_borrowers_term_ends_first(void **state)
@@ -76,7 +76,7 @@
 
 	cw_limits_divide(lender, 2, 0);
 	cw_limits_divide(borrower, 2, 1);
-	/* Asked at 1000, granted at 1400, arrived at 1900: the term counts from the asking. */
+	/* Requested at 1000, granted at 1400, arrived at 1900: the term counts from the request. */
 	granted = cw_limits_lend(lender, &limit, 9, CW_LIMIT_WHOLE / 2, 1400);
 	assert_true(granted > 0);
 	cw_limits_borrowed(borrower, 1, 8, granted, 1000);
@@ -89,7 +89,7 @@
 	cw_limits_destroy(borrower);
 }
 
-static void rates_refill_and_tell_when_to_come(void **state)
+static void a_rate_refills_and_a_rejection_gives_the_retry_time(void **state)
 {
 	struct cw_limit limit = limit_of(10, NAN);
 	struct cw_limits *limits = cw_limits_create();
@@ -103,7 +103,7 @@
 	cw_limits_destroy(limits);
 }
 
-static void a_new_instance_holds_nothing(void **state)
+static void an_instance_without_a_share_admits_nothing(void **state)
 {
 	struct cw_limit limit = limit_of(1000, 10);
 	struct cw_limits *limits = cw_limits_create();
@@ -114,7 +114,7 @@
 	cw_limits_destroy(limits);
 }
 
-static void retries_stay_a_part_of_successes(void **state)
+static void retries_stay_a_fixed_ratio_of_successes(void **state)
 {
 	struct cw_retry_budget budget;
 	int retries = 0;
@@ -130,12 +130,12 @@
 }
 
 /*
- * Symptom: an instance just started answered its very first request limit_exceeded, to come back in
- * 5 s, with a limit of 10,000 requests a second.
- * Sequence: a request comes before the instance's share is known; the share follows.
- * Cause: the bucket was opened empty then, and filled from that moment on.
+ * Symptom: an instance that had just started rejected its first request with limit_exceeded and a
+ * retry time of 5 s, with a limit of 10,000 requests a second.
+ * Sequence: a request arrives before the instance's share is known; the share follows.
+ * Cause: the bucket was created empty, and filled only from then on.
  */
-static void a_bucket_met_before_its_share_is_full_once_there_is_one(void **state)
+static void a_bucket_is_full_once_its_share_is_known(void **state)
 {
 	struct cw_limits *limits = cw_limits_create();
 	struct cw_limit limit = {7, 10000, NAN, NAN};
@@ -154,13 +154,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_bucket_met_before_its_share_is_full_once_there_is_one),
+		cmocka_unit_test(a_bucket_is_full_once_its_share_is_known),
 		cmocka_unit_test(shares_add_up_to_the_limit),
-		cmocka_unit_test(a_loan_moves_slots_and_never_makes_one),
+		cmocka_unit_test(a_loan_never_adds_slots),
 		cmocka_unit_test(the_borrowers_term_ends_first),
-		cmocka_unit_test(rates_refill_and_tell_when_to_come),
-		cmocka_unit_test(a_new_instance_holds_nothing),
-		cmocka_unit_test(retries_stay_a_part_of_successes),
+		cmocka_unit_test(a_rate_refills_and_a_rejection_gives_the_retry_time),
+		cmocka_unit_test(an_instance_without_a_share_admits_nothing),
+		cmocka_unit_test(retries_stay_a_fixed_ratio_of_successes),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_readers.c
+++ b/tests/unit/test_readers.c
@@ -1,4 +1,4 @@
-/* Who reads the store when: few calls in every load pattern, and none missing where it matters. */
+/* Reads of the shared store: few calls in every load pattern, and no needed read is missing. */
 #include "cw_follow.h"
 #include "cw_hash.h"
 #include "cw_membership.h"
@@ -12,11 +12,12 @@
 #define INSTANCES 195
 
 /*
- * Symptom: 2,100 refused calls while the store was away for 18 s, a tenth of all that the day cost.
- * Sequence: nobody's list is new any more; 80 instances ask for it, again and again.
- * Cause: whoever found the list old read it, however many did.
+ * Symptom: 2,100 rejected calls while the shared store was unavailable for 18 s, a tenth of the
+ * day's cost.
+ * Sequence: the list is stale at all 80 instances, and each requests it repeatedly.
+ * Cause: every instance with a stale list read it, however many there were.
  */
-static void a_few_instances_step_in_for_the_readers(void **state)
+static void a_few_instances_take_over_from_the_readers(void **state)
 {
 	struct cw_follow follow = {0};
 	int64_t stale_ms = NOW + CW_FOLLOW_STALE_MS;
@@ -32,17 +33,17 @@
 	for (size_t rank = 0; rank < 80; rank++)
 		reading += (size_t)cw_follow_reads(&follow, rank, stale_ms + 400);
 	assert_int_equal(reading, 10);
-	/* One that reads in time for all: within 2 s a server that leaves gets no more requests. */
+	/* One instance reads in time for all: a server that leaves gets no requests after 2 s. */
 	assert_int_equal(cw_follow_reads(&follow, 9, NOW + 1700), 1);
-	/* Where the first ones can't, the others don't wait for them for ever. */
+	/* If the first ranks can't read, the others take over after a bounded time. */
 	assert_int_equal(cw_follow_reads(&follow, 79, stale_ms + 2500), 1);
 	assert_int_equal(cw_follow_reads(&follow, INSTANCES - 1, stale_ms + 5500), 1);
-	/* And none does once one of them was told. */
+	/* No instance reads once one of them has got an answer. */
 	cw_follow_answered(&follow, stale_ms + 2400);
 	assert_int_equal(cw_follow_reads(&follow, 79, stale_ms + 2500), 0);
 }
 
-/* Calls of one instance while the store is silent for so long; each fails after call_ms. */
+/* Calls of one instance during an outage of the shared store; each fails after call_ms. */
 static int calls_in_outage(size_t rank, int64_t outage_ms, int64_t call_ms)
 {
 	int64_t now_ms = CW_FOLLOW_STALE_MS + cw_readers_step_in_ms(rank);
@@ -56,28 +57,28 @@
 }
 
 /*
- * Symptom: 1,830 calls within 8 s of a silent store. Sequence: 195 instances each ask every 1.2 s.
- * Cause: each probed for itself whether the store was back.
+ * Symptom: 1,830 calls in an outage of the shared store of 8 s. Sequence: each of 195 instances
+ * calls every 1.2 s. Cause: each instance probed by itself whether the shared store was back.
  */
-static void a_silent_store_is_probed_by_few(void **state)
+static void few_instances_probe_an_unavailable_store(void **state)
 {
 	int calls = 0;
 
 	for (size_t rank = 0; rank < INSTANCES; rank++)
 		calls += calls_in_outage(rank, 8000, 1000);
 	assert_true(calls < 300);
-	/* Its return is noticed within 1.2 s of it: some call of the first ten begins in time. */
+	/* The end of the outage is detected within 1.2 s by a call of the first ten ranks. */
 	assert_true(calls_in_outage(0, 8000, 10) >= 6);
 	for (unsigned int failures = 1; failures < 40; failures++)
 		assert_true(cw_readers_again_ms(3, failures, failures * 13) <= 1200);
 }
 
 /*
- * Symptom: 2,356 calls before the first caller came. Sequence: 195 instances start together; each
- * reads everything, and again, as long as it knows no peer that would read for it.
- * Cause: who knows no other instance is the first by rank.
+ * Symptom: 2,356 calls before the first caller. Sequence: 195 instances start together; each reads
+ * all state repeatedly, as long as it knows no peer that would read for it.
+ * Cause: an instance that knows no other one has rank 0.
  */
-static void of_those_that_start_together_the_seeds_read(void **state)
+static void the_seeds_read_when_all_start_together(void **state)
 {
 	struct cw_readers_start seed = {.is_seed = 1, .random = 12345};
 	struct cw_readers_first first;
@@ -92,7 +93,7 @@
 	for (uint64_t i = 0; i < INSTANCES; i++) {
 		struct cw_readers_start start = {.random = i * 0x9e3779b97f4a7c15ULL >> 7};
 
-		/* Without any peer it reads all the same, while its callers still wait. */
+		/* An instance without a peer still reads, while its callers wait. */
 		cw_readers_start(&start, &first);
 		assert_in_range(first.wait_ms, 20, first.is_early ? 200 : 1000);
 		early += first.is_early || first.wait_ms < 500;
@@ -106,10 +107,10 @@
 }
 
 /*
- * A store that is slow, and not silent, must not be kept slow: a thousand instances that found
- * their list old asked for a megabyte each, gave up after a second and asked again, all day.
+ * A shared store that is slow must be able to recover: a thousand instances with a stale list
+ * requested a megabyte each, timed out after a second and retried, all day.
  */
-static void a_thousand_with_an_old_list_leave_a_slow_store_room(void **state)
+static void a_thousand_stale_lists_do_not_overload_a_slow_store(void **state)
 {
 	int calls[60] = {0};
 
@@ -123,13 +124,13 @@
 			now_ms += 10 + cw_readers_again_ms(rank, failures, rank * 7919 + failures);
 		}
 	}
-	/* 20 MB a second, and a quarter of one for each call. */
+	/* The shared store serves 20 MB/s, and each call takes 0.25 MB. */
 	for (size_t second = 0; second < 60; second++)
 		assert_true(calls[second] < 80);
 }
 
-/* Whose list the others wait for must not wait itself: servers that left would get requests. */
-static void who_is_awaited_never_rests(void **state)
+/* An instance whose list others depend on must not wait: servers that left would get requests. */
+static void an_awaited_reader_skips_the_startup_jitter(void **state)
 {
 	struct cw_readers_view view = {.knows_peers = 1};
 
@@ -144,8 +145,8 @@
 	assert_int_equal(cw_readers_next(&view), CW_READERS_ASK);
 }
 
-/* A long list must not be read by all that start together: a few of a thousand, as of a hundred. */
-static void a_long_list_is_read_on_by_few(void **state)
+/* Of instances that start together only a few read a long list: of a thousand as of a hundred. */
+static void few_instances_read_a_long_list(void **state)
 {
 	static const int sizes[] = {100, 1000, 2000};
 
@@ -154,24 +155,24 @@
 		int early = 0;
 
 		for (uint64_t j = 0; j < (uint64_t)sizes[i]; j++) {
-			int64_t rest_ms = cw_readers_rest_ms(cw_hash(&j, sizeof(j), 5));
+			int64_t jitter_ms = cw_readers_rest_ms(cw_hash(&j, sizeof(j), 5));
 
-			assert_in_range(rest_ms, 0, 6000);
-			first_ms = MIN(first_ms, rest_ms);
-			early += rest_ms < 3000;
+			assert_in_range(jitter_ms, 0, 6000);
+			first_ms = MIN(first_ms, jitter_ms);
+			early += jitter_ms < 3000;
 		}
-		/* With no seed up the list is known to one in time all the same. */
+		/* Without a live seed one instance still gets the list in time. */
 		assert_true(first_ms < 3000);
 		assert_true(early <= 1 + sizes[i] / 32);
 	}
 }
 
 /*
- * Symptom: of 195 instances seven at a time read the store for all. Sequence: an instance hears of
- * each other one now and then only, and takes the place of a reader that it didn't hear of for 2 s.
- * Cause: messages named any five. Those that are named first are the ones that rank before all.
+ * Symptom: of 195 instances seven at a time read the shared store for all. Sequence: an instance
+ * gets reports of each other one rarely, and takes over from a reader without a report for 2 s.
+ * Cause: messages named any five members. The top-ranked members must be named in every message.
  */
-static void the_first_by_rank_can_be_named(void **state)
+static void the_top_ranked_members_are_found(void **state)
 {
 	struct cw_membership *membership = cw_membership_create("own", "d0", 2000);
 	struct cw_member *first[CW_READERS];
@@ -184,18 +185,18 @@
 	}
 	assert_int_equal(cw_membership_first(membership, 7, NOW, first, CW_READERS), CW_READERS);
 	for (size_t i = 0; i < CW_READERS; i++) {
-		struct cw_membership *theirs = cw_membership_create(first[i]->instance, "d1", 2000);
+		struct cw_membership *other = cw_membership_create(first[i]->instance, "d1", 2000);
 
-		/* Live ones only, and by their own count they have the same place. */
+		/* Only live members, and each computes the same rank for itself. */
 		assert_true(first[i]->heard_ms == NOW);
 		for (int j = 0; j < 150; j++) {
 			snprintf(name, sizeof(name), "i%d", j);
-			if (!cw_membership_learn(theirs, name, "d1", "10.0.0.1:1"))
+			if (!cw_membership_learn(other, name, "d1", "10.0.0.1:1"))
 				continue;
-			cw_membership_heard(cw_membership_find(theirs, name), 1, 0, NOW);
+			cw_membership_heard(cw_membership_find(other, name), 1, 0, NOW);
 		}
-		assert_int_equal(cw_membership_rank(theirs, 7, NOW), i);
-		cw_membership_destroy(theirs);
+		assert_int_equal(cw_membership_rank(other, 7, NOW), i);
+		cw_membership_destroy(other);
 	}
 	cw_membership_destroy(membership);
 }
@@ -203,13 +204,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_few_instances_step_in_for_the_readers),
-		cmocka_unit_test(a_silent_store_is_probed_by_few),
-		cmocka_unit_test(the_first_by_rank_can_be_named),
-		cmocka_unit_test(of_those_that_start_together_the_seeds_read),
-		cmocka_unit_test(a_thousand_with_an_old_list_leave_a_slow_store_room),
-		cmocka_unit_test(who_is_awaited_never_rests),
-		cmocka_unit_test(a_long_list_is_read_on_by_few),
+		cmocka_unit_test(a_few_instances_take_over_from_the_readers),
+		cmocka_unit_test(few_instances_probe_an_unavailable_store),
+		cmocka_unit_test(the_top_ranked_members_are_found),
+		cmocka_unit_test(the_seeds_read_when_all_start_together),
+		cmocka_unit_test(a_thousand_stale_lists_do_not_overload_a_slow_store),
+		cmocka_unit_test(an_awaited_reader_skips_the_startup_jitter),
+		cmocka_unit_test(few_instances_read_a_long_list),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_tail.c
+++ b/tests/unit/test_tail.c
@@ -1,4 +1,4 @@
-/* What an instance passes on of the servers' list: the newest records, and how much in a second. */
+/* State sent to peers: the newest records of the server list, and its rate limit. */
 #include "cw_gossip.h"
 #include "cw_pack.h"
 #include "cw_tail.h"
@@ -28,7 +28,7 @@
 	return change;
 }
 
-static void fill(struct cw_tail *tail, uint64_t from, uint64_t to)
+static void add_records(struct cw_tail *tail, uint64_t from, uint64_t to)
 {
 	for (uint64_t offset = from; offset < to; offset++) {
 		struct cw_change change = record(offset);
@@ -37,13 +37,13 @@
 	}
 }
 
-/* Hundreds of records a second: who misses some must not fetch the whole list each time. */
-static void records_that_were_missed_are_passed_on_without_the_rest(void **state)
+/* At hundreds of records a second, a peer that misses some must not fetch a snapshot each time. */
+static void only_missed_records_are_sent(void **state)
 {
 	struct cw_tail *tail = cw_tail_create();
 	struct cw_change *changes = g_new(struct cw_change, CW_TAIL_CHANGES);
 
-	fill(tail, 500, 1500);
+	add_records(tail, 500, 1500);
 	assert_int_equal(cw_tail_since(tail, 1200, changes, CW_TAIL_CHANGES), 300);
 	for (uint64_t i = 0; i < 300; i++)
 		assert_int_equal(changes[i].offset, 1200 + i);
@@ -55,26 +55,26 @@
 	cw_tail_destroy(tail);
 }
 
-/* A record that is not there must not be jumped: a server that left would get requests for ever. */
-static void nothing_before_a_gap_is_passed_on(void **state)
+/* A missing record must not be skipped: a server that left would get requests for ever. */
+static void records_before_a_gap_are_not_sent(void **state)
 {
 	struct cw_tail *tail = cw_tail_create();
 	struct cw_change changes[32];
 
-	fill(tail, 0, 10);
-	fill(tail, 12, 20);
+	add_records(tail, 0, 10);
+	add_records(tail, 12, 20);
 	assert_int_equal(cw_tail_since(tail, 5, changes, 32), 0);
 	assert_int_equal(cw_tail_since(tail, 12, changes, 32), 8);
 	cw_tail_destroy(tail);
 }
 
-/* Memory stays bounded, however many servers come and go. */
+/* Memory stays bounded, however many servers are added and removed. */
 static void only_the_newest_records_are_kept(void **state)
 {
 	struct cw_tail *tail = cw_tail_create();
 	struct cw_change *changes = g_new(struct cw_change, CW_TAIL_CHANGES);
 
-	fill(tail, 0, 3 * CW_TAIL_CHANGES);
+	add_records(tail, 0, 3 * CW_TAIL_CHANGES);
 	assert_int_equal(cw_tail_since(tail, 2 * CW_TAIL_CHANGES - 1, changes, CW_TAIL_CHANGES), 0);
 	assert_int_equal(cw_tail_since(tail, 2 * CW_TAIL_CHANGES, changes, CW_TAIL_CHANGES),
 			 CW_TAIL_CHANGES);
@@ -82,7 +82,7 @@
 	cw_tail_destroy(tail);
 }
 
-static void changes_are_read_as_they_were_sent(void **state)
+static void changes_are_decoded_as_they_were_encoded(void **state)
 {
 	struct cw_change sent[2] = {record(7), {.offset = 8, .is_gone = 1}};
 	struct cw_gossip_changes changes = {
@@ -106,8 +106,8 @@
 	g_free(bytes);
 }
 
-/* An expanded size that is a lie would take all memory. */
-static void packed_bytes_expand_to_no_more_than_asked_for(void **state)
+/* A false uncompressed size in the header must not exhaust the memory. */
+static void unpacked_bytes_never_exceed_the_given_size(void **state)
 {
 	char zeros[4096] = {0};
 	size_t packed_size;
@@ -125,7 +125,7 @@
 	g_free(packed);
 }
 
-/* Ten thousand entries, most of each the same text: the whole list must fit a small link. */
+/* Encoded size of ten thousand entries that share most of their text; must fit a small link. */
 static size_t list_size(void)
 {
 	struct cw_gossip_list list = {.count = SERVERS};
@@ -140,33 +140,34 @@
 }
 
 /*
- * A thousand instances start at one moment, and one has the list: links of 20 Mbit/s. Who has it
- * sends it to whoever asks next and is admitted; all have it while callers still wait.
+ * A thousand instances with links of 20 Mbit/s start at one moment, and one has the list. Each
+ * instance with the list sends it to the next peers that ask and are admitted. All must have the
+ * list while callers still wait.
  */
-static void a_thousand_that_start_together_get_the_list_in_seconds(void **state)
+static void a_thousand_starting_instances_get_the_list_in_seconds(void **state)
 {
 	struct cw_uplink links[INSTANCES];
-	int64_t has_ms[INSTANCES];
+	int64_t received_ms[INSTANCES];
 	size_t size = list_size();
 	int64_t transfer_ms = (int64_t)((double)size / 2500) + 2;
-	size_t left = INSTANCES - 1;
+	size_t remaining = INSTANCES - 1;
 	GRand *random = g_rand_new_with_seed(7);
 	int64_t now_ms;
 
 	for (size_t i = 0; i < INSTANCES; i++) {
 		cw_uplink_open(&links[i], 20);
-		has_ms[i] = i ? G_MAXINT64 : NOW;
+		received_ms[i] = i ? G_MAXINT64 : NOW;
 	}
-	for (now_ms = NOW; left > 0 && now_ms < NOW + 60000; now_ms += 100) {
+	for (now_ms = NOW; remaining > 0 && now_ms < NOW + 60000; now_ms += 100) {
 		for (size_t i = 0; i < INSTANCES; i++) {
 			size_t peer = (size_t)g_rand_int_range(random, 0, INSTANCES);
 
-			if (has_ms[i] != G_MAXINT64 || has_ms[peer] > now_ms ||
+			if (received_ms[i] != G_MAXINT64 || received_ms[peer] > now_ms ||
 			    !cw_uplink_admits(&links[peer], now_ms))
 				continue;
 			cw_uplink_sent(&links[peer], size, now_ms);
-			has_ms[i] = now_ms + 2 * transfer_ms + 100;
-			left--;
+			received_ms[i] = now_ms + 2 * transfer_ms + 100;
+			remaining--;
 		}
 	}
 	g_rand_free(random);
@@ -174,7 +175,7 @@
 	assert_in_range(now_ms - NOW, 1000, 8000);
 }
 
-/* Callers' answers go over the same link: peers never get more than half of it. */
+/* The link also carries answers to callers: peers never get more than half of the link. */
 static void half_of_the_link_is_left_for_callers(void **state)
 {
 	struct cw_uplink uplink;
@@ -193,12 +194,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(records_that_were_missed_are_passed_on_without_the_rest),
-		cmocka_unit_test(nothing_before_a_gap_is_passed_on),
+		cmocka_unit_test(only_missed_records_are_sent),
+		cmocka_unit_test(records_before_a_gap_are_not_sent),
 		cmocka_unit_test(only_the_newest_records_are_kept),
-		cmocka_unit_test(changes_are_read_as_they_were_sent),
-		cmocka_unit_test(packed_bytes_expand_to_no_more_than_asked_for),
-		cmocka_unit_test(a_thousand_that_start_together_get_the_list_in_seconds),
+		cmocka_unit_test(changes_are_decoded_as_they_were_encoded),
+		cmocka_unit_test(unpacked_bytes_never_exceed_the_given_size),
+		cmocka_unit_test(a_thousand_starting_instances_get_the_list_in_seconds),
 		cmocka_unit_test(half_of_the_link_is_left_for_callers),
 	};
 
