--- a/packages/follow/include/cw_readers.h
+++ b/packages/follow/include/cw_readers.h
@@ -11,7 +11,7 @@
 #include <stdint.h>
 
 #define CW_READERS	    2	 /* read for all; two, since one may lose the shared store */
-#define CW_READERS_STAND_IN 10	 /* ranks that take over at once and retry often */
+#define CW_READERS_STAND_IN 10	 /* ranks that take over at once, retry often; others rarely */
 #define CW_READERS_KNOWN_MS 1000 /* after a start, until gossip has named most others */
 
 /* Role of an instance that has just started. */
--- a/packages/gossip/include/cw_gossip.h
+++ b/packages/gossip/include/cw_gossip.h
@@ -23,7 +23,7 @@
 #define CW_GOSSIP_ROLLOUTS     4
 #define CW_GOSSIP_CUT_SESSIONS 16 /* of a roll-out, in a trimmed message */
 #define CW_GOSSIP_FOREIGN      2  /* recipients in other domains per round, in a small domain */
-#define CW_GOSSIP_NO_AGE       UINT32_MAX /* the message carries no server list state */
+#define CW_GOSSIP_NO_AGE       UINT32_MAX /* the sender has no server list, or leaves it out */
 #define CW_GOSSIP_SMALL	       20	  /* instances; a larger domain sends no more */
 
 struct cw_gossip_member {
--- a/packages/membership/include/cw_membership.h
+++ b/packages/membership/include/cw_membership.h
@@ -18,8 +18,8 @@
 	char address[CW_ADDRESS_MAX]; /* of its peer listener, IP:PORT */
 	uint64_t id;		      /* hash of the instance's name */
 	uint64_t boot;		      /* drawn at each start; 0: no heartbeat yet */
-	int64_t heard_ms;  /* last sign of life, direct or by a peer's report; -1: none */
-	int64_t listed_ms; /* last seen in the platform's list; -1: never */
+	int64_t heard_ms;	      /* last sign of life, own or in a peer's report; -1: none */
+	int64_t listed_ms;	      /* last seen in the platform's list; -1: never */
 	int leaving;
 	int configured; /* named by the settings */
 	uint64_t table_offset;
--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -18,7 +18,7 @@
 	size_t size;
 	int64_t settle_ms; /* time without significant growth until the own rank is known */
 	int64_t grown_ms;  /* time of the last significant growth */
-	size_t grown_to;   /* size after that growth, the instance itself included */
+	size_t grown_to;   /* size after that growth, this instance included */
 	int is_only;
 };
 
