--- a/apps/corianderwalk/entry_feed.c
+++ b/apps/corianderwalk/entry_feed.c
@@ -36,7 +36,7 @@
 {
 	const struct cw_up_settings *settings = &feed->entry->settings;
 	struct cw_readers_start start = {.is_first = settings->is_first_start};
-	struct cw_readers_first first;
+	struct cw_readers_first_call first;
 
 	for (size_t i = 0; i < settings->seed_count; i++)
 		feed->is_seed |= !strcmp(settings->seeds[i], settings->peers_listen);
@@ -44,11 +44,11 @@
 	cw_random_bytes(&start.random, sizeof(start.random));
 	cw_readers_start(&start, &first);
 	feed->started_ms = entry_now_ms(feed->entry);
-	feed->operator.has_rested = feed->servers.has_rested = first.is_early;
+	feed->operator.is_jitter_done = feed->servers.is_jitter_done = first.is_early;
 	topic_ask_in(&feed->operator, first.wait_ms);
 	topic_ask_in(&feed->servers, first.wait_ms);
 	/* Peers tell of it in their messages; only when all start at once nobody knows it. */
-	topic_ask_in(&feed->quarantine, CW_READERS_KNOWN_MS);
+	topic_ask_in(&feed->quarantine, CW_READERS_DISCOVERY_MS);
 }
 
 void feed_destroy(struct feed *feed)
--- a/apps/corianderwalk/entry_feed.h
+++ b/apps/corianderwalk/entry_feed.h
@@ -20,8 +20,8 @@
 	enum cw_up_topic topic;
 	const char *name;
 	enum feed_phase phase;
-	uint64_t from;	     /* offset of the next record; of the servers, feed->list.from counts */
-	uint64_t asked_from; /* of the call that waits: peers may bring from ahead of it */
+	uint64_t from;	    /* offset of the next record; of the servers, feed->list.from counts */
+	uint64_t read_from; /* of the call that waits: peers may bring from ahead of it */
 	char after[CW_UP_KEY_MAX];
 	int64_t sweep_ms; /* when the collection began: entries not seen since are gone */
 	struct cw_exchange *exchange;
@@ -33,7 +33,7 @@
 	int64_t restored_ms;   /* since when it answers again */
 	unsigned int failures; /* in a row */
 	int is_complete;       /* was collected once */
-	int has_rested;	       /* since the start, for peers to be sooner */
+	int is_jitter_done;    /* since the start, for peers to be sooner */
 	int is_down;
 	int64_t warned_ms;	 /* of the last line on a record that can't be read */
 	unsigned int unreadable; /* such records since then */
--- a/apps/corianderwalk/entry_hear.c
+++ b/apps/corianderwalk/entry_hear.c
@@ -25,8 +25,8 @@
 	gossip->servers_offset = feed->list.from;
 	/* Of the last answer, not of the call that waits: that one may never be answered. */
 	gossip->servers_age_ms = (uint32_t)(now_ms - feed->list.fresh_ms);
-	gossip->servers_proof = feed->list.proof;
-	gossip->change_count = cw_follow_tell(&feed->list, now_ms, gossip->changes);
+	gossip->servers_evidence = feed->list.evidence;
+	gossip->change_count = cw_follow_collect_changes(&feed->list, now_ms, gossip->changes);
 }
 
 /*
@@ -58,9 +58,9 @@
 static void hear_list(struct feed *feed, const struct cw_gossip *gossip, int64_t now_ms)
 {
 	struct topic *servers = &feed->servers;
-	struct cw_follow_word word = {.from = gossip->servers_offset,
-				      .age_ms = gossip->servers_age_ms,
-				      .proof = gossip->servers_proof};
+	struct cw_follow_report peer_report = {.from = gossip->servers_offset,
+					       .age_ms = gossip->servers_age_ms,
+					       .evidence = gossip->servers_evidence};
 
 	if (!servers->is_complete) {
 		/* An empty list is one too: its offset is 0. */
@@ -74,8 +74,8 @@
 			share_fetch_list(feed->share, gossip->sender.address);
 		return;
 	}
-	if (cw_follow_hear(&feed->list, gossip->changes, gossip->change_count, &word, now_ms,
-			   news_take_followed, feed))
+	if (cw_follow_merge_changes(&feed->list, gossip->changes, gossip->change_count,
+				    &peer_report, now_ms, news_take_followed, feed))
 		return;
 	if (topic_is_reader(servers))
 		hint(servers, gossip->servers_offset);
--- a/apps/corianderwalk/entry_news.c
+++ b/apps/corianderwalk/entry_news.c
@@ -56,7 +56,7 @@
 	struct feed *feed = context;
 	int64_t now_ms = entry_now_ms(feed->entry);
 
-	if (change->is_gone)
+	if (change->is_removed)
 		server_gone(feed, change->entry.name, now_ms);
 	else
 		take_server(feed, &change->entry, now_ms);
--- a/apps/corianderwalk/entry_peers.c
+++ b/apps/corianderwalk/entry_peers.c
@@ -78,8 +78,8 @@
 	peers->introductions_left = INTRODUCTIONS;
 	peers->membership =
 		cw_membership_create(settings->instance, settings->failure_domain, SILENT_MS);
-	cw_membership_settle(peers->membership, peers->started_ms, KNOWN_MS,
-			     settings->is_only_instance);
+	cw_membership_start_settling(peers->membership, peers->started_ms, KNOWN_MS,
+				     settings->is_only_instance);
 	peers->loads = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	peers->loaded = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	cw_random_bytes(&peers->boot, sizeof(peers->boot));
@@ -120,7 +120,7 @@
 	if (peers_known(peers) == 0 && !peers->entry->settings.is_only_instance &&
 	    now_ms - peers->started_ms < ALONE_MS)
 		return 0;
-	return cw_membership_is_calm(peers->membership, now_ms, CALM_MS);
+	return cw_membership_is_stable(peers->membership, now_ms, CALM_MS);
 }
 
 size_t peers_rank(const struct peers *peers, uint64_t key, int64_t now_ms)
@@ -141,7 +141,7 @@
 	/* Before the first session meets a new version, all must know which ones the old one
 	 * serves. */
 	if (cw_rollouts_is_starting(rollouts, entry_now_ms(peers->entry))) {
-		cw_gossip_cut(gossip);
+		cw_gossip_trim(gossip);
 		encode(&cut, gossip);
 	}
 	g_free(gossip);
@@ -170,8 +170,7 @@
 	cw_audience_choose(&audience, peers->membership, peers->entry->settings.failure_domain,
 			   random);
 	for (size_t i = 0; i < audience.count; i++)
-		send_to(peers, audience.members[i]->address,
-			i < audience.whole_count ? whole : cut);
+		send_to(peers, audience.members[i]->address, i < audience.full_count ? whole : cut);
 	cw_audience_clear(&audience);
 }
 
@@ -179,7 +178,7 @@
 {
 	struct peers *peers = timer->data;
 
-	cw_membership_forget(peers->membership, entry_now_ms(peers->entry), KEEP_MS);
+	cw_membership_remove_stale(peers->membership, entry_now_ms(peers->entry), KEEP_MS);
 	count_loads(peers);
 	cw_gate_set_instances(peers->entry->gate, sharers(peers));
 	peers->answers_left = ANSWERS;
@@ -266,10 +265,11 @@
 	}
 	gossip->rollout_count = cw_rollouts_announce(cw_gate_rollouts(entry->gate), now_ms,
 						     gossip->rollouts, CW_GOSSIP_ROLLOUTS);
-	gossip->end_count = cw_quarantine_tell_ends(cw_gate_quarantine(entry->gate), now_ms,
-						    gossip->ends, CW_QUARANTINE_ENDS);
-	gossip->held_count = cw_quarantine_tell_records(cw_gate_quarantine(entry->gate), now_ms,
-							gossip->held, CW_QUARANTINE_RECORDS);
+	gossip->crash_count = cw_quarantine_tell_ends(cw_gate_quarantine(entry->gate), now_ms,
+						      gossip->ends, CW_QUARANTINE_ENDS);
+	gossip->quarantined_count =
+		cw_quarantine_tell_records(cw_gate_quarantine(entry->gate), now_ms,
+					   gossip->quarantined, CW_QUARANTINE_RECORDS);
 	gossip->drain_count = cw_drains_list(cw_pool_drains(cw_gate_pool(entry->gate)),
 					     gossip->drains, CW_DRAINS_MAX);
 }
@@ -279,8 +279,8 @@
 {
 	const struct peers *peers = context;
 
-	place->rank = cw_membership_place(peers->membership, server, entry_now_ms(peers->entry),
-					  &place->instances);
+	place->rank = cw_membership_stable_rank(peers->membership, server,
+						entry_now_ms(peers->entry), &place->instances);
 }
 
 static void name_members(const struct peers *peers, struct cw_gossip *gossip, int64_t now_ms)
@@ -288,7 +288,7 @@
 	uint64_t random;
 
 	cw_random_bytes(&random, sizeof(random));
-	cw_gossip_name(gossip, peers->membership, PEERS_READERS_KEY, random, now_ms);
+	cw_gossip_add_members(gossip, peers->membership, PEERS_READERS_KEY, random, now_ms);
 }
 
 static void send_to(struct peers *peers, const char *address, const struct message *message)
@@ -308,7 +308,8 @@
 	struct entry *entry = peers->entry;
 	int64_t now_ms = entry_now_ms(entry);
 	int is_new;
-	struct cw_member *member = cw_gossip_learn(gossip, peers->membership, &is_new, now_ms);
+	struct cw_member *member =
+		cw_gossip_merge_members(gossip, peers->membership, &is_new, now_ms);
 	struct peer_loads *loads;
 
 	if (!member)
@@ -335,10 +336,10 @@
 				 member->instance, gossip->rollouts[i].service,
 				 gossip->rollouts[i].target, gossip->rollouts[i].state,
 				 gossip->rollouts[i].is_written);
-	for (size_t i = 0; i < gossip->end_count; i++)
+	for (size_t i = 0; i < gossip->crash_count; i++)
 		cw_quarantine_hear_end(cw_gate_quarantine(entry->gate), &gossip->ends[i], now_ms);
-	for (size_t i = 0; i < gossip->held_count; i++)
-		cw_quarantine_hear_record(cw_gate_quarantine(entry->gate), &gossip->held[i],
+	for (size_t i = 0; i < gossip->quarantined_count; i++)
+		cw_quarantine_hear_record(cw_gate_quarantine(entry->gate), &gossip->quarantined[i],
 					  CW_QUARANTINE_PEER, now_ms);
 	for (size_t i = 0; i < gossip->drain_count; i++)
 		feed_drain(entry->feed, &gossip->drains[i], member->instance);
--- a/apps/corianderwalk/entry_share.c
+++ b/apps/corianderwalk/entry_share.c
@@ -178,7 +178,7 @@
 	cw_caller_head(caller, HTTP_STATUS_OK, fields, (int64_t)feed->config_size);
 	cw_caller_data(caller, feed->config_packed, feed->config_size);
 	cw_caller_end(caller);
-	cw_uplink_sent(&share->uplink, feed->config_size, now_ms);
+	cw_uplink_add_transfer(&share->uplink, feed->config_size, now_ms);
 }
 
 static void answer_list(struct share *share, struct cw_caller *caller)
@@ -199,7 +199,7 @@
 	cw_caller_data(caller, copy->bytes, copy->size);
 	cw_caller_end(caller);
 	cw_count("peer_lists_sent", "", 1);
-	cw_uplink_sent(&share->uplink, copy->size, now_ms);
+	cw_uplink_add_transfer(&share->uplink, copy->size, now_ms);
 }
 
 static void make_copy(struct share *share, int64_t now_ms)
@@ -231,10 +231,10 @@
 {
 	const struct feed *feed = share->feed;
 	int64_t now_ms = entry_now_ms(feed->entry);
-	struct cw_gossip_changes changes = {.word = {
+	struct cw_gossip_changes changes = {.peer_report = {
 						    .from = feed->list.from,
 						    .age_ms = now_ms - feed->list.fresh_ms,
-						    .proof = feed->list.proof,
+						    .evidence = feed->list.evidence,
 					    }};
 	size_t size;
 	char *bytes;
@@ -250,7 +250,7 @@
 	cw_caller_head(caller, HTTP_STATUS_OK, "", (int64_t)size);
 	cw_caller_data(caller, bytes, size);
 	cw_caller_end(caller);
-	cw_uplink_sent(&share->uplink, size, now_ms);
+	cw_uplink_add_transfer(&share->uplink, size, now_ms);
 	g_free(bytes);
 	g_free(changes.changes);
 }
@@ -404,8 +404,9 @@
 		return;
 	}
 	if (feed->servers.is_complete && feed->servers.phase == PHASE_FOLLOW)
-		cw_follow_hear(&feed->list, changes.changes, changes.count, &changes.word,
-			       entry_now_ms(feed->entry), news_take_followed, feed);
+		cw_follow_merge_changes(&feed->list, changes.changes, changes.count,
+					&changes.peer_report, entry_now_ms(feed->entry),
+					news_take_followed, feed);
 	g_free(changes.changes);
 }
 
@@ -423,7 +424,7 @@
 	cw_event("share", "list_taken", "from=%lu before=%lu servers=%zu age_ms=%u",
 		 (unsigned long)list->from, (unsigned long)feed->list.from, list->count,
 		 list->age_ms);
-	cw_follow_start(&feed->list, list->from);
+	cw_follow_reset(&feed->list, list->from);
 	feed->list.fresh_ms = MAX(feed->list.fresh_ms, now_ms - list->age_ms);
 	topic_taken(&feed->servers);
 }
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -68,7 +68,7 @@
 	topic->is_complete = 1;
 	if (topic->phase == PHASE_NEWEST) {
 		stop_asking(topic);
-		topic_ask_in(topic, CW_READERS_KNOWN_MS);
+		topic_ask_in(topic, CW_READERS_DISCOVERY_MS);
 	}
 	topic->phase = PHASE_FOLLOW;
 	*topic->after = '\0';
@@ -126,9 +126,9 @@
 		cw_up_read_call(topic->topic, topic_next_offset(topic), wait_ms, store, bytes);
 		request.silence_ms += wait_ms;
 	}
-	topic->asked_from = topic->from;
+	topic->read_from = topic->from;
 	if (topic->topic == CW_UP_SERVERS)
-		cw_follow_ask(&feed->list);
+		cw_follow_begin_read(&feed->list);
 	g_string_truncate(topic->body, 0);
 	topic->status = 0;
 	cw_count("store_calls", "", 1);
@@ -159,14 +159,14 @@
  */
 int topic_is_reader(const struct topic *topic)
 {
-	return is_settled(topic->feed) && cw_readers_is_first(rank_of(topic));
+	return is_settled(topic->feed) && cw_readers_is_reader(rank_of(topic));
 }
 
 static int is_settled(const struct feed *feed)
 {
 	int64_t now_ms = entry_now_ms(feed->entry);
 
-	return now_ms - feed->started_ms >= CW_READERS_KNOWN_MS &&
+	return now_ms - feed->started_ms >= CW_READERS_DISCOVERY_MS &&
 	       peers_are_known(feed->entry->peers, now_ms);
 }
 
@@ -205,7 +205,7 @@
 	else if (topic_is_reader(topic))
 		ask(topic);
 	else if (topic->topic == CW_UP_SERVERS && is_settled(feed) &&
-		 cw_follow_reads(&feed->list, rank_of(topic), entry_now_ms(feed->entry)))
+		 cw_follow_is_reader(&feed->list, rank_of(topic), entry_now_ms(feed->entry)))
 		ask(topic);
 	else
 		topic_ask_in(topic, STALE_CHECK_MS);
@@ -216,7 +216,7 @@
 {
 	const struct feed *feed = topic->feed;
 
-	return feed->is_seed || (is_settled(feed) && rank_of(topic) < CW_READERS_STAND_IN);
+	return feed->is_seed || (is_settled(feed) && rank_of(topic) < CW_READERS_STANDBY);
 }
 
 static void ask_newest(struct topic *topic)
@@ -224,20 +224,20 @@
 	struct feed *feed = topic->feed;
 	struct cw_readers_view view = {
 		.is_awaited = is_awaited(topic),
-		.is_coming = share_is_coming(feed->share, topic),
-		.has_rested = topic->has_rested,
+		.is_peer_sending = share_is_coming(feed->share, topic),
+		.is_jitter_done = topic->is_jitter_done,
 		.knows_peers = peers_known(feed->entry->peers) > 0,
 		.running_ms = entry_now_ms(feed->entry) - feed->started_ms,
 	};
 
-	switch (cw_readers_next(&view)) {
-	case CW_READERS_ASK:
+	switch (cw_readers_next_step(&view)) {
+	case CW_READERS_READ:
 		ask(topic);
 		break;
-	case CW_READERS_AWAIT:
+	case CW_READERS_AWAIT_PEER:
 		topic_ask_in(topic, STALE_CHECK_MS);
 		break;
-	case CW_READERS_REST:
+	case CW_READERS_WAIT_JITTER:
 		rest(topic);
 		break;
 	}
@@ -247,9 +247,9 @@
 {
 	uint64_t random;
 
-	topic->has_rested = 1;
+	topic->is_jitter_done = 1;
 	cw_random_bytes(&random, sizeof(random));
-	topic_ask_in(topic, cw_readers_rest_ms(random));
+	topic_ask_in(topic, cw_readers_jitter_ms(random));
 }
 
 static void on_head(void *context, const struct cw_message *answer)
@@ -303,7 +303,7 @@
 		topic_start_over(topic);
 		return;
 	}
-	topic->has_rested = 0;
+	topic->is_jitter_done = 0;
 	topic->phase = PHASE_NEWEST;
 	*topic->after = '\0';
 	ask_newest(topic);
@@ -312,12 +312,12 @@
 static enum cw_status read_answer(struct topic *topic, struct cw_up_page *page,
 				  struct cw_error *error)
 {
-	uint64_t asked_from =
-		topic->topic == CW_UP_SERVERS ? topic->feed->list.asked_from : topic->asked_from;
+	uint64_t read_from =
+		topic->topic == CW_UP_SERVERS ? topic->feed->list.read_from : topic->read_from;
 
 	if (topic->phase == PHASE_NEWEST)
 		return cw_up_newest_answer(topic->topic, topic->status, topic->body, page, error);
-	return cw_up_read_answer(topic->topic, topic->status, topic->body, asked_from, page, error);
+	return cw_up_read_answer(topic->topic, topic->status, topic->body, read_from, page, error);
 }
 
 static void on_failed(void *context, enum cw_flow_failure failure)
@@ -366,7 +366,7 @@
 		topic_ask_in(topic, topic_is_reader(topic) ? 0 : STALE_CHECK_MS);
 		return;
 	}
-	cw_follow_answered(&topic->feed->list, topic->read_ms);
+	cw_follow_end_read(&topic->feed->list, topic->read_ms);
 	/* A list that is new is the others' sign that somebody reads the configuration too. */
 	if (!topic_is_reader(topic))
 		ask_now(&topic->feed->operator);
@@ -378,7 +378,7 @@
 static void take_record(struct topic *topic, struct cw_up_news *news)
 {
 	struct cw_change change = {.offset = news->offset,
-				   .is_gone = news->kind == CW_UP_SERVER_GONE,
+				   .is_removed = news->kind == CW_UP_SERVER_GONE,
 				   .entry = news->server};
 
 	note_unreadable(topic, news);
@@ -386,7 +386,7 @@
 		news_take(topic, news);
 	else if (news->kind == CW_UP_OTHER)
 		cw_follow_skip(&topic->feed->list, news->offset);
-	else if (cw_follow_take_record(&topic->feed->list, &change, topic->read_ms))
+	else if (cw_follow_apply_record(&topic->feed->list, &change, topic->read_ms))
 		news_take_followed(topic->feed, &change);
 }
 
@@ -421,12 +421,12 @@
 	if (topic->topic == CW_UP_SERVERS) {
 		cw_pool_delist_unlisted(cw_gate_pool(entry->gate), topic->sweep_ms,
 					feed_lapse_until_ms(feed), topic->read_ms);
-		cw_follow_start(&feed->list, topic->from);
-		cw_follow_answered(&feed->list, topic->sweep_ms);
-		topic_ask_in(topic, CW_READERS_KNOWN_MS);
+		cw_follow_reset(&feed->list, topic->from);
+		cw_follow_end_read(&feed->list, topic->sweep_ms);
+		topic_ask_in(topic, CW_READERS_DISCOVERY_MS);
 	} else if (topic->topic == CW_UP_OPERATOR) {
 		restore_unseen(topic);
-		topic_ask_in(topic, CW_READERS_KNOWN_MS);
+		topic_ask_in(topic, CW_READERS_DISCOVERY_MS);
 		/* What became of an order is written down; without one there is nothing to read. */
 		if (cw_rollouts_has_any(cw_gate_rollouts(entry->gate)) && !feed->status.is_complete)
 			ask(&feed->status);
@@ -464,7 +464,7 @@
 	cw_random_bytes(&random, sizeof(random));
 	/* Who writes a roll-out's end reads its topic alone, whatever its rank as a reader. */
 	rank = topic->topic == CW_UP_STATUS ? 0 : rank_of(topic);
-	topic_ask_in(topic, cw_readers_again_ms(rank, topic->failures, random));
+	topic_ask_in(topic, cw_readers_retry_ms(rank, topic->failures, random));
 	if (topic->topic != CW_UP_QUARANTINE)
 		doubt_others(topic);
 }
--- a/packages/follow/include/cw_follow.h
+++ b/packages/follow/include/cw_follow.h
@@ -11,60 +11,62 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_FOLLOW_CHANGES  24	/* newest records, kept for peers */
-#define CW_FOLLOW_TOLD_MS  1000 /* a record is announced for so long: seven gossip rounds */
-#define CW_FOLLOW_STALE_MS 1300 /* age at which others read the list; bound 2000 */
+#define CW_FOLLOW_CHANGES     24   /* newest records, kept for peers */
+#define CW_FOLLOW_ANNOUNCE_MS 1000 /* a record is announced for so long: seven gossip rounds */
+#define CW_FOLLOW_STALE_MS    1300 /* age at which others read the list; bound 2000 */
 
 /* One record of the server list. */
 struct cw_change {
 	uint64_t offset;
-	int is_gone; /* the entry has only its name */
+	int is_removed; /* the entry has only its name */
 	struct cw_server_entry entry;
 };
 
 #define CW_FOLLOW_READERS 16 /* instances whose newest answers are tracked */
 
 /* Freshness evidence of a list: the shared store's answer, by the calling instance and number. */
-struct cw_follow_proof {
+struct cw_follow_evidence {
 	uint64_t reader;
 	uint64_t number; /* of the answer, counted by that reader; 0: none yet */
 };
 
 /* A peer's report on its copy of the server list. */
-struct cw_follow_word {
+struct cw_follow_report {
 	uint64_t from;
 	int64_t age_ms; /* since the copy was known to be current */
-	struct cw_follow_proof proof;
+	struct cw_follow_evidence evidence;
 };
 
 struct cw_follow {
-	uint64_t self;					  /* unique number of this instance */
-	struct cw_follow_proof proof;			  /* of fresh_ms */
-	uint64_t answers;				  /* of the shared store to this instance */
-	struct cw_follow_proof newest[CW_FOLLOW_READERS]; /* one per reader */
-	size_t newest_next;				  /* next slot to reuse */
-	uint64_t from;					  /* offset of the next record */
-	uint64_t asked_from;				  /* of the own read in progress */
+	uint64_t self;			    /* unique number of this instance */
+	struct cw_follow_evidence evidence; /* of fresh_ms */
+	uint64_t answers;		    /* of the shared store to this instance */
+	struct cw_follow_evidence newest[CW_FOLLOW_READERS]; /* one per reader */
+	size_t newest_next;				     /* next slot to reuse */
+	uint64_t from;					     /* offset of the next record */
+	uint64_t read_from;				     /* of the own read in progress */
 	int64_t fresh_ms; /* when the list was last known to be current */
 	size_t count;
 	struct cw_change changes[CW_FOLLOW_CHANGES]; /* consecutive; the last is from - 1 */
 	int64_t applied_ms[CW_FOLLOW_CHANGES];
 };
 
-void cw_follow_start(struct cw_follow *follow, uint64_t from); /* a snapshot was applied */
-void cw_follow_ask(struct cw_follow *follow);		       /* a read from follow->from begins */
-int cw_follow_take_record(struct cw_follow *follow, const struct cw_change *change,
-			  int64_t now_ms); /* 1: the next record, to be applied */
+void cw_follow_reset(struct cw_follow *follow, uint64_t from); /* a snapshot was applied */
+void cw_follow_begin_read(struct cw_follow *follow);	       /* a read from follow->from begins */
+int cw_follow_apply_record(struct cw_follow *follow, const struct cw_change *change,
+			   int64_t now_ms); /* 1: the next record, to be applied */
 void cw_follow_skip(struct cw_follow *follow,
 		    uint64_t offset); /* passes a record that holds no entry */
-void cw_follow_answered(struct cw_follow *follow,
+void cw_follow_end_read(struct cw_follow *follow,
 			int64_t now_ms); /* the read reached the end of the log */
-size_t cw_follow_tell(const struct cw_follow *follow, int64_t now_ms, struct cw_change *changes);
-int cw_follow_hear(struct cw_follow *follow, const struct cw_change *changes, size_t count,
-		   const struct cw_follow_word *word, int64_t now_ms,
-		   void (*apply)(void *context, const struct cw_change *change),
-		   void *context); /* 0: records are missing: read them */
-int cw_follow_reads(const struct cw_follow *follow, size_t rank,
-		    int64_t now_ms); /* 1: the instance of this rank reads the shared store now */
+size_t cw_follow_collect_changes(const struct cw_follow *follow, int64_t now_ms,
+				 struct cw_change *changes);
+int cw_follow_merge_changes(struct cw_follow *follow, const struct cw_change *changes, size_t count,
+			    const struct cw_follow_report *peer_report, int64_t now_ms,
+			    void (*apply)(void *context, const struct cw_change *change),
+			    void *context); /* 0: records are missing: read them */
+int cw_follow_is_reader(
+	const struct cw_follow *follow, size_t rank,
+	int64_t now_ms); /* 1: the instance of this rank reads the shared store now */
 
 #endif
--- a/packages/follow/include/cw_readers.h
+++ b/packages/follow/include/cw_readers.h
@@ -10,9 +10,9 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_READERS	    2	 /* read for all; two, since one may lose the shared store */
-#define CW_READERS_STAND_IN 10	 /* ranks that take over at once, retry often; others rarely */
-#define CW_READERS_KNOWN_MS 1000 /* after a start, until gossip has named most others */
+#define CW_READERS		2    /* read for all; two, since one may lose the shared store */
+#define CW_READERS_STANDBY	10   /* ranks that take over at once, retry often; others rarely */
+#define CW_READERS_DISCOVERY_MS 1000 /* after a start, until gossip has named most others */
 
 /* Role of an instance that has just started. */
 struct cw_readers_start {
@@ -22,33 +22,33 @@
 };
 
 /* First call to the shared store after a start. */
-struct cw_readers_first {
+struct cw_readers_first_call {
 	int64_t wait_ms; /* to the call, unless peers send the state before */
 	int is_early;	 /* no startup jitter follows; the others add it if they know peers */
 };
 
 /* Circumstances of an instance that is due to read a topic for the first time. */
 struct cw_readers_view {
-	int is_awaited;	    /* other instances depend on this one's read */
-	int is_coming;	    /* a peer sends the state, or soon will */
-	int has_rested;	    /* the startup jitter has passed */
-	int knows_peers;    /* at least one other instance */
-	int64_t running_ms; /* since the start */
+	int is_awaited;	     /* other instances depend on this one's read */
+	int is_peer_sending; /* a peer sends the state, or soon will */
+	int is_jitter_done;  /* the startup jitter has passed */
+	int knows_peers;     /* at least one other instance */
+	int64_t running_ms;  /* since the start */
 };
 
 enum cw_readers_step {
-	CW_READERS_ASK,	  /* read the shared store now */
-	CW_READERS_AWAIT, /* wait for a peer's state; check soon */
-	CW_READERS_REST,  /* wait for cw_readers_rest_ms, once */
+	CW_READERS_READ,	/* read the shared store now */
+	CW_READERS_AWAIT_PEER,	/* wait for a peer's state; check soon */
+	CW_READERS_WAIT_JITTER, /* wait for cw_readers_jitter_ms, once */
 };
 
-enum cw_readers_step cw_readers_next(const struct cw_readers_view *view);
-int cw_readers_is_first(size_t rank);	    /* 1: reads for all */
-int64_t cw_readers_step_in_ms(size_t rank); /* after the list became stale */
-int64_t cw_readers_again_ms(size_t rank, unsigned int failures,
+enum cw_readers_step cw_readers_next_step(const struct cw_readers_view *view);
+int cw_readers_is_reader(size_t rank);	     /* 1: reads for all */
+int64_t cw_readers_takeover_ms(size_t rank); /* after the list became stale */
+int64_t cw_readers_retry_ms(size_t rank, unsigned int failures,
 			    uint64_t random); /* to the next call, after consecutive failures */
-void cw_readers_start(const struct cw_readers_start *start, struct cw_readers_first *first);
-int64_t cw_readers_rest_ms(uint64_t random); /* startup jitter between the first page of a long
+void cw_readers_start(const struct cw_readers_start *start, struct cw_readers_first_call *first);
+int64_t cw_readers_jitter_ms(uint64_t random); /* startup jitter between the first page of a long
 						list and the next; peers may send it before */
 
 #endif
--- a/packages/follow/include/cw_uplink.h
+++ b/packages/follow/include/cw_uplink.h
@@ -16,6 +16,6 @@
 void cw_uplink_open(struct cw_uplink *uplink, double link_mbps); /* 0: unknown, no limit */
 int cw_uplink_admits(const struct cw_uplink *uplink,
 		     int64_t now_ms); /* 0: transfers are queued; the peer asks another instance */
-void cw_uplink_sent(struct cw_uplink *uplink, size_t bytes, int64_t now_ms);
+void cw_uplink_add_transfer(struct cw_uplink *uplink, size_t bytes, int64_t now_ms);
 
 #endif
--- a/packages/follow/src/follow.c
+++ b/packages/follow/src/follow.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <string.h>
 
-static int is_new_evidence(struct cw_follow *follow, const struct cw_follow_proof *proof);
+static int is_new_evidence(struct cw_follow *follow, const struct cw_follow_evidence *evidence);
 static void append_change(struct cw_follow *follow, const struct cw_change *change, int64_t now_ms);
 
 /*
@@ -13,15 +13,15 @@
  * were applied twice, the read position was 423 in a log of 283 records, and 78 of 80 instances
  * applied no record for 14 s, while 37 servers left.
  */
-void cw_follow_start(struct cw_follow *follow, uint64_t from)
+void cw_follow_reset(struct cw_follow *follow, uint64_t from)
 {
 	follow->from = from;
 	follow->count = 0;
 }
 
-void cw_follow_ask(struct cw_follow *follow)
+void cw_follow_begin_read(struct cw_follow *follow)
 {
-	follow->asked_from = follow->from;
+	follow->read_from = follow->from;
 }
 
 /*
@@ -29,7 +29,7 @@
  * Counting the answer's records from the current read position, instead of by their offsets, would
  * skip as many unseen records: a server that has left would still get requests.
  */
-int cw_follow_take_record(struct cw_follow *follow, const struct cw_change *change, int64_t now_ms)
+int cw_follow_apply_record(struct cw_follow *follow, const struct cw_change *change, int64_t now_ms)
 {
 	if (change->offset != follow->from)
 		return 0;
@@ -46,45 +46,48 @@
 	follow->count = 0;
 }
 
-void cw_follow_answered(struct cw_follow *follow, int64_t now_ms)
+void cw_follow_end_read(struct cw_follow *follow, int64_t now_ms)
 {
 	follow->fresh_ms = now_ms;
-	follow->proof.reader = follow->self;
-	follow->proof.number = ++follow->answers;
+	follow->evidence.reader = follow->self;
+	follow->evidence.number = ++follow->answers;
 }
 
-size_t cw_follow_tell(const struct cw_follow *follow, int64_t now_ms, struct cw_change *changes)
+size_t cw_follow_collect_changes(const struct cw_follow *follow, int64_t now_ms,
+				 struct cw_change *changes)
 {
 	size_t count = 0;
 
 	for (size_t i = 0; i < follow->count; i++)
-		if (now_ms - follow->applied_ms[i] <= CW_FOLLOW_TOLD_MS)
+		if (now_ms - follow->applied_ms[i] <= CW_FOLLOW_ANNOUNCE_MS)
 			changes[count++] = follow->changes[i];
 	return count;
 }
 
-int cw_follow_hear(struct cw_follow *follow, const struct cw_change *changes, size_t count,
-		   const struct cw_follow_word *word, int64_t now_ms,
-		   void (*apply)(void *context, const struct cw_change *change), void *context)
+int cw_follow_merge_changes(struct cw_follow *follow, const struct cw_change *changes, size_t count,
+			    const struct cw_follow_report *peer_report, int64_t now_ms,
+			    void (*apply)(void *context, const struct cw_change *change),
+			    void *context)
 {
 	for (size_t i = 0; i < count; i++)
-		if (cw_follow_take_record(follow, &changes[i], now_ms))
+		if (cw_follow_apply_record(follow, &changes[i], now_ms))
 			apply(context, &changes[i]);
-	if (follow->from < word->from)
+	if (follow->from < peer_report->from)
 		return 0;
 	/* A peer's list is as old as the last answer of the shared store that it rests on. */
-	if (is_new_evidence(follow, &word->proof) && now_ms - word->age_ms > follow->fresh_ms) {
-		follow->fresh_ms = now_ms - word->age_ms;
-		follow->proof = word->proof;
+	if (is_new_evidence(follow, &peer_report->evidence) &&
+	    now_ms - peer_report->age_ms > follow->fresh_ms) {
+		follow->fresh_ms = now_ms - peer_report->age_ms;
+		follow->evidence = peer_report->evidence;
 	}
 	return 1;
 }
 
-int cw_follow_reads(const struct cw_follow *follow, size_t rank, int64_t now_ms)
+int cw_follow_is_reader(const struct cw_follow *follow, size_t rank, int64_t now_ms)
 {
 	int64_t stale_ms = now_ms - follow->fresh_ms - CW_FOLLOW_STALE_MS;
 
-	return cw_readers_is_first(rank) || stale_ms >= cw_readers_step_in_ms(rank);
+	return cw_readers_is_reader(rank) || stale_ms >= cw_readers_takeover_ms(rank);
 }
 
 /*
@@ -93,22 +96,22 @@
  * repeatedly, the same old answer seemed ever newer. So each answer counts once, when it is first
  * reported.
  */
-static int is_new_evidence(struct cw_follow *follow, const struct cw_follow_proof *proof)
+static int is_new_evidence(struct cw_follow *follow, const struct cw_follow_evidence *evidence)
 {
-	struct cw_follow_proof *newest = NULL;
+	struct cw_follow_evidence *newest = NULL;
 
-	if (!proof->number || proof->reader == follow->self)
+	if (!evidence->number || evidence->reader == follow->self)
 		return 0;
 	for (size_t i = 0; i < CW_FOLLOW_READERS; i++)
-		if (follow->newest[i].reader == proof->reader)
+		if (follow->newest[i].reader == evidence->reader)
 			newest = &follow->newest[i];
 	if (!newest) {
 		newest = &follow->newest[follow->newest_next++ % CW_FOLLOW_READERS];
-		*newest = (struct cw_follow_proof){.reader = proof->reader};
+		*newest = (struct cw_follow_evidence){.reader = evidence->reader};
 	}
-	if (proof->number <= newest->number)
+	if (evidence->number <= newest->number)
 		return 0;
-	newest->number = proof->number;
+	newest->number = evidence->number;
 	return 1;
 }
 
--- a/packages/follow/src/readers.c
+++ b/packages/follow/src/readers.c
@@ -23,7 +23,7 @@
 #define JITTER_MAX_MS	      6000   /* longest startup jitter, for few instances */
 #define JITTER_INSTANCES      4096.0 /* one in so many skips the jitter */
 
-int cw_readers_is_first(size_t rank)
+int cw_readers_is_reader(size_t rank)
 {
 	return rank < CW_READERS;
 }
@@ -35,26 +35,26 @@
  * the ones that lost the shared store, so ten ranks take over within 0.4 s; only when these fail
  * too do the other ranks follow, one by one.
  */
-int64_t cw_readers_step_in_ms(size_t rank)
+int64_t cw_readers_takeover_ms(size_t rank)
 {
-	int64_t standby_ms = CW_READERS_STAND_IN * STANDBY_STEP_MS;
+	int64_t standby_ms = CW_READERS_STANDBY * STANDBY_STEP_MS;
 	size_t late;
 	size_t remaining;
 
-	if (cw_readers_is_first(rank))
+	if (cw_readers_is_reader(rank))
 		return 0;
-	if (rank < CW_READERS_STAND_IN)
+	if (rank < CW_READERS_STANDBY)
 		return (int64_t)(rank - CW_READERS) * STANDBY_STEP_MS;
-	late = MIN(rank, LATE_RANKS) - CW_READERS_STAND_IN;
+	late = MIN(rank, LATE_RANKS) - CW_READERS_STANDBY;
 	remaining = rank > LATE_RANKS ? rank - LATE_RANKS : 0;
 	return standby_ms + (int64_t)late * LATE_STEP_MS + (int64_t)remaining * REMAINING_STEP_MS;
 }
 
-int64_t cw_readers_again_ms(size_t rank, unsigned int failures, uint64_t random)
+int64_t cw_readers_retry_ms(size_t rank, unsigned int failures, uint64_t random)
 {
 	int64_t wait_ms = RETRY_MS;
 
-	if (rank >= CW_READERS_STAND_IN) {
+	if (rank >= CW_READERS_STANDBY) {
 		wait_ms = RETRY_OTHERS_MS * (int64_t)MAX(rank, RETRY_BASE_RANKS) / RETRY_BASE_RANKS;
 		return wait_ms + (int64_t)(random % (uint64_t)wait_ms);
 	}
@@ -71,7 +71,7 @@
  * of no peer in time reads as well. A configuration is hundreds of kilobytes: read by a thousand
  * instances it keeps the shared store busy for ten seconds, and every call in that time fails.
  */
-void cw_readers_start(const struct cw_readers_start *start, struct cw_readers_first *first)
+void cw_readers_start(const struct cw_readers_start *start, struct cw_readers_first_call *first)
 {
 	first->is_early =
 		start->is_seed || (!start->is_first && start->random % EARLY_DIVISOR == 0);
@@ -88,15 +88,15 @@
 }
 
 /* Prefers state from peers; with a long list, peers serve only some of the requests. */
-enum cw_readers_step cw_readers_next(const struct cw_readers_view *view)
+enum cw_readers_step cw_readers_next_step(const struct cw_readers_view *view)
 {
 	if (view->is_awaited)
-		return CW_READERS_ASK;
-	if (view->is_coming && view->running_ms < PEER_STATE_TIMEOUT_MS)
-		return CW_READERS_AWAIT;
-	if (!view->has_rested && view->knows_peers)
-		return CW_READERS_REST;
-	return CW_READERS_ASK;
+		return CW_READERS_READ;
+	if (view->is_peer_sending && view->running_ms < PEER_STATE_TIMEOUT_MS)
+		return CW_READERS_AWAIT_PEER;
+	if (!view->is_jitter_done && view->knows_peers)
+		return CW_READERS_WAIT_JITTER;
+	return CW_READERS_READ;
 }
 
 /*
@@ -105,7 +105,7 @@
  * such that as many of a thousand begin early as of a hundred: a few, from which the others get the
  * list.
  */
-int64_t cw_readers_rest_ms(uint64_t random)
+int64_t cw_readers_jitter_ms(uint64_t random)
 {
 	double part = MAX(cw_hash_part(random), 1 / JITTER_INSTANCES);
 
--- a/packages/follow/src/uplink.c
+++ b/packages/follow/src/uplink.c
@@ -22,7 +22,7 @@
 	return uplink->busy_until_ms <= (double)(now_ms + MAX_QUEUE_MS);
 }
 
-void cw_uplink_sent(struct cw_uplink *uplink, size_t bytes, int64_t now_ms)
+void cw_uplink_add_transfer(struct cw_uplink *uplink, size_t bytes, int64_t now_ms)
 {
 	if (uplink->bytes_per_ms <= 0)
 		return;
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -339,7 +339,7 @@
 		return;
 	}
 	/* Counted after the send: a request rejected unsent must not add to the retry budget. */
-	cw_repeats_first(gate_get_retry_budget(call->gate, call->service_name), now_ms);
+	cw_repeats_count_first(gate_get_retry_budget(call->gate, call->service_name), now_ms);
 }
 
 /* Classifies the route's requests for the trial of a new version. */
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -110,7 +110,7 @@
 	if (is_new)
 		cw_repeats_open(repeats, gate->options.retry_ratio, 0,
 				gate->options.retry_window_ms);
-	repeats->slack = cw_repeats_part(gate->options.retry_slack, gate->instances);
+	repeats->slack = cw_repeats_instance_slack(gate->options.retry_slack, gate->instances);
 	return repeats;
 }
 
--- a/packages/gossip/include/cw_gossip.h
+++ b/packages/gossip/include/cw_gossip.h
@@ -17,14 +17,14 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_GOSSIP_BYTES	       (16 * 1024) /* of one datagram, at most */
-#define CW_GOSSIP_MEMBERS      24	   /* named in one message, at most */
-#define CW_GOSSIP_SERVERS      128
-#define CW_GOSSIP_ROLLOUTS     4
-#define CW_GOSSIP_CUT_SESSIONS 16 /* of a roll-out, in a trimmed message */
-#define CW_GOSSIP_FOREIGN      2  /* recipients in other domains per round, in a small domain */
-#define CW_GOSSIP_NO_AGE       UINT32_MAX /* the sender has no server list, or leaves it out */
-#define CW_GOSSIP_SMALL	       20	  /* instances; a larger domain sends no more */
+#define CW_GOSSIP_BYTES		   (16 * 1024) /* of one datagram, at most */
+#define CW_GOSSIP_MEMBERS	   24	       /* named in one message, at most */
+#define CW_GOSSIP_SERVERS	   128
+#define CW_GOSSIP_ROLLOUTS	   4
+#define CW_GOSSIP_TRIMMED_SESSIONS 16 /* of a roll-out, in a trimmed message */
+#define CW_GOSSIP_REMOTE_FANOUT	   2  /* recipients in other domains per round, in a small domain */
+#define CW_GOSSIP_NO_AGE	   UINT32_MAX /* the sender has no server list, or leaves it out */
+#define CW_GOSSIP_SMALL_DOMAIN	   20	      /* instances; a larger domain sends no more */
 
 struct cw_gossip_member {
 	char instance[CW_NAME_MAX];
@@ -48,7 +48,7 @@
 	uint64_t operator_offset; /* the sender's read position in the operator's topic */
 	uint64_t servers_offset;  /* its position in the server list */
 	uint32_t servers_age_ms;  /* since the server list was known to be current */
-	struct cw_follow_proof servers_proof;
+	struct cw_follow_evidence servers_evidence;
 	size_t change_count; /* all records from the first one's offset to servers_offset */
 	struct cw_change changes[CW_FOLLOW_CHANGES];
 	size_t member_count;
@@ -57,12 +57,12 @@
 	struct cw_gossip_load loads[CW_GOSSIP_SERVERS];
 	size_t rollout_count;
 	struct cw_rollout_announcement rollouts[CW_GOSSIP_ROLLOUTS];
-	size_t end_count;
+	size_t crash_count;
 	struct cw_quarantine_end ends[CW_QUARANTINE_ENDS];
-	size_t held_count;
-	struct cw_quarantine_record held[CW_QUARANTINE_RECORDS];
+	size_t quarantined_count;
+	struct cw_quarantine_record quarantined[CW_QUARANTINE_RECORDS];
 	size_t drain_count;
-	struct cw_drain_order drains[CW_DRAINS]; /* withdrawn ones included */
+	struct cw_drain_order drains[CW_DRAINS_MAX]; /* withdrawn ones included */
 };
 
 /* Snapshot of the server list, for an instance that can't read it from the shared store. */
@@ -73,9 +73,9 @@
 	struct cw_server_entry *entries;
 };
 
-/* Reply to a peer that has missed records: all from its offset up to word.from. */
+/* Reply to a peer that has missed records: all from its offset up to peer_report.from. */
 struct cw_gossip_changes {
-	struct cw_follow_word word;
+	struct cw_follow_report peer_report;
 	size_t count;
 	struct cw_change *changes;
 };
@@ -87,12 +87,12 @@
 char *cw_gossip_list_encode(const struct cw_gossip_list *list, size_t *size); /* g_free */
 enum cw_status cw_gossip_list_decode(const char *bytes, size_t size,
 				     struct cw_gossip_list *list); /* g_free(list->entries) */
-void cw_gossip_cut(struct cw_gossip *gossip); /* keeps only what all instances need at once */
+void cw_gossip_trim(struct cw_gossip *gossip); /* keeps only what all instances need at once */
 size_t cw_gossip_encode(const struct cw_gossip *gossip, char *bytes,
 			size_t size); /* 0: it does not fit */
 enum cw_status cw_gossip_decode(const char *bytes, size_t size, struct cw_gossip *gossip);
 
 /* Recipients in other domains for one instance of own_domain instances; random: any number. */
-size_t cw_gossip_foreign_fanout(size_t own_domain, uint64_t random);
+size_t cw_gossip_remote_fanout(size_t own_domain, uint64_t random);
 
 #endif
--- a/packages/gossip/src/audience.c
+++ b/packages/gossip/src/audience.c
@@ -29,29 +29,29 @@
 	for (size_t i = 0; i < count; i++)
 		own_size += !strcmp(members[i]->failure_domain, own_domain);
 	/* Not the bits that choose the sample: a part of the members would never get a message. */
-	other_left = cw_gossip_foreign_fanout(own_size, random >> 32);
+	other_left = cw_gossip_remote_fanout(own_size, random >> 32);
 	audience->members = members;
-	audience->whole_count = 0;
+	audience->full_count = 0;
 	for (size_t i = 0; i < count; i++) {
 		int is_own = !strcmp(members[i]->failure_domain, own_domain);
 		size_t *left = is_own ? &own_left : &other_left;
 
 		if (count <= CW_AUDIENCE_FULL_FANOUT || *left > 0)
-			members[audience->whole_count++] = members[i];
+			members[audience->full_count++] = members[i];
 		else if (trimmed_count < TRIMMED_FANOUT)
 			trimmed[trimmed_count++] = members[i];
 		*left -= *left > 0;
 	}
 	for (size_t i = 0; i < trimmed_count; i++)
-		members[audience->whole_count + i] = trimmed[i];
-	audience->count = audience->whole_count + trimmed_count;
+		members[audience->full_count + i] = trimmed[i];
+	audience->count = audience->full_count + trimmed_count;
 	g_free(trimmed);
 }
 
 void cw_audience_clear(struct cw_audience *audience)
 {
 	g_clear_pointer(&audience->members, g_free);
-	audience->count = audience->whole_count = 0;
+	audience->count = audience->full_count = 0;
 }
 
 /*
@@ -68,13 +68,13 @@
  * without a report of a reader for 2 s took over its reads: of 195 instances, seven at a time read
  * what two can read for all.
  */
-void cw_gossip_name(struct cw_gossip *gossip, const struct cw_membership *membership, uint64_t key,
-		    uint64_t random, int64_t now_ms)
+void cw_gossip_add_members(struct cw_gossip *gossip, const struct cw_membership *membership,
+			   uint64_t key, uint64_t random, int64_t now_ms)
 {
-	int is_stable = cw_membership_is_calm(membership, now_ms, GROWTH_WINDOW_MS);
+	int is_stable = cw_membership_is_stable(membership, now_ms, GROWTH_WINDOW_MS);
 	size_t max_count = is_stable ? NAMED_WHEN_STABLE : CW_GOSSIP_MEMBERS;
 	struct cw_member *members[CW_GOSSIP_MEMBERS];
-	size_t count = cw_membership_first(membership, key, now_ms, members, CW_READERS);
+	size_t count = cw_membership_find_top_ranked(membership, key, now_ms, members, CW_READERS);
 
 	count += cw_membership_sample(membership, random, members + count, max_count - count);
 	for (size_t i = 0; i < count; i++) {
@@ -85,23 +85,24 @@
 		g_strlcpy(member->instance, members[i]->instance, CW_NAME_MAX);
 		g_strlcpy(member->failure_domain, members[i]->failure_domain, CW_NAME_MAX);
 		g_strlcpy(member->address, members[i]->address, CW_ADDRESS_MAX);
-		member->age_ms = (uint32_t)(now_ms - members[i]->heard_ms);
+		member->age_ms = (uint32_t)(now_ms - members[i]->last_seen_ms);
 		gossip->member_count++;
 	}
 }
 
-struct cw_member *cw_gossip_learn(const struct cw_gossip *gossip, struct cw_membership *membership,
-				  int *is_new, int64_t now_ms)
+struct cw_member *cw_gossip_merge_members(const struct cw_gossip *gossip,
+					  struct cw_membership *membership, int *is_new,
+					  int64_t now_ms)
 {
 	struct cw_member *member =
-		cw_membership_learn(membership, gossip->sender.instance,
-				    gossip->sender.failure_domain, gossip->sender.address);
+		cw_membership_upsert(membership, gossip->sender.instance,
+				     gossip->sender.failure_domain, gossip->sender.address);
 
 	*is_new = 0;
 	if (!member)
 		return NULL;
 	*is_new = member->boot != gossip->boot;
-	cw_membership_heard(member, gossip->boot, gossip->is_leaving, now_ms);
+	cw_membership_mark_seen(member, gossip->boot, gossip->is_leaving, now_ms);
 	for (size_t i = 0; i < gossip->member_count; i++)
 		merge_member(membership, &gossip->members[i], now_ms);
 	return member;
@@ -115,11 +116,11 @@
 static void merge_member(struct cw_membership *membership, const struct cw_gossip_member *report,
 			 int64_t now_ms)
 {
-	struct cw_member *member = cw_membership_learn(membership, report->instance,
-						       report->failure_domain, report->address);
+	struct cw_member *member = cw_membership_upsert(membership, report->instance,
+							report->failure_domain, report->address);
 
 	if (member)
-		member->heard_ms = MAX(member->heard_ms, now_ms - (int64_t)report->age_ms);
+		member->last_seen_ms = MAX(member->last_seen_ms, now_ms - (int64_t)report->age_ms);
 	else if (cw_membership_size(membership) >= CW_MAX_INSTANCES)
 		cw_count("instances_not_kept", "", 1);
 }
--- a/packages/gossip/src/gossip.c
+++ b/packages/gossip/src/gossip.c
@@ -12,7 +12,7 @@
 static bool_t code_member(XDR *xdr, struct cw_gossip_member *member);
 static bool_t code_address(XDR *xdr, char *address);
 static bool_t code_load(XDR *xdr, struct cw_gossip_load *load);
-static bool_t code_rollout(XDR *xdr, struct cw_rollout_news *news);
+static bool_t code_rollout(XDR *xdr, struct cw_rollout_announcement *news);
 static bool_t code_crash(XDR *xdr, struct cw_quarantine_end *end);
 static bool_t code_quarantined(XDR *xdr, struct cw_quarantine_record *record);
 static bool_t code_drain(XDR *xdr, struct cw_drain_order *order);
@@ -26,17 +26,17 @@
  * server crashes took up to 4 kB more, just while servers crash. The offset is left out as well:
  * without the records before it, every recipient would see a gap and read the shared store.
  */
-void cw_gossip_cut(struct cw_gossip *gossip)
+void cw_gossip_trim(struct cw_gossip *gossip)
 {
 	gossip->member_count = 0;
 	gossip->change_count = 0;
-	gossip->end_count = 0;
-	gossip->held_count = 0;
+	gossip->crash_count = 0;
+	gossip->quarantined_count = 0;
 	gossip->servers_offset = 0;
 	gossip->servers_age_ms = CW_GOSSIP_NO_AGE;
 	for (size_t i = 0; i < gossip->rollout_count; i++)
-		if (gossip->rollouts[i].session_count > CW_GOSSIP_CUT_SESSIONS)
-			gossip->rollouts[i].session_count = CW_GOSSIP_CUT_SESSIONS;
+		if (gossip->rollouts[i].session_count > CW_GOSSIP_TRIMMED_SESSIONS)
+			gossip->rollouts[i].session_count = CW_GOSSIP_TRIMMED_SESSIONS;
 }
 
 size_t cw_gossip_encode(const struct cw_gossip *gossip, char *bytes, size_t size)
@@ -58,12 +58,12 @@
  * domain pass on to each other what any of them received. So a large domain sends as much as a
  * small one, its instances in turn.
  */
-size_t cw_gossip_foreign_fanout(size_t own_domain, uint64_t random)
+size_t cw_gossip_remote_fanout(size_t own_domain, uint64_t random)
 {
-	size_t all = (size_t)CW_GOSSIP_FOREIGN * CW_GOSSIP_SMALL;
+	size_t all = (size_t)CW_GOSSIP_REMOTE_FANOUT * CW_GOSSIP_SMALL_DOMAIN;
 
-	if (own_domain <= CW_GOSSIP_SMALL)
-		return CW_GOSSIP_FOREIGN;
+	if (own_domain <= CW_GOSSIP_SMALL_DOMAIN)
+		return CW_GOSSIP_REMOTE_FANOUT;
 	return all / own_domain + (random % own_domain < all % own_domain);
 }
 
@@ -90,8 +90,8 @@
 	    !xdr_uint64_t(xdr, &gossip->operator_offset) ||
 	    !xdr_uint64_t(xdr, &gossip->servers_offset) ||
 	    !xdr_u_int(xdr, &gossip->servers_age_ms) ||
-	    !xdr_uint64_t(xdr, &gossip->servers_proof.reader) ||
-	    !xdr_uint64_t(xdr, &gossip->servers_proof.number))
+	    !xdr_uint64_t(xdr, &gossip->servers_evidence.reader) ||
+	    !xdr_uint64_t(xdr, &gossip->servers_evidence.number))
 		return FALSE;
 	if (!gossip_code_count(xdr, &gossip->change_count, CW_FOLLOW_CHANGES))
 		return FALSE;
@@ -113,15 +113,15 @@
 	for (size_t i = 0; i < gossip->rollout_count; i++)
 		if (!code_rollout(xdr, &gossip->rollouts[i]))
 			return FALSE;
-	if (!gossip_code_count(xdr, &gossip->end_count, CW_QUARANTINE_ENDS))
+	if (!gossip_code_count(xdr, &gossip->crash_count, CW_QUARANTINE_ENDS))
 		return FALSE;
-	for (size_t i = 0; i < gossip->end_count; i++)
+	for (size_t i = 0; i < gossip->crash_count; i++)
 		if (!code_crash(xdr, &gossip->ends[i]))
 			return FALSE;
-	if (!gossip_code_count(xdr, &gossip->held_count, CW_QUARANTINE_RECORDS))
+	if (!gossip_code_count(xdr, &gossip->quarantined_count, CW_QUARANTINE_RECORDS))
 		return FALSE;
-	for (size_t i = 0; i < gossip->held_count; i++)
-		if (!code_quarantined(xdr, &gossip->held[i]))
+	for (size_t i = 0; i < gossip->quarantined_count; i++)
+		if (!code_quarantined(xdr, &gossip->quarantined[i]))
 			return FALSE;
 	if (!gossip_code_count(xdr, &gossip->drain_count, CW_DRAINS_MAX))
 		return FALSE;
@@ -188,10 +188,10 @@
 {
 	struct cw_server_entry *entry = &change->entry;
 
-	if (!xdr_uint64_t(xdr, &change->offset) || !xdr_int(xdr, &change->is_gone) ||
+	if (!xdr_uint64_t(xdr, &change->offset) || !xdr_int(xdr, &change->is_removed) ||
 	    !gossip_code_text(xdr, entry->name, CW_NAME_MAX))
 		return FALSE;
-	return change->is_gone || gossip_code_entry(xdr, entry);
+	return change->is_removed || gossip_code_entry(xdr, entry);
 }
 
 bool_t gossip_code_entry(XDR *xdr, struct cw_server_entry *entry)
@@ -240,7 +240,7 @@
 }
 
 /* A step in force before its order would move sessions at once: no instance announces that. */
-static bool_t code_plan(XDR *xdr, struct cw_rollout_news *news)
+static bool_t code_plan(XDR *xdr, struct cw_rollout_announcement *news)
 {
 	for (size_t i = 0; i < CW_ROLLOUT_STEP_COUNT; i++)
 		if (!gossip_code_int64(xdr, &news->effective_ms[i]) || news->effective_ms[i] < 0)
--- a/packages/gossip/src/list.c
+++ b/packages/gossip/src/list.c
@@ -112,10 +112,10 @@
 	u_int magic = CHANGES_MAGIC;
 
 	if (!xdr_u_int(xdr, &magic) || magic != CHANGES_MAGIC ||
-	    !xdr_uint64_t(xdr, &changes->word.from) ||
-	    !gossip_code_int64(xdr, &changes->word.age_ms) ||
-	    !xdr_uint64_t(xdr, &changes->word.proof.reader) ||
-	    !xdr_uint64_t(xdr, &changes->word.proof.number) ||
+	    !xdr_uint64_t(xdr, &changes->peer_report.from) ||
+	    !gossip_code_int64(xdr, &changes->peer_report.age_ms) ||
+	    !xdr_uint64_t(xdr, &changes->peer_report.evidence.reader) ||
+	    !xdr_uint64_t(xdr, &changes->peer_report.evidence.number) ||
 	    !gossip_code_count(xdr, &changes->count, CW_TAIL_CHANGES))
 		return FALSE;
 	if (xdr->x_op == XDR_DECODE)
--- a/packages/limits/include/cw_limits.h
+++ b/packages/limits/include/cw_limits.h
@@ -13,7 +13,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_LIMIT_WHOLE	  1000000 /* parts of a limit */
+#define CW_LIMIT_PARTS	  1000000 /* parts of a limit */
 #define CW_LOAN_TERM_MS	  3000
 #define CW_LOAN_MARGIN_MS 500
 
@@ -34,14 +34,15 @@
 enum cw_status cw_limits_admit(struct cw_limits *limits, const struct cw_limit *limit,
 			       double tokens, int64_t now_ms,
 			       int64_t *retry_after_ms); /* CW_OK: the request runs; else CW_FULL */
-void cw_limits_done(struct cw_limits *limits, uint64_t row, double expected_tokens,
-		    double tokens); /* releases the slot, corrects the tokens */
+void cw_limits_release(struct cw_limits *limits, uint64_t row, double expected_tokens,
+		       double tokens); /* releases the slot, corrects the tokens */
 uint32_t cw_limits_share(struct cw_limits *limits, uint64_t row, int64_t now_ms); /* in parts */
-size_t cw_limits_wanted(struct cw_limits *limits, int64_t now_ms, uint64_t *rows, uint32_t *parts,
-			size_t max); /* loans to request: rows that rejected lately, parts */
+size_t cw_limits_loan_requests(struct cw_limits *limits, int64_t now_ms, uint64_t *rows,
+			       uint32_t *parts,
+			       size_t max); /* loans to request: rows that rejected lately, parts */
 uint32_t cw_limits_lend(struct cw_limits *limits, const struct cw_limit *limit, uint64_t borrower,
 			uint32_t wanted, int64_t now_ms); /* parts granted, 0 if none are free */
-void cw_limits_borrowed(struct cw_limits *limits, uint64_t row, uint64_t lender, uint32_t parts,
+void cw_limits_add_loan(struct cw_limits *limits, uint64_t row, uint64_t lender, uint32_t parts,
 			int64_t asked_ms);
 
 /* Retries spend a budget that successes fill: a failing backend server gets no retry storm. */
--- a/packages/limits/include/cw_repeats.h
+++ b/packages/limits/include/cw_repeats.h
@@ -20,8 +20,9 @@
 };
 
 void cw_repeats_open(struct cw_repeats *repeats, double ratio, double slack, int64_t window_ms);
-double cw_repeats_part(double slack, size_t instances); /* slack of one instance; 0: unknown */
-void cw_repeats_first(struct cw_repeats *repeats, int64_t now_ms);
+double cw_repeats_instance_slack(double slack,
+				 size_t instances); /* slack of one instance; 0: unknown */
+void cw_repeats_count_first(struct cw_repeats *repeats, int64_t now_ms);
 int cw_repeats_take(struct cw_repeats *repeats, int64_t now_ms); /* 0: the budget is spent */
 
 #endif
--- a/packages/limits/src/limits.c
+++ b/packages/limits/src/limits.c
@@ -117,7 +117,8 @@
 	return CW_OK;
 }
 
-void cw_limits_done(struct cw_limits *limits, uint64_t row, double expected_tokens, double tokens)
+void cw_limits_release(struct cw_limits *limits, uint64_t row, double expected_tokens,
+		       double tokens)
 {
 	struct row_share *share = share_of(limits, row);
 
@@ -128,11 +129,11 @@
 
 uint32_t cw_limits_share(struct cw_limits *limits, uint64_t row, int64_t now_ms)
 {
-	return (uint32_t)(share_fraction(limits, share_of(limits, row), now_ms) * CW_LIMIT_WHOLE);
+	return (uint32_t)(share_fraction(limits, share_of(limits, row), now_ms) * CW_LIMIT_PARTS);
 }
 
-size_t cw_limits_wanted(struct cw_limits *limits, int64_t now_ms, uint64_t *rows, uint32_t *parts,
-			size_t max)
+size_t cw_limits_loan_requests(struct cw_limits *limits, int64_t now_ms, uint64_t *rows,
+			       uint32_t *parts, size_t max)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -142,7 +143,7 @@
 	while (count < max && g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct row_share *share = value;
 		double missing = share->demand * KEEP_FACTOR -
-				 share_fraction(limits, share, now_ms) * CW_LIMIT_WHOLE;
+				 share_fraction(limits, share, now_ms) * CW_LIMIT_PARTS;
 		uint32_t borrowed = borrowed_parts(&share->borrowed, now_ms);
 
 		if (share->rejected_ms < 0 || now_ms - share->rejected_ms > LOAN_REQUEST_MS)
@@ -150,7 +151,7 @@
 				continue;
 		/* A loan still in use is renewed before its term ends. */
 		rows[count] = share->row;
-		parts[count] = (uint32_t)CLAMP(missing + borrowed, 0, CW_LIMIT_WHOLE);
+		parts[count] = (uint32_t)CLAMP(missing + borrowed, 0, CW_LIMIT_PARTS);
 		count += parts[count] > 0;
 	}
 	return count;
@@ -160,7 +161,7 @@
 			uint32_t wanted, int64_t now_ms)
 {
 	struct row_share *share = share_of(limits, limit->row);
-	double base = limits->instances ? (double)CW_LIMIT_WHOLE / (double)limits->instances : 0;
+	double base = limits->instances ? (double)CW_LIMIT_PARTS / (double)limits->instances : 0;
 	double idle = now_ms - share->window_ms > 2 * DEMAND_WINDOW_MS ? 0 : share->demand;
 	double spare = base - idle * KEEP_FACTOR;
 	uint32_t committed = 0;
@@ -168,7 +169,7 @@
 
 	/* Slots are whole: this instance may lend only those that are its own. */
 	if (limit->concurrent > 0)
-		spare = MIN(spare, base_slots(limits, limit->concurrent) * CW_LIMIT_WHOLE /
+		spare = MIN(spare, base_slots(limits, limit->concurrent) * CW_LIMIT_PARTS /
 					   limit->concurrent);
 	lent_parts(&share->lent, now_ms);
 	/*
@@ -195,7 +196,7 @@
 	return wanted;
 }
 
-void cw_limits_borrowed(struct cw_limits *limits, uint64_t row, uint64_t lender, uint32_t parts,
+void cw_limits_add_loan(struct cw_limits *limits, uint64_t row, uint64_t lender, uint32_t parts,
 			int64_t asked_ms)
 {
 	struct row_share *share = share_of(limits, row);
@@ -337,11 +338,11 @@
 
 static double share_fraction(struct cw_limits *limits, struct row_share *share, int64_t now_ms)
 {
-	double parts = limits->instances ? (double)CW_LIMIT_WHOLE / (double)limits->instances : 0;
+	double parts = limits->instances ? (double)CW_LIMIT_PARTS / (double)limits->instances : 0;
 
 	parts -= lent_parts(&share->lent, now_ms);
 	parts = MAX(parts, 0) + borrowed_parts(&share->borrowed, now_ms);
-	return parts / CW_LIMIT_WHOLE;
+	return parts / CW_LIMIT_PARTS;
 }
 
 static void refill(struct row_share *share, const struct cw_limit *limit, double part,
@@ -366,9 +367,9 @@
 static unsigned int slots(const struct cw_limits *limits, struct row_share *share,
 			  double concurrent, int64_t now_ms)
 {
-	double lent = ceil(lent_parts(&share->lent, now_ms) * concurrent / CW_LIMIT_WHOLE - 1e-6);
+	double lent = ceil(lent_parts(&share->lent, now_ms) * concurrent / CW_LIMIT_PARTS - 1e-6);
 	double borrowed = floor(
-		borrowed_parts(&share->borrowed, now_ms) * concurrent / CW_LIMIT_WHOLE + 1e-6);
+		borrowed_parts(&share->borrowed, now_ms) * concurrent / CW_LIMIT_PARTS + 1e-6);
 
 	return (unsigned int)MAX(base_slots(limits, concurrent) - lent + borrowed, 0);
 }
@@ -401,13 +402,13 @@
 		share->window_ms = now_ms;
 	}
 	if (limit->requests_per_s > 0)
-		use = CW_LIMIT_WHOLE / limit->requests_per_s;
+		use = CW_LIMIT_PARTS / limit->requests_per_s;
 	if (limit->tokens_per_s > 0)
-		use = MAX(use, tokens * CW_LIMIT_WHOLE / limit->tokens_per_s);
+		use = MAX(use, tokens * CW_LIMIT_PARTS / limit->tokens_per_s);
 	share->window_use += use;
 	if (limit->concurrent > 0)
 		share->window_use = MAX(share->window_use,
-					(share->running + 1) * CW_LIMIT_WHOLE / limit->concurrent);
+					(share->running + 1) * CW_LIMIT_PARTS / limit->concurrent);
 }
 
 static int64_t refill_time_ms(double lacking, double rate)
--- a/packages/limits/src/repeats.c
+++ b/packages/limits/src/repeats.c
@@ -28,12 +28,12 @@
  * large. Without any slack, the first low-confidence answer of a small model would not be
  * escalated, which cost 0.06 of the credit in the 2 s after a restart of all instances.
  */
-double cw_repeats_part(double slack, size_t instances)
+double cw_repeats_instance_slack(double slack, size_t instances)
 {
 	return instances ? slack / (double)instances : MIN(slack, SLACK_UNKNOWN);
 }
 
-void cw_repeats_first(struct cw_repeats *repeats, int64_t now_ms)
+void cw_repeats_count_first(struct cw_repeats *repeats, int64_t now_ms)
 {
 	advance_window(repeats, now_ms);
 	repeats->first[repeats->bucket % CW_REPEAT_BUCKETS]++;
--- a/packages/membership/include/cw_membership.h
+++ b/packages/membership/include/cw_membership.h
@@ -18,7 +18,7 @@
 	char address[CW_ADDRESS_MAX]; /* of its peer listener, IP:PORT */
 	uint64_t id;		      /* hash of the instance's name */
 	uint64_t boot;		      /* drawn at each start; 0: no heartbeat yet */
-	int64_t heard_ms;	      /* last sign of life, own or in a peer's report; -1: none */
+	int64_t last_seen_ms;	      /* last sign of life, own or in a peer's report; -1: none */
 	int64_t listed_ms;	      /* last seen in the platform's list; -1: never */
 	int leaving;
 	int configured; /* named by the settings */
@@ -32,51 +32,57 @@
 struct cw_membership *cw_membership_create(const char *instance, const char *failure_domain,
 					   int64_t timeout_ms);
 void cw_membership_destroy(struct cw_membership *membership); /* frees its members */
-void cw_membership_set_silent(struct cw_membership *membership,
-			      int64_t timeout_ms); /* without a sign of life for longer: not live */
+void cw_membership_set_timeout(
+	struct cw_membership *membership,
+	int64_t timeout_ms); /* without a sign of life for longer: not live */
 struct cw_member *
-cw_membership_learn(struct cw_membership *membership, const char *instance,
-		    const char *failure_domain,
-		    const char *address); /* adds or updates; NULL: own name, or full */
+cw_membership_upsert(struct cw_membership *membership, const char *instance,
+		     const char *failure_domain,
+		     const char *address); /* adds or updates; NULL: own name, or full */
 struct cw_member *cw_membership_find(struct cw_membership *membership,
 				     const char *instance); /* NULL: unknown */
-void cw_membership_heard(struct cw_member *member, uint64_t boot, int leaving, int64_t now_ms);
-void cw_membership_listed(struct cw_member *member, int leaving, int64_t now_ms);
-void cw_membership_forget(struct cw_membership *membership, int64_t now_ms,
-			  int64_t keep_ms); /* drops members neither seen nor listed for keep_ms */
+void cw_membership_mark_seen(struct cw_member *member, uint64_t boot, int leaving, int64_t now_ms);
+void cw_membership_mark_listed(struct cw_member *member, int leaving, int64_t now_ms);
+void cw_membership_remove_stale(
+	struct cw_membership *membership, int64_t now_ms,
+	int64_t keep_ms); /* drops members neither seen nor listed for keep_ms */
 int cw_membership_is_live(
 	const struct cw_membership *membership, const struct cw_member *member,
 	int64_t now_ms); /* seen within the time-out, which is longer for hundreds of members */
-int cw_membership_is_gone(const struct cw_membership *membership, const struct cw_member *member,
-			  int64_t now_ms); /* not seen for four times the time-out, or never */
-size_t
-cw_membership_homes(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
-		    struct cw_member **owners,
-		    size_t count); /* by rendezvous; the second in another failure domain if any */
+int cw_membership_is_unreachable(
+	const struct cw_membership *membership, const struct cw_member *member,
+	int64_t now_ms); /* not seen for four times the time-out, or never */
+size_t cw_membership_find_owners(
+	const struct cw_membership *membership, uint64_t key, int64_t now_ms,
+	struct cw_member **owners,
+	size_t count); /* by rendezvous; the second in another failure domain if any */
 size_t cw_membership_sample(const struct cw_membership *membership, uint64_t random,
 			    struct cw_member **members,
 			    size_t count); /* gossip targets: unreachable ones too, to detect a
 					      healed network partition */
-size_t cw_membership_first(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
-			   struct cw_member **members,
-			   size_t count); /* the top-ranked others by rendezvous hashing, best
-					     first, of those seen within the configured time-out:
-					     every message names them, so a failure shows at once */
+size_t cw_membership_find_top_ranked(
+	const struct cw_membership *membership, uint64_t key, int64_t now_ms,
+	struct cw_member **members,
+	size_t count); /* the top-ranked others by rendezvous hashing, best
+			  first, of those seen within the configured time-out:
+			  every message names them, so a failure shows at once */
 size_t cw_membership_rank(const struct cw_membership *membership, uint64_t key,
 			  int64_t now_ms); /* own rank among the same members; 0: first */
-void cw_membership_settle(struct cw_membership *membership, int64_t now_ms, int64_t settle_ms,
-			  int is_only); /* own rank is unknown for settle_ms after now_ms and after
-					   each growth by a quarter; is_only: there are no others */
-size_t cw_membership_place(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
-			   size_t *instances); /* as rank, but unreachable members are ranked too
-						  unless a majority is live: no instance in a
-						  network partition ranks itself alone; instances:
-						  ranked ones, 0: the rank is unknown */
-int cw_membership_is_calm(const struct cw_membership *membership, int64_t now_ms,
-			  int64_t calm_ms); /* 1: no growth by a quarter within calm_ms */
+void cw_membership_start_settling(
+	struct cw_membership *membership, int64_t now_ms, int64_t settle_ms,
+	int is_only); /* own rank is unknown for settle_ms after now_ms and after
+			 each growth by a quarter; is_only: there are no others */
+size_t
+cw_membership_stable_rank(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
+			  size_t *instances); /* as rank, but unreachable members are ranked too
+						 unless a majority is live: no instance in a
+						 network partition ranks itself alone; instances:
+						 ranked ones, 0: the rank is unknown */
+int cw_membership_is_stable(const struct cw_membership *membership, int64_t now_ms,
+			    int64_t calm_ms); /* 1: no growth by a quarter within calm_ms */
 size_t cw_membership_size(const struct cw_membership *membership); /* counts this instance */
-size_t cw_membership_live(const struct cw_membership *membership,
-			  int64_t now_ms); /* counts this instance */
+size_t cw_membership_count_live(const struct cw_membership *membership,
+				int64_t now_ms); /* counts this instance */
 const struct cw_member_list *cw_membership_members(const struct cw_membership *membership);
 
 #endif
--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -58,13 +58,13 @@
 	g_free(membership);
 }
 
-void cw_membership_set_silent(struct cw_membership *membership, int64_t timeout_ms)
+void cw_membership_set_timeout(struct cw_membership *membership, int64_t timeout_ms)
 {
 	membership->timeout_ms = timeout_ms;
 }
 
-struct cw_member *cw_membership_learn(struct cw_membership *membership, const char *instance,
-				      const char *failure_domain, const char *address)
+struct cw_member *cw_membership_upsert(struct cw_membership *membership, const char *instance,
+				       const char *failure_domain, const char *address)
 {
 	struct cw_member *member;
 
@@ -77,7 +77,7 @@
 		member = g_new0(struct cw_member, 1);
 		g_strlcpy(member->instance, instance, CW_NAME_MAX);
 		member->id = cw_hash_text(instance, 0);
-		member->heard_ms = -1;
+		member->last_seen_ms = -1;
 		member->listed_ms = -1;
 		TAILQ_INSERT_TAIL(&membership->members, member, link);
 		g_hash_table_insert(membership->by_name, member->instance, member);
@@ -95,28 +95,28 @@
 	return g_hash_table_lookup(membership->by_name, instance);
 }
 
-void cw_membership_heard(struct cw_member *member, uint64_t boot, int leaving, int64_t now_ms)
+void cw_membership_mark_seen(struct cw_member *member, uint64_t boot, int leaving, int64_t now_ms)
 {
 	member->boot = boot;
 	member->leaving = leaving;
-	member->heard_ms = now_ms;
+	member->last_seen_ms = now_ms;
 }
 
-void cw_membership_listed(struct cw_member *member, int leaving, int64_t now_ms)
+void cw_membership_mark_listed(struct cw_member *member, int leaving, int64_t now_ms)
 {
 	member->listed_ms = now_ms;
 	if (leaving)
 		member->leaving = 1;
 }
 
-void cw_membership_forget(struct cw_membership *membership, int64_t now_ms, int64_t keep_ms)
+void cw_membership_remove_stale(struct cw_membership *membership, int64_t now_ms, int64_t keep_ms)
 {
 	struct cw_member *member = TAILQ_FIRST(&membership->members);
 
 	update_growth(membership, now_ms);
 	while (member) {
 		struct cw_member *next = TAILQ_NEXT(member, link);
-		int64_t seen = MAX(member->heard_ms, member->listed_ms);
+		int64_t seen = MAX(member->last_seen_ms, member->listed_ms);
 
 		if (!member->configured && now_ms - seen > keep_ms) {
 			TAILQ_REMOVE(&membership->members, member, link);
@@ -144,18 +144,19 @@
 
 static int is_seen_within(const struct cw_member *member, int64_t limit_ms, int64_t now_ms)
 {
-	return !member->leaving && member->heard_ms >= 0 && now_ms - member->heard_ms <= limit_ms;
+	return !member->leaving && member->last_seen_ms >= 0 &&
+	       now_ms - member->last_seen_ms <= limit_ms;
 }
 
-int cw_membership_is_gone(const struct cw_membership *membership, const struct cw_member *member,
-			  int64_t now_ms)
+int cw_membership_is_unreachable(const struct cw_membership *membership,
+				 const struct cw_member *member, int64_t now_ms)
 {
-	return member->heard_ms < 0 ||
-	       now_ms - member->heard_ms > membership->timeout_ms * UNREACHABLE_FACTOR;
+	return member->last_seen_ms < 0 ||
+	       now_ms - member->last_seen_ms > membership->timeout_ms * UNREACHABLE_FACTOR;
 }
 
-size_t cw_membership_homes(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
-			   struct cw_member **owners, size_t count)
+size_t cw_membership_find_owners(const struct cw_membership *membership, uint64_t key,
+				 int64_t now_ms, struct cw_member **owners, size_t count)
 {
 	size_t found = 0;
 
@@ -197,8 +198,8 @@
 	return found;
 }
 
-size_t cw_membership_first(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
-			   struct cw_member **members, size_t count)
+size_t cw_membership_find_top_ranked(const struct cw_membership *membership, uint64_t key,
+				     int64_t now_ms, struct cw_member **members, size_t count)
 {
 	struct cw_member *member;
 	size_t found = 0;
@@ -235,8 +236,8 @@
 	return rank;
 }
 
-void cw_membership_settle(struct cw_membership *membership, int64_t now_ms, int64_t settle_ms,
-			  int is_only)
+void cw_membership_start_settling(struct cw_membership *membership, int64_t now_ms,
+				  int64_t settle_ms, int is_only)
 {
 	membership->settle_ms = settle_ms;
 	membership->grown_ms = now_ms;
@@ -244,11 +245,11 @@
 	membership->is_only = is_only;
 }
 
-size_t cw_membership_place(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
-			   size_t *instances)
+size_t cw_membership_stable_rank(const struct cw_membership *membership, uint64_t key,
+				 int64_t now_ms, size_t *instances)
 {
 	double own = cw_rendezvous(key, membership->id, 1);
-	size_t live = cw_membership_live(membership, now_ms);
+	size_t live = cw_membership_count_live(membership, now_ms);
 	const struct cw_member *member;
 	int is_majority;
 	size_t known = 1;
@@ -269,7 +270,7 @@
 	return rank;
 }
 
-int cw_membership_is_calm(const struct cw_membership *membership, int64_t now_ms, int64_t calm_ms)
+int cw_membership_is_stable(const struct cw_membership *membership, int64_t now_ms, int64_t calm_ms)
 {
 	return now_ms - membership->grown_ms >= calm_ms && !has_grown(membership);
 }
@@ -279,7 +280,7 @@
 	return membership->size + 1;
 }
 
-size_t cw_membership_live(const struct cw_membership *membership, int64_t now_ms)
+size_t cw_membership_count_live(const struct cw_membership *membership, int64_t now_ms)
 {
 	const struct cw_member *member;
 	size_t live = 1;
@@ -301,7 +302,7 @@
  */
 static int is_settled(const struct cw_membership *membership, int64_t now_ms)
 {
-	return cw_membership_is_calm(membership, now_ms, membership->settle_ms);
+	return cw_membership_is_stable(membership, now_ms, membership->settle_ms);
 }
 
 static void update_growth(struct cw_membership *membership, int64_t now_ms)
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -268,8 +268,8 @@
 {
 	for (size_t i = 0; i < node->config.peer_count; i++) {
 		const struct cw_node_peer *peer = &node->config.peers[i];
-		struct cw_member *member = cw_membership_learn(node->membership, peer->instance,
-							       peer->failure_domain, peer->address);
+		struct cw_member *member = cw_membership_upsert(
+			node->membership, peer->instance, peer->failure_domain, peer->address);
 
 		if (member)
 			member->configured = 1;
@@ -299,11 +299,11 @@
 
 static void list_instance(struct cw_node *node, const struct cw_listed *listed)
 {
-	struct cw_member *member = cw_membership_learn(
+	struct cw_member *member = cw_membership_upsert(
 		node->membership, listed->name, listed->failure_domain, listed->peer_address);
 
 	if (member)
-		cw_membership_listed(member, listed->leaving, node->now_ms);
+		cw_membership_mark_listed(member, listed->leaving, node->now_ms);
 }
 
 static void list_server(struct cw_node *node, const struct cw_listed *listed)
@@ -360,7 +360,7 @@
 	size_t rank = 0;
 
 	if (node->now_ms - node->started_ms < JOIN_MS &&
-	    cw_membership_live(node->membership, node->now_ms) <
+	    cw_membership_count_live(node->membership, node->now_ms) <
 		    cw_membership_size(node->membership)) {
 		cw_limits_divide(node->limits, 0, 0);
 		return;
@@ -378,7 +378,7 @@
 		return;
 	node->expire_due_ms = node->now_ms + EXPIRE_MS;
 	cw_session_expire(node->sessions, node->now_ms, node->config.session_idle_ms);
-	cw_membership_forget(node->membership, node->now_ms, FORGET_MEMBER_MS);
+	cw_membership_remove_stale(node->membership, node->now_ms, FORGET_MEMBER_MS);
 	server = TAILQ_FIRST(cw_pool_servers(node->pool));
 	while (server) {
 		struct cw_server *next = TAILQ_NEXT(server, link);
--- a/packages/node/src/node_bills.c
+++ b/packages/node/src/node_bills.c
@@ -42,8 +42,8 @@
 	message.body.peer_body_u.bills.noted = node->bills_end;
 	message.body.peer_body_u.bills.list.list_len = 1;
 	message.body.peer_body_u.bills.list.list_val = &item;
-	count = cw_membership_homes(node->membership, cw_hash_text(id, 8), node->now_ms, homes,
-				    BILL_HOMES);
+	count = cw_membership_find_owners(node->membership, cw_hash_text(id, 8), node->now_ms,
+					  homes, BILL_HOMES);
 	for (size_t i = 0; i < count; i++) {
 		bill->homes[i] = homes[i]->id;
 		gossip_send(node, homes[i], &message);
@@ -272,7 +272,7 @@
 	const struct cw_member *member = cw_membership_find(node->membership, parts[0]);
 	uint64_t boot = g_ascii_strtoull(parts[1], NULL, 10);
 	int gone = !member || member->boot != boot ||
-		   cw_membership_is_gone(node->membership, member, node->now_ms);
+		   cw_membership_is_unreachable(node->membership, member, node->now_ms);
 
 	g_strfreev(parts);
 	return gone;
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -49,8 +49,8 @@
 		node_event(node, "peer", "message_rejected", "bytes=%zu", size);
 		return;
 	}
-	member = cw_membership_learn(node->membership, message.from, message.failure_domain,
-				     message.address);
+	member = cw_membership_upsert(node->membership, message.from, message.failure_domain,
+				      message.address);
 	if (!member) {
 		cw_peer_release(&message);
 		return;
@@ -95,7 +95,7 @@
 			const struct peer_want *loan =
 				&message.body.peer_body_u.grants.list.list_val[i];
 
-			cw_limits_borrowed(node->limits, loan->row, member->id, loan->parts,
+			cw_limits_add_loan(node->limits, loan->row, member->id, loan->parts,
 					   message.body.peer_body_u.grants.asked_ms);
 		}
 		break;
@@ -128,8 +128,8 @@
 		period_ms * (int64_t)((cw_membership_size(node->membership) + FANOUT - 1) / FANOUT);
 	node->heartbeat_due_ms = node->now_ms + period_ms;
 	node->heartbeat_spare = period_ms == node->config.heartbeat_ms;
-	cw_membership_set_silent(node->membership,
-				 MAX(node->config.silent_ms, SILENT_ROUNDS * round_ms));
+	cw_membership_set_timeout(node->membership,
+				  MAX(node->config.silent_ms, SILENT_ROUNDS * round_ms));
 }
 
 /* Something a peer should hear sooner than the next beat, where the budget allows it. */
@@ -169,8 +169,8 @@
 {
 	struct cw_member *homes[BINDING_HOMES];
 	struct peer_message message = {0};
-	size_t count = cw_membership_homes(node->membership, binding->key, node->now_ms, homes,
-					   BINDING_HOMES);
+	size_t count = cw_membership_find_owners(node->membership, binding->key, node->now_ms,
+						 homes, BINDING_HOMES);
 
 	message.body.kind = PEER_BIND;
 	message.body.peer_body_u.bind.key = binding->key;
@@ -187,8 +187,8 @@
 {
 	struct cw_member *homes[BINDING_HOMES];
 	struct peer_message message = {0};
-	size_t count =
-		cw_membership_homes(node->membership, key, node->now_ms, homes, BINDING_HOMES);
+	size_t count = cw_membership_find_owners(node->membership, key, node->now_ms, homes,
+						 BINDING_HOMES);
 
 	message.body.kind = PEER_ASK_BINDING;
 	message.body.peer_body_u.ask.key = key;
@@ -285,7 +285,7 @@
 		loads[beat->loads.loads_len++].running = server->own_running;
 	}
 	beat->loads.loads_val = loads;
-	count = cw_limits_wanted(node->limits, node->now_ms, rows, parts, WANTS_MAX);
+	count = cw_limits_loan_requests(node->limits, node->now_ms, rows, parts, WANTS_MAX);
 	for (size_t i = 0; i < count; i++) {
 		wants[i].row = rows[i];
 		wants[i].parts = parts[i];
@@ -333,7 +333,7 @@
 	const struct peer_heartbeat *beat = &message->body.peer_body_u.heartbeat;
 	int was_live = cw_membership_is_live(node->membership, member, node->now_ms);
 
-	cw_membership_heard(member, message->boot, beat->leaving != 0, node->now_ms);
+	cw_membership_mark_seen(member, message->boot, beat->leaving != 0, node->now_ms);
 	member->table_offset = beat->table_offset;
 	if (was_live != cw_membership_is_live(node->membership, member, node->now_ms))
 		node_event(node, "membership", was_live ? "peer_leaving" : "peer_live",
--- a/packages/node/src/node_request.c
+++ b/packages/node/src/node_request.c
@@ -170,7 +170,7 @@
 		tokens +=
 			request->attempts[i].prompt_tokens + request->attempts[i].completion_tokens;
 	if (request->admitted)
-		cw_limits_done(node->limits, request->row, request->expected_tokens, tokens);
+		cw_limits_release(node->limits, request->row, request->expected_tokens, tokens);
 	g_hash_table_remove(node->by_handle, &request->in.handle);
 	LIST_REMOVE(request, link);
 	g_clear_pointer(&request->answer, g_free);
--- a/tests/bench/fleet/fleet_internal.h
+++ b/tests/bench/fleet/fleet_internal.h
@@ -25,7 +25,7 @@
 /* How one instance comes to one topic's state. */
 struct reading {
 	uint64_t version; /* 0: none */
-	int has_rested;
+	int is_jitter_done;
 	int is_asking;
 	unsigned int failures;
 	size_t pages_left; /* of a list that is being read */
--- a/tests/bench/fleet/fleet_world.c
+++ b/tests/bench/fleet/fleet_world.c
@@ -61,10 +61,10 @@
 {
 	int64_t running_ms = world->now_ms - node->started_ms;
 
-	if (running_ms < CW_READERS_KNOWN_MS ||
+	if (running_ms < CW_READERS_DISCOVERY_MS ||
 	    (cw_membership_size(node->membership) == 1 && running_ms < ALONE_MS))
 		return 0;
-	return cw_membership_is_calm(node->membership, world->now_ms, CALM_MS);
+	return cw_membership_is_stable(node->membership, world->now_ms, CALM_MS);
 }
 
 static size_t rank_of(const struct world *world, const struct node *node)
@@ -74,13 +74,13 @@
 
 static int is_reader(const struct world *world, const struct node *node)
 {
-	return is_settled(world, node) && cw_readers_is_first(rank_of(world, node));
+	return is_settled(world, node) && cw_readers_is_reader(rank_of(world, node));
 }
 
 static int is_awaited(const struct world *world, const struct node *node)
 {
 	return node->is_seed ||
-	       (is_settled(world, node) && rank_of(world, node) < CW_READERS_STAND_IN);
+	       (is_settled(world, node) && rank_of(world, node) < CW_READERS_STANDBY);
 }
 
 static void note_state(struct world *world, struct node *node)
@@ -136,26 +136,26 @@
 	struct reading *reading = &node->topics[topic];
 	struct cw_readers_view view = {
 		.is_awaited = is_awaited(world, node),
-		.is_coming = reading->is_fetching ||
-			     (reading->declined_ms &&
-			      world->now_ms - reading->declined_ms < DECLINED_MS),
-		.has_rested = reading->has_rested,
+		.is_peer_sending = reading->is_fetching ||
+				   (reading->declined_ms &&
+				    world->now_ms - reading->declined_ms < DECLINED_MS),
+		.is_jitter_done = reading->is_jitter_done,
 		.knows_peers = cw_membership_size(node->membership) > 1,
 		.running_ms = world->now_ms - node->started_ms,
 	};
 
 	if (reading->version || reading->is_asking)
 		return;
-	switch (cw_readers_next(&view)) {
-	case CW_READERS_ASK:
+	switch (cw_readers_next_step(&view)) {
+	case CW_READERS_READ:
 		call_store(world, node, topic, page_bytes(world, topic), 0);
 		break;
-	case CW_READERS_AWAIT:
+	case CW_READERS_AWAIT_PEER:
 		ask_at(world, node, topic, world->now_ms + CHECK_MS);
 		break;
-	case CW_READERS_REST:
-		reading->has_rested = 1;
-		ask_at(world, node, topic, world->now_ms + cw_readers_rest_ms(draw(world)));
+	case CW_READERS_WAIT_JITTER:
+		reading->is_jitter_done = 1;
+		ask_at(world, node, topic, world->now_ms + cw_readers_jitter_ms(draw(world)));
 		break;
 	}
 }
@@ -171,11 +171,11 @@
 	list->pages_left = is_first ? pages - 1 : list->pages_left - 1;
 	if (list->pages_left == 0) {
 		list->version = 1;
-		cw_follow_answered(&node->follow, world->now_ms);
+		cw_follow_end_read(&node->follow, world->now_ms);
 		return;
 	}
 	if (is_first && !is_awaited(world, node))
-		ask_at(world, node, SERVERS, world->now_ms + cw_readers_rest_ms(draw(world)));
+		ask_at(world, node, SERVERS, world->now_ms + cw_readers_jitter_ms(draw(world)));
 	else
 		call_store(world, node, SERVERS, page_bytes(world, SERVERS), 0);
 }
@@ -190,7 +190,7 @@
 		world->report->calls_failed++;
 		reading->failures++;
 		ask_at(world, node, event->topic,
-		       world->now_ms + cw_readers_again_ms(rank, reading->failures, draw(world)));
+		       world->now_ms + cw_readers_retry_ms(rank, reading->failures, draw(world)));
 		return;
 	}
 	reading->failures = 0;
@@ -199,7 +199,7 @@
 	else if (!reading->version)
 		read_on(world, node);
 	else
-		cw_follow_answered(&node->follow, world->now_ms);
+		cw_follow_end_read(&node->follow, world->now_ms);
 	note_state(world, node);
 }
 
@@ -213,7 +213,8 @@
 
 	if (!is_ready(node) || !is_settled(world, node))
 		return;
-	if (!servers->is_asking && (reads || cw_follow_reads(&node->follow, rank, world->now_ms)))
+	if (!servers->is_asking &&
+	    (reads || cw_follow_is_reader(&node->follow, rank, world->now_ms)))
 		call_store(world, node, SERVERS, 0, reads ? POLL_MS : 0);
 	else if (!reads)
 		return;
@@ -253,9 +254,9 @@
 	if (!is_bare && node->topics[SERVERS].version) {
 		gossip->servers_offset = node->follow.from;
 		gossip->servers_age_ms = (uint32_t)(world->now_ms - node->follow.fresh_ms);
-		gossip->servers_proof = node->follow.proof;
+		gossip->servers_evidence = node->follow.evidence;
 	}
-	cw_gossip_name(gossip, node->membership, READERS_KEY, draw(world), world->now_ms);
+	cw_gossip_add_members(gossip, node->membership, READERS_KEY, draw(world), world->now_ms);
 	size = cw_gossip_encode(gossip, bytes, MESSAGE_BYTES);
 	g_free(gossip);
 	return g_bytes_new_take(g_realloc(bytes, size), size);
@@ -276,9 +277,9 @@
 
 	node->introductions = INTRODUCTIONS;
 	node->answers = ANSWERS;
-	cw_membership_forget(node->membership, world->now_ms, 60000);
+	cw_membership_remove_stale(node->membership, world->now_ms, 60000);
 	cw_audience_choose(&audience, node->membership, node->domain, draw(world));
-	for (size_t i = 0; i < audience.whole_count; i++)
+	for (size_t i = 0; i < audience.full_count; i++)
 		send_message(world, audience.members[i]->address, message);
 	cw_audience_clear(&audience);
 	if (node->rounds++ % 8 == 0 || cw_audience_needs_seeds(node->membership, is_ready(node)))
@@ -309,7 +310,7 @@
 	event.is_good = cw_uplink_admits(&peer->uplink, world->now_ms);
 	event.value = peer->topics[topic].version;
 	if (event.is_good)
-		cw_uplink_sent(&peer->uplink, (size_t)size, world->now_ms);
+		cw_uplink_add_transfer(&peer->uplink, (size_t)size, world->now_ms);
 	else
 		world->report->declined++;
 	plan(world, world->now_ms + 4 * WAY_MS + (event.is_good ? (int64_t)(2 * size / per_ms) : 0),
@@ -334,14 +335,14 @@
 static void on_message(struct world *world, struct node *node, GBytes *bytes)
 {
 	struct cw_gossip *gossip = g_new0(struct cw_gossip, 1);
-	struct cw_follow_word word = {0};
+	struct cw_follow_report peer_report = {0};
 	struct node *sender;
 	gsize size;
 	const char *text = g_bytes_get_data(bytes, &size);
 	int is_new;
 
 	if (cw_gossip_decode(text, size, gossip) != CW_OK ||
-	    !cw_gossip_learn(gossip, node->membership, &is_new, world->now_ms)) {
+	    !cw_gossip_merge_members(gossip, node->membership, &is_new, world->now_ms)) {
 		g_free(gossip);
 		return;
 	}
@@ -352,15 +353,16 @@
 		tell(world, node, gossip->sender.address, 0);
 	if (gossip->operator_offset > node->topics[OPERATOR].version)
 		fetch(world, node, OPERATOR, sender);
-	word.from = gossip->servers_offset;
-	word.age_ms = gossip->servers_age_ms;
-	word.proof = gossip->servers_proof;
+	peer_report.from = gossip->servers_offset;
+	peer_report.age_ms = gossip->servers_age_ms;
+	peer_report.evidence = gossip->servers_evidence;
 	if (gossip->servers_age_ms == CW_GOSSIP_NO_AGE)
 		;
 	else if (!node->topics[SERVERS].version)
 		fetch(world, node, SERVERS, sender);
 	else
-		cw_follow_hear(&node->follow, NULL, 0, &word, world->now_ms, NULL, NULL);
+		cw_follow_merge_changes(&node->follow, NULL, 0, &peer_report, world->now_ms, NULL,
+					NULL);
 	g_free(gossip);
 }
 
@@ -372,10 +374,10 @@
 		.is_seed = number < SEEDS,
 		.random = draw(world),
 	};
-	struct cw_readers_first first;
+	struct cw_readers_first_call first;
 
 	node->membership = cw_membership_create(node->name, node->domain, SILENT_MS);
-	cw_membership_settle(node->membership, world->now_ms, SETTLE_MS, 0);
+	cw_membership_start_settling(node->membership, world->now_ms, SETTLE_MS, 0);
 	node->is_up = 1;
 	node->is_seed = start.is_seed;
 	node->started_ms = world->now_ms;
@@ -385,7 +387,7 @@
 	cw_uplink_open(&node->uplink, world->options->link_mbps);
 	cw_readers_start(&start, &first);
 	for (enum topic topic = OPERATOR; topic < TOPICS; topic++) {
-		node->topics[topic].has_rested = first.is_early;
+		node->topics[topic].is_jitter_done = first.is_early;
 		node->topics[topic].tried_ms = -FETCH_GAP_MS;
 		ask_at(world, node, topic, world->now_ms + first.wait_ms);
 	}
--- a/tests/unit/test_follow.c
+++ b/tests/unit/test_follow.c
@@ -22,7 +22,7 @@
 
 static struct cw_change record(uint64_t offset)
 {
-	struct cw_change change = {.offset = offset, .is_gone = 1};
+	struct cw_change change = {.offset = offset, .is_removed = 1};
 
 	snprintf(change.entry.name, sizeof(change.entry.name), "s%lu", (unsigned long)offset);
 	return change;
@@ -41,19 +41,20 @@
 	struct cw_change received[] = {record(5), record(6)};
 	struct cw_change change;
 
-	cw_follow_start(&follow, 5);
-	cw_follow_ask(&follow);
-	assert_int_equal(cw_follow_hear(&follow, received, 2, &(struct cw_follow_word){.from = 7},
-					NOW, apply, &applied),
+	cw_follow_reset(&follow, 5);
+	cw_follow_begin_read(&follow);
+	assert_int_equal(cw_follow_merge_changes(&follow, received, 2,
+						 &(struct cw_follow_report){.from = 7}, NOW, apply,
+						 &applied),
 			 1);
 	assert_int_equal(applied.count, 2);
-	for (uint64_t offset = follow.asked_from; offset < 8; offset++) {
+	for (uint64_t offset = follow.read_from; offset < 8; offset++) {
 		change = record(offset);
-		assert_int_equal(cw_follow_take_record(&follow, &change, NOW), offset == 7);
+		assert_int_equal(cw_follow_apply_record(&follow, &change, NOW), offset == 7);
 	}
 	assert_int_equal(follow.from, 8);
 	change = record(8);
-	assert_int_equal(cw_follow_take_record(&follow, &change, NOW), 1);
+	assert_int_equal(cw_follow_apply_record(&follow, &change, NOW), 1);
 }
 
 static void a_gap_is_read_and_not_skipped(void **state)
@@ -62,23 +63,24 @@
 	struct applied applied = {0};
 	struct cw_change received[] = {record(7), record(8)};
 
-	cw_follow_start(&follow, 5);
-	assert_int_equal(cw_follow_hear(&follow, received, 2, &(struct cw_follow_word){.from = 9},
-					NOW, apply, &applied),
+	cw_follow_reset(&follow, 5);
+	assert_int_equal(cw_follow_merge_changes(&follow, received, 2,
+						 &(struct cw_follow_report){.from = 9}, NOW, apply,
+						 &applied),
 			 0);
 	assert_int_equal(applied.count, 0);
 	assert_int_equal(follow.from, 5);
-	assert_int_equal(cw_follow_reads(&follow, CW_READERS, NOW), 1);
+	assert_int_equal(cw_follow_is_reader(&follow, CW_READERS, NOW), 1);
 }
 
 /* Delivers at now_ms a message that was sent at sent_ms. */
 static void deliver(const struct cw_follow *from, struct cw_follow *to, int64_t sent_ms,
 		    int64_t now_ms)
 {
-	struct cw_follow_word word = {
-		.from = from->from, .age_ms = sent_ms - from->fresh_ms, .proof = from->proof};
+	struct cw_follow_report peer_report = {
+		.from = from->from, .age_ms = sent_ms - from->fresh_ms, .evidence = from->evidence};
 
-	cw_follow_hear(to, NULL, 0, &word, now_ms, apply, NULL);
+	cw_follow_merge_changes(to, NULL, 0, &peer_report, now_ms, apply, NULL);
 }
 
 /*
@@ -93,9 +95,9 @@
 
 	for (size_t i = 0; i < 12; i++) {
 		nodes[i] = (struct cw_follow){.self = i + 1};
-		cw_follow_start(&nodes[i], 5);
+		cw_follow_reset(&nodes[i], 5);
 	}
-	cw_follow_answered(&nodes[0], NOW);
+	cw_follow_end_read(&nodes[0], NOW);
 	for (now_ms = NOW; now_ms < NOW + 1700; now_ms += 50)
 		for (size_t i = 0; i < 12; i++)
 			for (size_t k = 0; k < 12; k++)
@@ -104,7 +106,7 @@
 	/* The transfer time may be left out once for each hop, not again with each round. */
 	for (size_t i = 0; i < 12; i++)
 		assert_in_range(nodes[i].fresh_ms, NOW, NOW + 100);
-	assert_int_equal(cw_follow_reads(&nodes[5], CW_READERS, now_ms), 1);
+	assert_int_equal(cw_follow_is_reader(&nodes[5], CW_READERS, now_ms), 1);
 }
 
 /*
@@ -118,15 +120,15 @@
 	struct cw_follow other = {.self = 2};
 	struct cw_change changes[CW_FOLLOW_CHANGES];
 
-	cw_follow_start(&reader, 5);
-	cw_follow_start(&other, 5);
-	cw_follow_answered(&reader, NOW);
+	cw_follow_reset(&reader, 5);
+	cw_follow_reset(&other, 5);
+	cw_follow_end_read(&reader, NOW);
 	for (int64_t now_ms = NOW; now_ms < NOW + CW_FOLLOW_STALE_MS; now_ms += 150) {
-		assert_int_equal(cw_follow_tell(&reader, now_ms, changes), 0);
+		assert_int_equal(cw_follow_collect_changes(&reader, now_ms, changes), 0);
 		deliver(&reader, &other, now_ms, now_ms);
-		assert_int_equal(cw_follow_reads(&other, CW_READERS, now_ms), 0);
+		assert_int_equal(cw_follow_is_reader(&other, CW_READERS, now_ms), 0);
 	}
-	assert_int_equal(cw_follow_reads(&other, CW_READERS, NOW + CW_FOLLOW_STALE_MS), 1);
+	assert_int_equal(cw_follow_is_reader(&other, CW_READERS, NOW + CW_FOLLOW_STALE_MS), 1);
 }
 
 /*
@@ -141,21 +143,21 @@
 	struct cw_follow follow = {0};
 	int applied = 0;
 
-	cw_follow_start(&follow, 143);
-	cw_follow_ask(&follow);
-	cw_follow_start(&follow, 283);
-	assert_int_equal(follow.asked_from, 143);
+	cw_follow_reset(&follow, 143);
+	cw_follow_begin_read(&follow);
+	cw_follow_reset(&follow, 283);
+	assert_int_equal(follow.read_from, 143);
 	for (uint64_t i = 0; i < 140; i++) {
-		struct cw_change change = {.offset = follow.asked_from + i};
+		struct cw_change change = {.offset = follow.read_from + i};
 
-		applied += cw_follow_take_record(&follow, &change, NOW);
+		applied += cw_follow_apply_record(&follow, &change, NOW);
 	}
 	assert_int_equal(applied, 0);
 	assert_int_equal(follow.from, 283);
 	/* The next read begins at the new position, and its records are new. */
-	cw_follow_ask(&follow);
-	assert_int_equal(cw_follow_take_record(
-				 &follow, &(struct cw_change){.offset = follow.asked_from}, NOW),
+	cw_follow_begin_read(&follow);
+	assert_int_equal(cw_follow_apply_record(
+				 &follow, &(struct cw_change){.offset = follow.read_from}, NOW),
 			 1);
 }
 
@@ -165,19 +167,20 @@
 	struct cw_change changes[CW_FOLLOW_CHANGES];
 	struct cw_change change;
 
-	cw_follow_start(&follow, 0);
+	cw_follow_reset(&follow, 0);
 	for (uint64_t offset = 0; offset < 40; offset++) {
 		change = record(offset);
-		cw_follow_take_record(&follow, &change, NOW);
+		cw_follow_apply_record(&follow, &change, NOW);
 	}
-	assert_int_equal(cw_follow_tell(&follow, NOW, changes), CW_FOLLOW_CHANGES);
+	assert_int_equal(cw_follow_collect_changes(&follow, NOW, changes), CW_FOLLOW_CHANGES);
 	assert_int_equal(changes[0].offset, 40 - CW_FOLLOW_CHANGES);
-	assert_int_equal(cw_follow_tell(&follow, NOW + CW_FOLLOW_TOLD_MS + 1, changes), 0);
+	assert_int_equal(
+		cw_follow_collect_changes(&follow, NOW + CW_FOLLOW_ANNOUNCE_MS + 1, changes), 0);
 	/* A record that holds no entry can't be announced, and so neither can those before it. */
 	cw_follow_skip(&follow, 40);
 	change = record(41);
-	cw_follow_take_record(&follow, &change, NOW);
-	assert_int_equal(cw_follow_tell(&follow, NOW, changes), 1);
+	cw_follow_apply_record(&follow, &change, NOW);
+	assert_int_equal(cw_follow_collect_changes(&follow, NOW, changes), 1);
 	assert_int_equal(changes[0].offset, 41);
 }
 
--- a/tests/unit/test_gossip.c
+++ b/tests/unit/test_gossip.c
@@ -26,7 +26,7 @@
 	gossip->changes[0].entry.leaving = 1;
 	gossip->changes[0].entry.process_start_ms = 1790651616045;
 	gossip->changes[1].offset = 42;
-	gossip->changes[1].is_gone = 1;
+	gossip->changes[1].is_removed = 1;
 	strcpy(gossip->changes[1].entry.name, "s2");
 	gossip->member_count = 1;
 	strcpy(gossip->members[0].instance, "e2");
@@ -84,17 +84,17 @@
 	sent.load_count = 10;
 	sent.change_count = CW_FOLLOW_CHANGES;
 	sent.member_count = CW_GOSSIP_MEMBERS;
-	sent.rollouts[0].session_count = CW_ROLLOUT_SESSIONS;
+	sent.rollouts[0].session_count = CW_ROLLOUT_MAX_SESSIONS;
 	/* Full messages carry server crashes, and reach all instances within a second. */
-	sent.end_count = CW_QUARANTINE_ENDS;
-	sent.held_count = CW_QUARANTINE_RECORDS;
-	cw_gossip_cut(&sent);
+	sent.crash_count = CW_QUARANTINE_ENDS;
+	sent.quarantined_count = CW_QUARANTINE_RECORDS;
+	cw_gossip_trim(&sent);
 	size = cw_gossip_encode(&sent, bytes, sizeof(bytes));
 	/* 65 messages of this size every 150 ms take at most 3 Mbit/s. */
 	assert_true(size > 0 && size < 800);
 	assert_int_equal(cw_gossip_decode(bytes, size, &read), CW_OK);
 	assert_int_equal(read.load_count, 10);
-	assert_int_equal(read.rollouts[0].session_count, CW_GOSSIP_CUT_SESSIONS);
+	assert_int_equal(read.rollouts[0].session_count, CW_GOSSIP_TRIMMED_SESSIONS);
 	/* An offset without the records before it would be a gap, which makes recipients read the
 	 * shared store. */
 	assert_int_equal(read.servers_offset, 0);
@@ -188,8 +188,9 @@
 		sent = 0;
 		/* Every residue once: the average number of messages of a domain in a round. */
 		for (uint64_t random = 0; random < size; random++)
-			sent += cw_gossip_foreign_fanout(size, random);
-		assert_int_equal(sent, (size_t)CW_GOSSIP_FOREIGN * MIN(size, CW_GOSSIP_SMALL));
+			sent += cw_gossip_remote_fanout(size, random);
+		assert_int_equal(sent, (size_t)CW_GOSSIP_REMOTE_FANOUT *
+					       MIN(size, CW_GOSSIP_SMALL_DOMAIN));
 	}
 }
 
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -44,7 +44,7 @@
 
 static void a_loan_never_adds_slots(void **state)
 {
-	for (uint32_t wanted = 1000; wanted < CW_LIMIT_WHOLE; wanted += 37777) {
+	for (uint32_t wanted = 1000; wanted < CW_LIMIT_PARTS; wanted += 37777) {
 		struct cw_limit limit = limit_of(NAN, 10);
 		struct cw_limits *lender = cw_limits_create();
 		struct cw_limits *borrower = cw_limits_create();
@@ -53,7 +53,7 @@
 		cw_limits_divide(lender, 2, 0);
 		cw_limits_divide(borrower, 2, 1);
 		granted = cw_limits_lend(lender, &limit, 9, wanted, 1000);
-		cw_limits_borrowed(borrower, 1, 8, granted, 1000);
+		cw_limits_add_loan(borrower, 1, 8, granted, 1000);
 		assert_true(admitted(lender, &limit, 20, 1000) +
 				    admitted(borrower, &limit, 20, 1000) <=
 			    10);
@@ -77,14 +77,14 @@
 	cw_limits_divide(lender, 2, 0);
 	cw_limits_divide(borrower, 2, 1);
 	/* Requested at 1000, granted at 1400, arrived at 1900: the term counts from the request. */
-	granted = cw_limits_lend(lender, &limit, 9, CW_LIMIT_WHOLE / 2, 1400);
+	granted = cw_limits_lend(lender, &limit, 9, CW_LIMIT_PARTS / 2, 1400);
 	assert_true(granted > 0);
-	cw_limits_borrowed(borrower, 1, 8, granted, 1000);
-	assert_true(cw_limits_share(borrower, 1, 999 + CW_LOAN_TERM_MS) > CW_LIMIT_WHOLE / 2);
-	assert_int_equal(cw_limits_share(borrower, 1, 1000 + CW_LOAN_TERM_MS), CW_LIMIT_WHOLE / 2);
-	assert_true(cw_limits_share(lender, 1, 1000 + CW_LOAN_TERM_MS) < CW_LIMIT_WHOLE / 2);
+	cw_limits_add_loan(borrower, 1, 8, granted, 1000);
+	assert_true(cw_limits_share(borrower, 1, 999 + CW_LOAN_TERM_MS) > CW_LIMIT_PARTS / 2);
+	assert_int_equal(cw_limits_share(borrower, 1, 1000 + CW_LOAN_TERM_MS), CW_LIMIT_PARTS / 2);
+	assert_true(cw_limits_share(lender, 1, 1000 + CW_LOAN_TERM_MS) < CW_LIMIT_PARTS / 2);
 	assert_int_equal(cw_limits_share(lender, 1, 1400 + CW_LOAN_TERM_MS + CW_LOAN_MARGIN_MS),
-			 CW_LIMIT_WHOLE / 2);
+			 CW_LIMIT_PARTS / 2);
 	cw_limits_destroy(lender);
 	cw_limits_destroy(borrower);
 }
--- a/tests/unit/test_many.c
+++ b/tests/unit/test_many.c
@@ -164,17 +164,17 @@
 	struct cw_membership *membership = cw_membership_create("own", "d0", SILENT_MS);
 	size_t instances;
 
-	cw_membership_settle(membership, NOW - 60000, SILENT_MS, 0);
+	cw_membership_start_settling(membership, NOW - 60000, SILENT_MS, 0);
 	for (int i = 0; i < MEMBERS; i++) {
 		char name[CW_NAME_MAX];
 
 		name_of(name, "i", i);
-		cw_membership_heard(cw_membership_learn(membership, name, "d0", "10.0.0.1:1"), 1, 0,
-				    NOW - 6 * i);
+		cw_membership_mark_seen(cw_membership_upsert(membership, name, "d0", "10.0.0.1:1"),
+					1, 0, NOW - 6 * i);
 	}
-	cw_membership_forget(membership, NOW - 10000, 60000);
-	assert_int_equal(cw_membership_live(membership, NOW), MEMBERS + 1);
-	cw_membership_place(membership, 7, NOW, &instances);
+	cw_membership_remove_stale(membership, NOW - 10000, 60000);
+	assert_int_equal(cw_membership_count_live(membership, NOW), MEMBERS + 1);
+	cw_membership_stable_rank(membership, 7, NOW, &instances);
 	assert_int_equal(instances, MEMBERS + 1);
 	cw_membership_destroy(membership);
 }
@@ -193,19 +193,20 @@
 		char name[CW_NAME_MAX];
 
 		name_of(name, "i", i);
-		cw_membership_heard(cw_membership_learn(membership, name, "d0", "10.0.0.1:1"), 1, 0,
-				    NOW);
+		cw_membership_mark_seen(cw_membership_upsert(membership, name, "d0", "10.0.0.1:1"),
+					1, 0, NOW);
 	}
-	assert_int_equal(cw_membership_first(membership, 7, NOW, &first, 1), 1);
+	assert_int_equal(cw_membership_find_top_ranked(membership, 7, NOW, &first, 1), 1);
 	for (int i = 0; i < MEMBERS; i++) {
 		char name[CW_NAME_MAX];
 
 		name_of(name, "i", i);
 		if (cw_membership_find(membership, name) != first)
-			cw_membership_heard(cw_membership_find(membership, name), 1, 0,
-					    NOW + SILENT_MS + 1);
+			cw_membership_mark_seen(cw_membership_find(membership, name), 1, 0,
+						NOW + SILENT_MS + 1);
 	}
-	assert_int_equal(cw_membership_first(membership, 7, NOW + SILENT_MS + 1, &next, 1), 1);
+	assert_int_equal(
+		cw_membership_find_top_ranked(membership, 7, NOW + SILENT_MS + 1, &next, 1), 1);
 	assert_ptr_not_equal(next, first);
 	cw_membership_destroy(membership);
 }
--- a/tests/unit/test_readers.c
+++ b/tests/unit/test_readers.c
@@ -23,35 +23,35 @@
 	int64_t stale_ms = NOW + CW_FOLLOW_STALE_MS;
 	size_t reading = 0;
 
-	cw_follow_start(&follow, 5);
-	cw_follow_answered(&follow, NOW);
-	assert_int_equal(cw_follow_reads(&follow, 0, NOW), 1);
-	assert_int_equal(cw_follow_reads(&follow, 1, NOW), 1);
-	assert_int_equal(cw_follow_reads(&follow, 2, stale_ms - 1), 0);
-	assert_int_equal(cw_follow_reads(&follow, 2, stale_ms), 1);
-	assert_int_equal(cw_follow_reads(&follow, 3, stale_ms), 0);
+	cw_follow_reset(&follow, 5);
+	cw_follow_end_read(&follow, NOW);
+	assert_int_equal(cw_follow_is_reader(&follow, 0, NOW), 1);
+	assert_int_equal(cw_follow_is_reader(&follow, 1, NOW), 1);
+	assert_int_equal(cw_follow_is_reader(&follow, 2, stale_ms - 1), 0);
+	assert_int_equal(cw_follow_is_reader(&follow, 2, stale_ms), 1);
+	assert_int_equal(cw_follow_is_reader(&follow, 3, stale_ms), 0);
 	for (size_t rank = 0; rank < 80; rank++)
-		reading += (size_t)cw_follow_reads(&follow, rank, stale_ms + 400);
+		reading += (size_t)cw_follow_is_reader(&follow, rank, stale_ms + 400);
 	assert_int_equal(reading, 10);
 	/* One instance reads in time for all: a server that leaves gets no requests after 2 s. */
-	assert_int_equal(cw_follow_reads(&follow, 9, NOW + 1700), 1);
+	assert_int_equal(cw_follow_is_reader(&follow, 9, NOW + 1700), 1);
 	/* If the first ranks can't read, the others take over after a bounded time. */
-	assert_int_equal(cw_follow_reads(&follow, 79, stale_ms + 2500), 1);
-	assert_int_equal(cw_follow_reads(&follow, INSTANCES - 1, stale_ms + 5500), 1);
+	assert_int_equal(cw_follow_is_reader(&follow, 79, stale_ms + 2500), 1);
+	assert_int_equal(cw_follow_is_reader(&follow, INSTANCES - 1, stale_ms + 5500), 1);
 	/* No instance reads once one of them has got an answer. */
-	cw_follow_answered(&follow, stale_ms + 2400);
-	assert_int_equal(cw_follow_reads(&follow, 79, stale_ms + 2500), 0);
+	cw_follow_end_read(&follow, stale_ms + 2400);
+	assert_int_equal(cw_follow_is_reader(&follow, 79, stale_ms + 2500), 0);
 }
 
 /* Calls of one instance during an outage of the shared store; each fails after call_ms. */
 static int calls_in_outage(size_t rank, int64_t outage_ms, int64_t call_ms)
 {
-	int64_t now_ms = CW_FOLLOW_STALE_MS + cw_readers_step_in_ms(rank);
+	int64_t now_ms = CW_FOLLOW_STALE_MS + cw_readers_takeover_ms(rank);
 	int calls = 0;
 
 	while (now_ms < outage_ms) {
 		calls++;
-		now_ms += call_ms + cw_readers_again_ms(rank, (unsigned int)calls, rank * 77);
+		now_ms += call_ms + cw_readers_retry_ms(rank, (unsigned int)calls, rank * 77);
 	}
 	return calls;
 }
@@ -70,7 +70,7 @@
 	/* The end of the outage is detected within 1.2 s by a call of the first ten ranks. */
 	assert_true(calls_in_outage(0, 8000, 10) >= 6);
 	for (unsigned int failures = 1; failures < 40; failures++)
-		assert_true(cw_readers_again_ms(3, failures, failures * 13) <= 1200);
+		assert_true(cw_readers_retry_ms(3, failures, failures * 13) <= 1200);
 }
 
 /*
@@ -81,7 +81,7 @@
 static void the_seeds_read_when_all_start_together(void **state)
 {
 	struct cw_readers_start seed = {.is_seed = 1, .random = 12345};
-	struct cw_readers_first first;
+	struct cw_readers_first_call first;
 	int early = 0;
 
 	cw_readers_start(&seed, &first);
@@ -115,13 +115,13 @@
 	int calls[60] = {0};
 
 	for (size_t rank = 0; rank < 1000; rank++) {
-		int64_t now_ms = cw_readers_step_in_ms(rank);
+		int64_t now_ms = cw_readers_takeover_ms(rank);
 		unsigned int failures = 0;
 
 		while (now_ms < 60000) {
 			calls[now_ms / 1000]++;
 			failures++;
-			now_ms += 10 + cw_readers_again_ms(rank, failures, rank * 7919 + failures);
+			now_ms += 10 + cw_readers_retry_ms(rank, failures, rank * 7919 + failures);
 		}
 	}
 	/* The shared store serves 20 MB/s, and each call takes 0.25 MB. */
@@ -134,15 +134,15 @@
 {
 	struct cw_readers_view view = {.knows_peers = 1};
 
-	assert_int_equal(cw_readers_next(&view), CW_READERS_REST);
-	view.is_coming = 1;
-	assert_int_equal(cw_readers_next(&view), CW_READERS_AWAIT);
+	assert_int_equal(cw_readers_next_step(&view), CW_READERS_WAIT_JITTER);
+	view.is_peer_sending = 1;
+	assert_int_equal(cw_readers_next_step(&view), CW_READERS_AWAIT_PEER);
 	view.is_awaited = 1;
-	assert_int_equal(cw_readers_next(&view), CW_READERS_ASK);
-	view.is_awaited = view.is_coming = view.knows_peers = 0;
-	assert_int_equal(cw_readers_next(&view), CW_READERS_ASK);
-	view.knows_peers = view.has_rested = 1;
-	assert_int_equal(cw_readers_next(&view), CW_READERS_ASK);
+	assert_int_equal(cw_readers_next_step(&view), CW_READERS_READ);
+	view.is_awaited = view.is_peer_sending = view.knows_peers = 0;
+	assert_int_equal(cw_readers_next_step(&view), CW_READERS_READ);
+	view.knows_peers = view.is_jitter_done = 1;
+	assert_int_equal(cw_readers_next_step(&view), CW_READERS_READ);
 }
 
 /* Of instances that start together only a few read a long list: of a thousand as of a hundred. */
@@ -155,7 +155,7 @@
 		int early = 0;
 
 		for (uint64_t j = 0; j < (uint64_t)sizes[i]; j++) {
-			int64_t jitter_ms = cw_readers_rest_ms(cw_hash(&j, sizeof(j), 5));
+			int64_t jitter_ms = cw_readers_jitter_ms(cw_hash(&j, sizeof(j), 5));
 
 			assert_in_range(jitter_ms, 0, 6000);
 			first_ms = MIN(first_ms, jitter_ms);
@@ -180,20 +180,21 @@
 
 	for (int i = 0; i < INSTANCES; i++) {
 		snprintf(name, sizeof(name), "i%d", i);
-		cw_membership_heard(cw_membership_learn(membership, name, "d1", "10.0.0.1:1"), 1, 0,
-				    i < 150 ? NOW : NOW - 3000);
+		cw_membership_mark_seen(cw_membership_upsert(membership, name, "d1", "10.0.0.1:1"),
+					1, 0, i < 150 ? NOW : NOW - 3000);
 	}
-	assert_int_equal(cw_membership_first(membership, 7, NOW, first, CW_READERS), CW_READERS);
+	assert_int_equal(cw_membership_find_top_ranked(membership, 7, NOW, first, CW_READERS),
+			 CW_READERS);
 	for (size_t i = 0; i < CW_READERS; i++) {
 		struct cw_membership *other = cw_membership_create(first[i]->instance, "d1", 2000);
 
 		/* Only live members, and each computes the same rank for itself. */
-		assert_true(first[i]->heard_ms == NOW);
+		assert_true(first[i]->last_seen_ms == NOW);
 		for (int j = 0; j < 150; j++) {
 			snprintf(name, sizeof(name), "i%d", j);
-			if (!cw_membership_learn(other, name, "d1", "10.0.0.1:1"))
+			if (!cw_membership_upsert(other, name, "d1", "10.0.0.1:1"))
 				continue;
-			cw_membership_heard(cw_membership_find(other, name), 1, 0, NOW);
+			cw_membership_mark_seen(cw_membership_find(other, name), 1, 0, NOW);
 		}
 		assert_int_equal(cw_membership_rank(other, 7, NOW), i);
 		cw_membership_destroy(other);
--- a/tests/unit/test_tail.c
+++ b/tests/unit/test_tail.c
@@ -84,9 +84,9 @@
 
 static void changes_are_decoded_as_they_were_encoded(void **state)
 {
-	struct cw_change sent[2] = {record(7), {.offset = 8, .is_gone = 1}};
+	struct cw_change sent[2] = {record(7), {.offset = 8, .is_removed = 1}};
 	struct cw_gossip_changes changes = {
-		.word = {.from = 9, .age_ms = 70, .proof = {.reader = 3, .number = 4}},
+		.peer_report = {.from = 9, .age_ms = 70, .evidence = {.reader = 3, .number = 4}},
 		.count = 2,
 		.changes = sent,
 	};
@@ -96,9 +96,9 @@
 
 	assert_int_equal(cw_gossip_changes_decode(bytes, size, &read), CW_OK);
 	assert_int_equal(read.count, 2);
-	assert_memory_equal(&read.word, &changes.word, sizeof(read.word));
+	assert_memory_equal(&read.peer_report, &changes.peer_report, sizeof(read.peer_report));
 	assert_string_equal(read.changes[0].entry.address, sent[0].entry.address);
-	assert_int_equal(read.changes[1].is_gone, 1);
+	assert_int_equal(read.changes[1].is_removed, 1);
 	g_free(read.changes);
 	assert_int_equal(cw_gossip_changes_decode(bytes, size - 1, &read), CW_INVALID);
 	assert_int_equal(cw_gossip_list_decode(bytes, size, &(struct cw_gossip_list){0}),
@@ -165,7 +165,7 @@
 			if (received_ms[i] != G_MAXINT64 || received_ms[peer] > now_ms ||
 			    !cw_uplink_admits(&links[peer], now_ms))
 				continue;
-			cw_uplink_sent(&links[peer], size, now_ms);
+			cw_uplink_add_transfer(&links[peer], size, now_ms);
 			received_ms[i] = now_ms + 2 * transfer_ms + 100;
 			remaining--;
 		}
@@ -185,7 +185,7 @@
 	for (int64_t now_ms = NOW; now_ms < NOW + 10000; now_ms += 10) {
 		if (!cw_uplink_admits(&uplink, now_ms))
 			continue;
-		cw_uplink_sent(&uplink, 300000, now_ms);
+		cw_uplink_add_transfer(&uplink, 300000, now_ms);
 		sent += 300000;
 	}
 	assert_in_range(sent, 10 * 1200000, 10 * 1250000 + 600000);
--- a/tests/unit/test_warmup.c
+++ b/tests/unit/test_warmup.c
@@ -87,7 +87,7 @@
 {
 	cw_membership_destroy(node->membership);
 	node->membership = cw_membership_create(node->name, "d1", SILENT_MS);
-	cw_membership_settle(node->membership, now_ms, KNOWN_MS, 0);
+	cw_membership_start_settling(node->membership, now_ms, KNOWN_MS, 0);
 	memset(&node->warmup, 0, sizeof(node->warmup));
 	cw_warmup_set_cold(&node->warmup, SIMULATION_MS, now_ms);
 }
@@ -105,16 +105,16 @@
 
 			if (from == to || (simulation->is_partitioned && from->side != to->side))
 				continue;
-			member = cw_membership_learn(to->membership, from->name, "d1", "a");
-			cw_membership_heard(member, 1, 0, now_ms);
+			member = cw_membership_upsert(to->membership, from->name, "d1", "a");
+			cw_membership_mark_seen(member, 1, 0, now_ms);
 			count = cw_membership_sample(from->membership, next_random(simulation),
 						     others, 5);
 			for (size_t m = 0; m < count; m++) {
-				member = cw_membership_learn(to->membership, others[m]->instance,
-							     "d1", "a");
+				member = cw_membership_upsert(to->membership, others[m]->instance,
+							      "d1", "a");
 				if (member)
-					member->heard_ms =
-						MAX(member->heard_ms, others[m]->heard_ms);
+					member->last_seen_ms =
+						MAX(member->last_seen_ms, others[m]->last_seen_ms);
 			}
 		}
 }
@@ -142,7 +142,8 @@
 			gossip(&simulation, now_ms);
 		if ((now_ms - NOW) % GOSSIP_MS == 0)
 			for (int i = 0; i < INSTANCES; i++)
-				cw_membership_forget(simulation.nodes[i].membership, now_ms, 60000);
+				cw_membership_remove_stale(simulation.nodes[i].membership, now_ms,
+							   60000);
 		if (next_random(&simulation) % 100 == 0)
 			restart(&simulation.nodes[next_random(&simulation) % INSTANCES], now_ms);
 		/* With odd seeds, the instances that are cut off restart behind the partition. */
@@ -155,8 +156,8 @@
 
 			if ((now_ms - NOW) % RANK_MS == 0)
 				node->warmup.place.rank =
-					cw_membership_place(node->membership, SERVER, now_ms,
-							    &node->warmup.place.instances);
+					cw_membership_stable_rank(node->membership, SERVER, now_ms,
+								  &node->warmup.place.instances);
 			while (cw_warmup_admits(&node->warmup, &rate, now_ms)) {
 				cw_warmup_record_send(&node->warmup, now_ms);
 				g_array_append_val(sent, now_ms);
