--- a/packages/health/include/cw_health.h
+++ b/packages/health/include/cw_health.h
@@ -1,8 +1,9 @@
 /*
- * Is a version bad? Evidence is counted per version and instance, pooled over instances by gossip,
- * and tested sequentially: a CUSUM on failures, one on ratings, one on slowness, each against the
- * version's own past, else against its siblings, else against a cautious prior. A trip takes the
- * version out of new choices; after a hold it comes back by probes and in steps.
+ * Detects faulty model versions. Evidence is counted per version and instance, pooled over
+ * instances by gossip, and tested sequentially: a CUSUM test each on failures, ratings and
+ * slowness, against the baseline of the version itself, else of its siblings, else against a
+ * cautious prior. A tripped version gets no new requests; after a back-off it returns by probes and
+ * in steps.
  */
 #ifndef CW_HEALTH_H
 #define CW_HEALTH_H
@@ -14,9 +15,9 @@
 
 struct cw_evidence {
 	uint64_t version; /* cw_pool_version of (model, version) */
-	uint32_t good;	  /* answers that were whole */
-	uint32_t bad;	  /* errors and broken answers */
-	uint32_t slow;	  /* first token later than the siblings' usual */
+	uint32_t good;	  /* complete answers */
+	uint32_t bad;	  /* errors and incomplete answers */
+	uint32_t slow;	  /* time to first token above the siblings' usual */
 	uint32_t rated;
 	double rating_sum;
 	double rating_squares;
@@ -28,7 +29,7 @@
 	CW_HEALTH_PROBING,
 };
 
-/* Which evidence is weighed, and how it is tested. */
+/* Which evidence is tested, and how. */
 struct cw_health_policy {
 	const char *name;
 	int pooled;
@@ -48,21 +49,21 @@
 		       uint64_t model); /* versions of one model are siblings */
 int cw_health_answered(struct cw_health *health, uint64_t version, int good, double first_ms,
 		       unsigned int prompt_tokens,
-		       int64_t now_ms); /* 1: this tripped the version */
+		       int64_t now_ms); /* 1: the answer tripped the version */
 int cw_health_rated(struct cw_health *health, uint64_t version, double score,
-		    int64_t now_ms); /* 1: tripped */
+		    int64_t now_ms); /* 1: the rating tripped the version */
 int cw_health_pool(struct cw_health *health, uint64_t instance, uint64_t boot,
 		   const struct cw_evidence *evidence,
-		   int64_t now_ms); /* totals of another instance; 1: tripped */
+		   int64_t now_ms); /* totals of another instance; 1: they tripped the version */
 int cw_health_trip(struct cw_health *health, uint64_t version,
-		   int64_t now_ms); /* told by a peer or a notice; 1: news */
+		   int64_t now_ms); /* reported by a peer or a notice; 1: newly tripped */
 void cw_health_clear(struct cw_health *health, uint64_t version); /* an operator's edit overrides */
 enum cw_health_state cw_health_state(struct cw_health *health, uint64_t version, int64_t now_ms);
 double cw_health_factor(struct cw_health *health, uint64_t version,
-			int64_t now_ms); /* of its weight, 0 to 1 */
+			int64_t now_ms); /* of the version's weight, 0 to 1 */
 int cw_health_disturbed(struct cw_health *health, uint64_t model,
-			int64_t now_ms); /* some version of the model is not good */
+			int64_t now_ms); /* 1: a version is not good, or was restored lately */
 size_t cw_health_own(struct cw_health *health, struct cw_evidence *evidence, uint32_t *tripped,
-		     size_t max); /* own totals, for gossip */
+		     size_t max); /* this instance's totals, for gossip */
 
 #endif
--- a/packages/quarantine/src/judge.c
+++ b/packages/quarantine/src/judge.c
@@ -1,82 +1,90 @@
 /*
- * Which request a server ended under. All that were there are suspects of each end, most of them
- * harmless; the one that ends them is at more ends than any other. So the request with the most
- * ends takes them all upon itself, and the others are judged by the ends that are left: at the end
- * of a server with a hundred requests one is held and ninety-nine are not.
+ * Finds the request that crashed a server. Every request that was running on the server is a
+ * suspect of the crash, and most of them are harmless; the poison request took part in more crashes
+ * than any other. So the suspect with the most crashes is charged with all of them, and the others
+ * are judged by the crashes that remain: of a hundred requests running on a crashed server, one is
+ * quarantined and ninety-nine are not.
  */
 #include "quarantine_internal.h"
 
-static void note_doubtful(struct cw_quarantine *quarantine, int64_t now_ms);
-static int has_twin(const struct cw_quarantine *quarantine, const struct suspect *suspect,
-		    int64_t since_ms, int64_t now_ms);
-static int ended_alone(const struct cw_quarantine *quarantine, const struct suspect *other,
-		       const struct suspect *suspect, int64_t since_ms, int64_t now_ms);
-static void blame(struct cw_quarantine *quarantine, int64_t now_ms);
-static struct suspect *most_open(struct cw_quarantine *quarantine, int64_t now_ms);
-static int is_likelier(const struct suspect *suspect, size_t count, const struct suspect *most,
-		       size_t most_count);
-static size_t count_open(const struct cw_quarantine *quarantine, const struct suspect *suspect,
-			 int64_t now_ms);
-static int counts(const struct cw_quarantine *quarantine, const struct suspect *suspect,
-		  const struct end *end, int64_t now_ms);
-static int is_explained(const struct cw_quarantine *quarantine, const struct end *end);
+static void mark_ambiguous(struct cw_quarantine *quarantine, int64_t now_ms);
+static int is_shadowed(const struct cw_quarantine *quarantine, const struct suspect *suspect,
+		       int64_t since_ms, int64_t now_ms);
+static int crashed_without(const struct cw_quarantine *quarantine, const struct suspect *other,
+			   const struct suspect *suspect, int64_t since_ms, int64_t now_ms);
+static void find_culprits(struct cw_quarantine *quarantine, int64_t now_ms);
+static struct suspect *find_likeliest(struct cw_quarantine *quarantine, int64_t now_ms);
+static int is_likelier(const struct suspect *suspect, size_t count, const struct suspect *likeliest,
+		       size_t likeliest_count);
+static size_t count_unexplained(const struct cw_quarantine *quarantine,
+				const struct suspect *suspect, int64_t now_ms);
+static int is_evidence(const struct cw_quarantine *quarantine, const struct suspect *suspect,
+		       const struct crash *crash, int64_t now_ms);
+static int is_explained(const struct cw_quarantine *quarantine, const struct crash *crash);
 static int64_t mean_ran_ms(const struct suspect *suspect);
-static unsigned int count_rivals(const struct cw_quarantine *quarantine, struct suspect *suspect,
-				 int64_t now_ms);
+static unsigned int count_alternatives(const struct cw_quarantine *quarantine,
+				       struct suspect *suspect, int64_t now_ms);
 static size_t count_shared(const struct cw_quarantine *quarantine, const struct suspect *suspect,
 			   const struct suspect *other, int64_t now_ms, size_t *own);
-static int has_settled(const struct cw_quarantine *quarantine, const struct suspect *suspect,
-		       int64_t now_ms);
+static int are_reports_settled(const struct cw_quarantine *quarantine,
+			       const struct suspect *suspect, int64_t now_ms);
 
 /*
- * Anew each time, but for what peers were told: an instance learns of an end from its own callers
- * first, and a harmless request may lead until the peers' reports are there.
+ * Judges from scratch each time, except for committed decisions, which peers know. An instance
+ * learns of a crash from its own callers first, so a harmless request may lead until the reports of
+ * the peers have arrived.
  */
 void quarantine_judge(struct cw_quarantine *quarantine, int64_t now_ms)
 {
 	struct suspect *suspect;
 
 	quarantine->is_dirty = 0;
-	note_doubtful(quarantine, now_ms);
+	mark_ambiguous(quarantine, now_ms);
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link)
-		suspect->is_blamed = suspect->held_ms && suspect->is_firm;
-	blame(quarantine, now_ms);
+		suspect->is_culprit = suspect->quarantined_ms && suspect->is_committed;
+	find_culprits(quarantine, now_ms);
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link) {
-		if (suspect->is_blamed && !suspect->held_ms)
-			suspect_hold(quarantine, suspect, CW_QUARANTINE_OWN, now_ms, now_ms);
-		else if (!suspect->is_blamed && suspect->held_ms)
+		if (suspect->is_culprit && !suspect->quarantined_ms)
+			suspect_quarantine(quarantine, suspect, CW_QUARANTINE_OWN, now_ms, now_ms);
+		else if (!suspect->is_culprit && suspect->quarantined_ms)
 			suspect_withdraw(quarantine, suspect, now_ms);
 	}
 }
 
-struct end *suspect_end_in(const struct suspect *suspect, uint32_t outage)
+struct crash *suspect_find_crash(const struct suspect *suspect, uint32_t outage)
 {
-	for (size_t i = 0; i < suspect->end_count; i++)
-		if (suspect->ends[i].outage == outage)
-			return (struct end *)&suspect->ends[i];
+	for (size_t i = 0; i < suspect->crash_count; i++)
+		if (suspect->crashes[i].outage == outage)
+			return (struct crash *)&suspect->crashes[i];
 	return NULL;
 }
 
 /*
- * Symptom this prevents: a body that all callers ask for stays on the list for ten minutes. It was
- * at the same ends as the one that caused them. Where two requests end servers that is no proof
- * either, so it is tried once before it is taken off.
+ * Symptom this prevents: a body that all callers send stays quarantined for ten minutes because it
+ * took part in the same crashes as the request that caused them. Where two requests crash servers,
+ * sharing the crashes does not clear a request either, so an ambiguous request gets a trial run
+ * before its release.
  */
-static void note_doubtful(struct cw_quarantine *quarantine, int64_t now_ms)
+static void mark_ambiguous(struct cw_quarantine *quarantine, int64_t now_ms)
 {
 	struct suspect *suspect;
 
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link) {
-		if (!suspect->held_ms || !suspect->is_firm || suspect->end_count < ENDS_TO_HOLD)
+		if (!suspect->quarantined_ms || !suspect->is_committed ||
+		    suspect->crash_count < CRASHES_TO_QUARANTINE)
 			continue;
-		suspect->is_doubtful |= has_twin(quarantine, suspect, 0, now_ms);
-		suspect->is_outdone |= has_twin(quarantine, suspect, suspect->held_ms, now_ms);
+		suspect->is_ambiguous |= is_shadowed(quarantine, suspect, 0, now_ms);
+		suspect->is_superseded |=
+			is_shadowed(quarantine, suspect, suspect->quarantined_ms, now_ms);
 	}
 }
 
-/* Another was at all of its ends, and, where since_ms is set, at one more after that. */
-static int has_twin(const struct cw_quarantine *quarantine, const struct suspect *suspect,
-		    int64_t since_ms, int64_t now_ms)
+/*
+ * Whether another suspect took part in all of its crashes and, if since_ms is set, in one more
+ * after since_ms.
+ */
+static int is_shadowed(const struct cw_quarantine *quarantine, const struct suspect *suspect,
+		       int64_t since_ms, int64_t now_ms)
 {
 	const struct suspect *other;
 
@@ -84,118 +92,121 @@
 		size_t own;
 		size_t shared;
 
-		if (other == suspect || other->end_count < ENDS_TO_HOLD)
+		if (other == suspect || other->crash_count < CRASHES_TO_QUARANTINE)
 			continue;
 		shared = count_shared(quarantine, suspect, other, now_ms, &own);
 		if (own > 0 && shared == own &&
-		    (!since_ms || ended_alone(quarantine, other, suspect, since_ms, now_ms)))
+		    (!since_ms || crashed_without(quarantine, other, suspect, since_ms, now_ms)))
 			return 1;
 	}
 	return 0;
 }
 
-static int ended_alone(const struct cw_quarantine *quarantine, const struct suspect *other,
-		       const struct suspect *suspect, int64_t since_ms, int64_t now_ms)
+static int crashed_without(const struct cw_quarantine *quarantine, const struct suspect *other,
+			   const struct suspect *suspect, int64_t since_ms, int64_t now_ms)
 {
-	for (size_t i = 0; i < other->end_count; i++)
-		if (other->ends[i].at_ms > since_ms &&
-		    counts(quarantine, other, &other->ends[i], now_ms) &&
-		    !suspect_end_in(suspect, other->ends[i].outage))
+	for (size_t i = 0; i < other->crash_count; i++)
+		if (other->crashes[i].at_ms > since_ms &&
+		    is_evidence(quarantine, other, &other->crashes[i], now_ms) &&
+		    !suspect_find_crash(suspect, other->crashes[i].outage))
 			return 1;
 	return 0;
 }
 
-static void blame(struct cw_quarantine *quarantine, int64_t now_ms)
+static void find_culprits(struct cw_quarantine *quarantine, int64_t now_ms)
 {
 	struct suspect *suspect;
 
-	while ((suspect = most_open(quarantine, now_ms))) {
-		suspect->rivals = count_rivals(quarantine, suspect, now_ms);
-		/* Each wait may cost a server; a wrong judgement is taken back as quickly. */
-		if (!suspect->is_clear && !has_settled(quarantine, suspect, now_ms)) {
+	while ((suspect = find_likeliest(quarantine, now_ms))) {
+		suspect->rivals = count_alternatives(quarantine, suspect, now_ms);
+		/* Each delay may cost a server; a wrong decision is withdrawn just as fast. */
+		if (!suspect->is_sole_candidate &&
+		    !are_reports_settled(quarantine, suspect, now_ms)) {
 			quarantine->is_dirty = 1;
 			return;
 		}
-		suspect->is_blamed = 1;
+		suspect->is_culprit = 1;
 	}
 }
 
 /*
- * A request that was answered before, by servers that went on, comes after all that never were. Of
- * those at equally many ends the one that had just come to them. NULL: nobody is at enough.
+ * Requests without an earlier complete answer rank before all that have one; then the larger number
+ * of unexplained crashes counts, then the shorter mean run time at the crashes. NULL: no request
+ * has CRASHES_TO_QUARANTINE unexplained crashes.
  */
-static struct suspect *most_open(struct cw_quarantine *quarantine, int64_t now_ms)
+static struct suspect *find_likeliest(struct cw_quarantine *quarantine, int64_t now_ms)
 {
-	struct suspect *most = NULL;
+	struct suspect *likeliest = NULL;
 	struct suspect *suspect;
-	size_t most_count = 0;
+	size_t likeliest_count = 0;
 
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link) {
 		size_t count;
 
-		if (suspect->is_blamed || suspect->end_count < ENDS_TO_HOLD)
+		if (suspect->is_culprit || suspect->crash_count < CRASHES_TO_QUARANTINE)
 			continue;
-		count = count_open(quarantine, suspect, now_ms);
-		if (count >= ENDS_TO_HOLD &&
-		    (!most || is_likelier(suspect, count, most, most_count))) {
-			most = suspect;
-			most_count = count;
+		count = count_unexplained(quarantine, suspect, now_ms);
+		if (count >= CRASHES_TO_QUARANTINE &&
+		    (!likeliest || is_likelier(suspect, count, likeliest, likeliest_count))) {
+			likeliest = suspect;
+			likeliest_count = count;
 		}
 	}
-	return most;
+	return likeliest;
 }
 
-static int is_likelier(const struct suspect *suspect, size_t count, const struct suspect *most,
-		       size_t most_count)
+static int is_likelier(const struct suspect *suspect, size_t count, const struct suspect *likeliest,
+		       size_t likeliest_count)
 {
 	int is_known = suspect->answered_ms >= 0;
-	int is_most_known = most->answered_ms >= 0;
+	int is_likeliest_known = likeliest->answered_ms >= 0;
 
-	if (is_known != is_most_known)
-		return is_most_known;
-	if (count != most_count)
-		return count > most_count;
-	return mean_ran_ms(suspect) < mean_ran_ms(most);
+	if (is_known != is_likeliest_known)
+		return is_likeliest_known;
+	if (count != likeliest_count)
+		return count > likeliest_count;
+	return mean_ran_ms(suspect) < mean_ran_ms(likeliest);
 }
 
 /*
- * A request that is answered at other times is at many servers at once where it is asked for much.
- * When a rack loses power, they all end with it: that is one end.
+ * A frequent request that is answered at other times runs on many servers at once. When a rack
+ * loses power, all of them crash together, which counts as one crash.
  */
-static size_t count_open(const struct cw_quarantine *quarantine, const struct suspect *suspect,
-			 int64_t now_ms)
+static size_t count_unexplained(const struct cw_quarantine *quarantine,
+				const struct suspect *suspect, int64_t now_ms)
 {
-	int64_t moment_ms = -MOMENT_MS;
+	int64_t last_counted_ms = -COMMON_CAUSE_MS;
 	size_t count = 0;
 
-	for (size_t i = 0; i < suspect->end_count; i++) {
-		const struct end *end = &suspect->ends[i];
+	for (size_t i = 0; i < suspect->crash_count; i++) {
+		const struct crash *crash = &suspect->crashes[i];
 
-		if (!counts(quarantine, suspect, end, now_ms) || is_explained(quarantine, end))
+		if (!is_evidence(quarantine, suspect, crash, now_ms) ||
+		    is_explained(quarantine, crash))
 			continue;
-		if (suspect->answered_ms >= 0 && end->at_ms - moment_ms < MOMENT_MS)
+		if (suspect->answered_ms >= 0 && crash->at_ms - last_counted_ms < COMMON_CAUSE_MS)
 			continue;
-		moment_ms = end->at_ms;
+		last_counted_ms = crash->at_ms;
 		count++;
 	}
 	return count;
 }
 
-static int counts(const struct cw_quarantine *quarantine, const struct suspect *suspect,
-		  const struct end *end, int64_t now_ms)
+static int is_evidence(const struct cw_quarantine *quarantine, const struct suspect *suspect,
+		       const struct crash *crash, int64_t now_ms)
 {
-	return end->at_ms > suspect->answered_ms && now_ms - end->at_ms < EVIDENCE_MS &&
-	       end->is_confirmed && outage_met(quarantine, end);
+	return crash->at_ms > suspect->answered_ms && now_ms - crash->at_ms < EVIDENCE_MS &&
+	       crash->is_confirmed && outage_covers(quarantine, crash);
 }
 
-/* The ends of a request that is outdone count against the other one as well. */
-static int is_explained(const struct cw_quarantine *quarantine, const struct end *end)
+/* The crashes of a superseded request count against the other request as well. */
+static int is_explained(const struct cw_quarantine *quarantine, const struct crash *crash)
 {
 	const struct suspect *suspect;
 
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link)
-		if (suspect->is_blamed && !suspect->is_outdone &&
-		    suspect_end_in(suspect, end->outage))
+		if (suspect->is_culprit && !suspect->is_superseded &&
+		    suspect_find_crash(suspect, crash->outage))
 			return 1;
 	return 0;
 }
@@ -204,60 +215,66 @@
 {
 	int64_t sum_ms = 0;
 
-	for (size_t i = 0; i < suspect->end_count; i++)
-		sum_ms += suspect->ends[i].ran_ms;
-	return sum_ms / (int64_t)MAX(suspect->end_count, 1);
+	for (size_t i = 0; i < suspect->crash_count; i++)
+		sum_ms += suspect->crashes[i].ran_ms;
+	return sum_ms / (int64_t)MAX(suspect->crash_count, 1);
 }
 
-/* Also whether one of them was at as many of the ends: then time may tell. */
-static unsigned int count_rivals(const struct cw_quarantine *quarantine, struct suspect *suspect,
-				 int64_t now_ms)
+/*
+ * Also sets is_sole_candidate: no other suspect took part in as many of the crashes. Otherwise
+ * later crashes may tell them apart.
+ */
+static unsigned int count_alternatives(const struct cw_quarantine *quarantine,
+				       struct suspect *suspect, int64_t now_ms)
 {
 	const struct suspect *other;
 	unsigned int rivals = 0;
 
-	suspect->is_clear = 1;
+	suspect->is_sole_candidate = 1;
 	TAILQ_FOREACH(other, &quarantine->suspects, link) {
 		size_t shared;
 		size_t own;
 
-		if (other == suspect || other->is_blamed || other->end_count < 2)
+		if (other == suspect || other->is_culprit || other->crash_count < 2)
 			continue;
 		shared = count_shared(quarantine, suspect, other, now_ms, &own);
 		rivals += shared >= 2;
-		suspect->is_clear &= shared < own;
+		suspect->is_sole_candidate &= shared < own;
 	}
 	return rivals;
 }
 
-/* Of its ends that count, own, those that the other one was at as well. */
+/*
+ * Counts the crashes that both took part in; *own receives how many of the crashes of suspect are
+ * evidence.
+ */
 static size_t count_shared(const struct cw_quarantine *quarantine, const struct suspect *suspect,
 			   const struct suspect *other, int64_t now_ms, size_t *own)
 {
 	size_t shared = 0;
 
 	*own = 0;
-	for (size_t i = 0; i < suspect->end_count; i++) {
-		const struct end *end = &suspect->ends[i];
-		const struct end *same = suspect_end_in(other, end->outage);
+	for (size_t i = 0; i < suspect->crash_count; i++) {
+		const struct crash *crash = &suspect->crashes[i];
+		const struct crash *same = suspect_find_crash(other, crash->outage);
 
-		if (!counts(quarantine, suspect, end, now_ms))
+		if (!is_evidence(quarantine, suspect, crash, now_ms))
 			continue;
 		(*own)++;
-		shared += same && counts(quarantine, other, same, now_ms);
+		shared += same && is_evidence(quarantine, other, same, now_ms);
 	}
 	return shared;
 }
 
-/* Are the peers' reports of its third end there? */
-static int has_settled(const struct cw_quarantine *quarantine, const struct suspect *suspect,
-		       int64_t now_ms)
+/* Whether the peers have had time to report the third crash. */
+static int are_reports_settled(const struct cw_quarantine *quarantine,
+			       const struct suspect *suspect, int64_t now_ms)
 {
 	size_t seen = 0;
 
-	for (size_t i = 0; i < suspect->end_count; i++)
-		if (counts(quarantine, suspect, &suspect->ends[i], now_ms) &&
-		    ++seen == ENDS_TO_HOLD)
-			return now_ms - suspect->ends[i].at_ms >= SETTLE_MS;
+	for (size_t i = 0; i < suspect->crash_count; i++)
+		if (is_evidence(quarantine, suspect, &suspect->crashes[i], now_ms) &&
+		    ++seen == CRASHES_TO_QUARANTINE)
+			return now_ms - suspect->crashes[i].at_ms >= SETTLE_MS;
 	return 0;
 }
--- a/packages/quarantine/src/outages.c
+++ b/packages/quarantine/src/outages.c
@@ -1,97 +1,101 @@
 /*
- * When servers ended. All requests under way at a server break with it, at every instance that had
- * some there; that is one outage. What is sent there later breaks as well while it is away, where
- * something in front of it still takes connections: that request was not there as it ended.
+ * Server outages. When a server crashes, all its running requests break at every instance that had
+ * requests on it; together the breaks are one outage. Requests sent during the outage break as well
+ * where a proxy in front of the server still accepts connections, but they were not running when
+ * the server crashed.
  */
 #include "quarantine_internal.h"
 
-static struct outage *outage_at(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms);
-static struct outage *by_number(const struct cw_quarantine *quarantine, uint32_t number);
-static void forget_ends(struct cw_quarantine *quarantine, const struct outage *outage);
+static struct outage *find_outage_at(struct cw_quarantine *quarantine, uint64_t server,
+				     int64_t at_ms);
+static struct outage *find_outage(const struct cw_quarantine *quarantine, uint32_t number);
+static void remove_crashes(struct cw_quarantine *quarantine, const struct outage *outage);
 
-uint32_t outage_note(struct cw_quarantine *quarantine, const struct end *end)
+uint32_t outage_find_or_add(struct cw_quarantine *quarantine, const struct crash *crash)
 {
-	struct outage *outage = outage_at(quarantine, end->server, end->at_ms);
+	struct outage *outage = find_outage_at(quarantine, crash->server, crash->at_ms);
 
-	/* It was back in between: others may have known, or had nothing to ask it. */
-	if (outage && end->is_running && end->at_ms - end->ran_ms > outage->at_ms + SKEW_MS) {
-		outage->back_ms = end->at_ms - end->ran_ms;
-		outage = outage_at(quarantine, end->server, end->at_ms);
+	/* The server had recovered in between; other instances may have noticed or may have had no
+	 * request for the server. */
+	if (outage && crash->is_running && crash->at_ms - crash->ran_ms > outage->at_ms + SKEW_MS) {
+		outage->recovered_ms = crash->at_ms - crash->ran_ms;
+		outage = find_outage_at(quarantine, crash->server, crash->at_ms);
 	}
 	if (outage) {
-		outage->at_ms = MIN(outage->at_ms, end->at_ms);
-		return outage->is_void ? 0 : outage->number;
+		outage->at_ms = MIN(outage->at_ms, crash->at_ms);
+		return outage->is_false_alarm ? 0 : outage->number;
 	}
 	outage = &quarantine->outages[quarantine->outage_next++ % OUTAGES_KEPT];
 	*outage = (struct outage){.number = (uint32_t)quarantine->outage_next,
-				  .server = end->server,
-				  .at_ms = end->at_ms,
-				  .noted_ms = end->at_ms};
-	quarantine->newest_outage_ms = MAX(quarantine->newest_outage_ms, end->at_ms);
+				  .server = crash->server,
+				  .at_ms = crash->at_ms,
+				  .detected_ms = crash->at_ms};
+	quarantine->newest_outage_ms = MAX(quarantine->newest_outage_ms, crash->at_ms);
 	return outage->number;
 }
 
-int outage_met(const struct cw_quarantine *quarantine, const struct end *end)
+int outage_covers(const struct cw_quarantine *quarantine, const struct crash *crash)
 {
-	const struct outage *outage = by_number(quarantine, end->outage);
+	const struct outage *outage = find_outage(quarantine, crash->outage);
 
-	return !outage || end->at_ms - end->ran_ms <= outage->at_ms + SKEW_MS;
+	return !outage || crash->at_ms - crash->ran_ms <= outage->at_ms + SKEW_MS;
 }
 
 int outage_is_confirmed(const struct cw_quarantine *quarantine, uint32_t number)
 {
-	const struct outage *outage = by_number(quarantine, number);
+	const struct outage *outage = find_outage(quarantine, number);
 
 	return outage && outage->is_confirmed;
 }
 
 void outage_confirm(struct cw_quarantine *quarantine, uint32_t number)
 {
-	struct outage *outage = by_number(quarantine, number);
+	struct outage *outage = find_outage(quarantine, number);
 	struct suspect *suspect;
 
-	if (!outage || outage->is_confirmed || outage->is_void)
+	if (!outage || outage->is_confirmed || outage->is_false_alarm)
 		return;
 	outage->is_confirmed = 1;
 	quarantine->is_dirty = 1;
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link) {
-		struct end *end = suspect_end_in(suspect, number);
+		struct crash *crash = suspect_find_crash(suspect, number);
 
-		if (end)
-			end->is_confirmed = 1;
+		if (crash)
+			crash->is_confirmed = 1;
 	}
 }
 
-void outage_broke(struct cw_quarantine *quarantine, const struct end *end)
+void outage_add_break(struct cw_quarantine *quarantine, const struct crash *crash)
 {
-	struct outage *outage = by_number(quarantine, end->outage);
+	struct outage *outage = find_outage(quarantine, crash->outage);
 
 	if (!outage)
 		return;
-	if (!outage_met(quarantine, end)) {
-		if (!end->is_running && end->ran_ms <= QUICK_MS)
-			outage_confirm(quarantine, end->outage);
+	if (!outage_covers(quarantine, crash)) {
+		if (!crash->is_running && crash->ran_ms <= IMMEDIATE_BREAK_MS)
+			outage_confirm(quarantine, crash->outage);
 		return;
 	}
-	if (ABS(end->at_ms - outage->noted_ms) <= BURST_MS && ++outage->breaks >= BURST)
-		outage_confirm(quarantine, end->outage);
+	if (ABS(crash->at_ms - outage->detected_ms) <= BURST_MS && ++outage->breaks >= BURST_BREAKS)
+		outage_confirm(quarantine, crash->outage);
 }
 
 /*
- * Symptom this prevents: servers that reset a part of their answers and go on got hundreds of
- * harmless requests held, each of which had met three of them.
+ * Symptom this prevents: servers that reset some of their answers and stay up got hundreds of
+ * harmless requests quarantined, each of which had met three resets.
  */
 void cw_quarantine_gone(struct cw_quarantine *quarantine, uint64_t server, int64_t now_ms)
 {
 	struct outage *newest = NULL;
 
-	if (now_ms - quarantine->newest_outage_ms >= GONE_MS)
+	if (now_ms - quarantine->newest_outage_ms >= UNREACHABLE_MS)
 		return;
 	for (size_t i = 0; i < OUTAGES_KEPT; i++) {
 		struct outage *outage = &quarantine->outages[i];
 
-		if (outage->number && outage->server == server && !outage->is_void &&
-		    now_ms - outage->at_ms < GONE_MS && (!newest || outage->at_ms > newest->at_ms))
+		if (outage->number && outage->server == server && !outage->is_false_alarm &&
+		    now_ms - outage->at_ms < UNREACHABLE_MS &&
+		    (!newest || outage->at_ms > newest->at_ms))
 			newest = outage;
 	}
 	if (!newest || newest->is_confirmed)
@@ -101,10 +105,10 @@
 }
 
 /*
- * Symptom this prevents: servers that reset two of five answers got harmless requests held, whose
- * callers were refused as they came again. No connection outlives its server: a byte on one that
- * was there before the outage says that there was none. A byte on a later one says that the server
- * is back, and may end again.
+ * Symptom this prevents: servers that reset two of five answers got harmless requests quarantined,
+ * and the retries of their callers were refused. No connection survives a crash of its server, so a
+ * byte on a connection opened before the outage proves a false alarm. A byte on a later connection
+ * shows that the server has recovered, and may crash again.
  */
 void cw_quarantine_heard(struct cw_quarantine *quarantine, uint64_t server, int64_t sent_ms,
 			 int64_t now_ms)
@@ -113,42 +117,42 @@
 
 	if (now_ms - quarantine->newest_outage_ms >= OUTAGE_MS)
 		return;
-	outage = outage_at(quarantine, server, now_ms);
-	if (!outage || outage->is_void)
+	outage = find_outage_at(quarantine, server, now_ms);
+	if (!outage || outage->is_false_alarm)
 		return;
 	if (sent_ms > outage->at_ms)
-		outage->back_ms = now_ms;
-	else if (now_ms - outage->at_ms >= ALIVE_MS && now_ms >= quarantine->stalled_until_ms)
-		outage_withdraw(quarantine, server, now_ms, now_ms);
+		outage->recovered_ms = now_ms;
+	else if (now_ms - outage->at_ms >= IN_FLIGHT_MS && now_ms >= quarantine->stalled_until_ms)
+		outage_mark_false_alarm(quarantine, server, now_ms, now_ms);
 }
 
-void outage_withdraw(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
-		     int64_t now_ms)
+void outage_mark_false_alarm(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
+			     int64_t now_ms)
 {
-	struct outage *outage = outage_at(quarantine, server, at_ms);
+	struct outage *outage = find_outage_at(quarantine, server, at_ms);
 
-	if (!outage || outage->is_void)
+	if (!outage || outage->is_false_alarm)
 		return;
-	outage->is_void = 1;
-	outage->heard_ms = at_ms;
-	outage->news_ms = now_ms;
-	forget_ends(quarantine, outage);
+	outage->is_false_alarm = 1;
+	outage->last_seen_ms = at_ms;
+	outage->updated_ms = now_ms;
+	remove_crashes(quarantine, outage);
 }
 
-size_t outages_tell_void(const struct cw_quarantine *quarantine, int64_t now_ms,
-			 struct cw_quarantine_end *ends, size_t max)
+size_t outages_announce_false_alarms(const struct cw_quarantine *quarantine, int64_t now_ms,
+				     struct cw_quarantine_end *crashes, size_t max)
 {
 	size_t count = 0;
 
 	for (size_t i = 0; i < OUTAGES_KEPT && count < max; i++) {
 		const struct outage *outage = &quarantine->outages[i];
 
-		if (!outage->is_void || now_ms - outage->news_ms >= TELL_MS)
+		if (!outage->is_false_alarm || now_ms - outage->updated_ms >= ANNOUNCE_MS)
 			continue;
-		ends[count++] = (struct cw_quarantine_end){
+		crashes[count++] = (struct cw_quarantine_end){
 			.server = outage->server,
 			.is_alive = 1,
-			.age_ms = (uint32_t)MAX(now_ms - outage->heard_ms, 0),
+			.age_ms = (uint32_t)MAX(now_ms - outage->last_seen_ms, 0),
 			.answered_ms = CW_QUARANTINE_NEVER,
 		};
 	}
@@ -156,39 +160,41 @@
 }
 
 /*
- * The one that covers the moment; else one that began a little later, as far as was known. NULL:
- * none.
+ * Returns the outage that covers at_ms, else the earliest one that began up to DETECTION_LAG_MS
+ * later, as far as this instance knew. NULL: none.
  */
-static struct outage *outage_at(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms)
+static struct outage *find_outage_at(struct cw_quarantine *quarantine, uint64_t server,
+				     int64_t at_ms)
 {
 	struct outage *later = NULL;
 
 	for (size_t i = 0; i < OUTAGES_KEPT; i++) {
 		struct outage *outage = &quarantine->outages[i];
-		int64_t end_ms = outage->back_ms ? outage->back_ms : outage->noted_ms + OUTAGE_MS;
+		int64_t end_ms = outage->recovered_ms ? outage->recovered_ms
+						      : outage->detected_ms + OUTAGE_MS;
 
 		if (!outage->number || outage->server != server || at_ms >= end_ms + SKEW_MS)
 			continue;
 		if (at_ms >= outage->at_ms)
 			return outage;
-		if (at_ms >= outage->noted_ms - EARLIER_MS && !outage->back_ms &&
+		if (at_ms >= outage->detected_ms - DETECTION_LAG_MS && !outage->recovered_ms &&
 		    (!later || outage->at_ms < later->at_ms))
 			later = outage;
 	}
 	return later;
 }
 
-static void forget_ends(struct cw_quarantine *quarantine, const struct outage *outage)
+static void remove_crashes(struct cw_quarantine *quarantine, const struct outage *outage)
 {
 	struct suspect *suspect;
 
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link)
-		if (suspect_drop_end(suspect, outage->number))
+		if (suspect_remove_crash(suspect, outage->number))
 			quarantine->is_dirty = 1;
 }
 
-/* NULL: it was dropped for room. */
-static struct outage *by_number(const struct cw_quarantine *quarantine, uint32_t number)
+/* NULL: the outage was overwritten by newer ones. */
+static struct outage *find_outage(const struct cw_quarantine *quarantine, uint32_t number)
 {
 	const struct outage *outage = &quarantine->outages[(number - 1) % OUTAGES_KEPT];
 
--- a/packages/quarantine/src/quarantine.c
+++ b/packages/quarantine/src/quarantine.c
@@ -3,16 +3,17 @@
 
 #include <string.h>
 
-static int ended_held(const struct suspect *suspect);
-static void prove_answers(struct cw_quarantine *quarantine, int64_t now_ms);
-static void make_room(struct cw_quarantine *quarantine, const char *organisation);
-static struct suspect *least_suspect(struct cw_quarantine *quarantine, const char *organisation);
-static int is_less(const struct suspect *one, const struct suspect *other);
-static void limit_held(struct cw_quarantine *quarantine, const struct suspect *newest,
-		       int64_t now_ms);
-static void tell_change(struct cw_quarantine *quarantine, const struct suspect *suspect,
-			enum cw_quarantine_source source, int64_t now_ms);
-static int has_aged(const struct suspect *suspect, int64_t now_ms);
+static int crashed_in_trial(const struct suspect *suspect);
+static void verify_answers(struct cw_quarantine *quarantine, int64_t now_ms);
+static void evict_suspect(struct cw_quarantine *quarantine, const char *organisation);
+static struct suspect *find_least_likely(struct cw_quarantine *quarantine,
+					 const char *organisation);
+static int is_less_likely(const struct suspect *one, const struct suspect *other);
+static void limit_quarantined(struct cw_quarantine *quarantine, const struct suspect *newest,
+			      int64_t now_ms);
+static void queue_change(struct cw_quarantine *quarantine, const struct suspect *suspect,
+			 enum cw_quarantine_source source, int64_t now_ms);
+static int has_expired(const struct suspect *suspect, int64_t now_ms);
 
 struct cw_quarantine *cw_quarantine_create(void)
 {
@@ -30,7 +31,7 @@
 	if (!quarantine)
 		return;
 	while ((suspect = TAILQ_FIRST(&quarantine->suspects)))
-		suspect_forget(quarantine, suspect);
+		suspect_remove(quarantine, suspect);
 	g_hash_table_destroy(quarantine->by_fingerprint);
 	g_free(quarantine);
 }
@@ -39,10 +40,10 @@
 {
 	const struct suspect *suspect;
 
-	if (quarantine->held == 0)
+	if (quarantine->quarantined_count == 0)
 		return 0;
 	suspect = suspect_find(quarantine, fingerprint);
-	return suspect && suspect->held_ms != 0;
+	return suspect && suspect->quarantined_ms != 0;
 }
 
 int cw_quarantine_wants_trial(const struct cw_quarantine *quarantine, uint64_t fingerprint,
@@ -50,7 +51,8 @@
 {
 	const struct suspect *suspect = suspect_find(quarantine, fingerprint);
 
-	if (!suspect || !suspect->held_ms || !suspect->is_doubtful || ended_held(suspect))
+	if (!suspect || !suspect->quarantined_ms || !suspect->is_ambiguous ||
+	    crashed_in_trial(suspect))
 		return 0;
 	return !suspect->trial_ms || now_ms - suspect->trial_ms >= TRIAL_GAP_MS;
 }
@@ -67,53 +69,53 @@
 			 const struct cw_quarantine_request *request, uint64_t server,
 			 int64_t ran_ms, int is_running, int64_t now_ms)
 {
-	struct end end = {
+	struct crash crash = {
 		.server = server, .at_ms = now_ms, .ran_ms = ran_ms, .is_running = is_running};
-	struct suspect *suspect = suspect_learn(quarantine, request->fingerprint,
-						request->organisation, request->target, now_ms);
+	struct suspect *suspect = suspect_find_or_add(
+		quarantine, request->fingerprint, request->organisation, request->target, now_ms);
 
-	if (!suspect_add_end(quarantine, suspect, &end, now_ms))
+	if (!suspect_add_crash(quarantine, suspect, &crash, now_ms))
 		return;
-	quarantine_note_left(quarantine, server, now_ms, now_ms);
-	if (suspect->end_count >= ENDS_TO_HOLD)
+	quarantine_add_finished(quarantine, server, now_ms, now_ms);
+	if (suspect->crash_count >= CRASHES_TO_QUARANTINE)
 		quarantine_judge(quarantine, now_ms);
 }
 
 void cw_quarantine_left(struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server,
 			int64_t ran_ms, int64_t now_ms)
 {
-	struct left left = {.fingerprint = fingerprint,
-			    .server = server,
-			    .sent_ms = now_ms - ran_ms,
-			    .left_ms = now_ms};
+	struct finished finished = {.fingerprint = fingerprint,
+				    .server = server,
+				    .sent_ms = now_ms - ran_ms,
+				    .finished_ms = now_ms};
 
-	quarantine->left[quarantine->left_next++ % LEFT_KEPT] = left;
+	quarantine->finished[quarantine->finished_next++ % FINISHED_KEPT] = finished;
 }
 
 /*
- * A short answer may be whole before its server ends under it. So it speaks for the request only
- * once the server has gone on for a while.
+ * A short answer may be complete before its request crashes the server. So the answer clears the
+ * request only after the server has stayed up for FINISHED_MS.
  */
 void cw_quarantine_answered(struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server,
 			    int64_t ran_ms, int64_t now_ms)
 {
 	cw_quarantine_left(quarantine, fingerprint, server, ran_ms, now_ms);
-	quarantine->left[(quarantine->left_next - 1) % LEFT_KEPT].is_answered = 1;
+	quarantine->finished[(quarantine->finished_next - 1) % FINISHED_KEPT].is_answered = 1;
 }
 
 /*
- * The end of a server says nothing against its version when a request that is held was there: a
- * good version, on trial on few servers, was taken back for it. A request that is not held yet may
- * have met three servers of a bad version.
+ * A server crash is no evidence against the model version if a quarantined request was running on
+ * the server: a good version on trial on a few servers was rolled back for such a crash. A request
+ * that is not quarantined yet may have met three servers of a bad version.
  */
 int cw_quarantine_doubts(const struct cw_quarantine *quarantine, uint64_t server, int64_t now_ms)
 {
 	const struct suspect *suspect;
 
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link)
-		for (size_t i = 0; suspect->held_ms && i < suspect->end_count; i++)
-			if (suspect->ends[i].server == server &&
-			    now_ms - suspect->ends[i].at_ms < OUTAGE_MS)
+		for (size_t i = 0; suspect->quarantined_ms && i < suspect->crash_count; i++)
+			if (suspect->crashes[i].server == server &&
+			    now_ms - suspect->crashes[i].at_ms < OUTAGE_MS)
 				return 1;
 	return 0;
 }
@@ -125,24 +127,25 @@
 	if (now_ms - quarantine->tick_ms > STALL_MS)
 		quarantine->stalled_until_ms = now_ms + STALL_MS;
 	quarantine->tick_ms = now_ms;
-	prove_answers(quarantine, now_ms);
+	verify_answers(quarantine, now_ms);
 	if (quarantine->is_dirty)
 		quarantine_judge(quarantine, now_ms);
 	suspect = TAILQ_FIRST(&quarantine->suspects);
 	while (suspect) {
 		struct suspect *next = TAILQ_NEXT(suspect, link);
 
-		if (suspect->held_ms && !suspect->is_brief &&
-		    now_ms - suspect->held_ms >= (suspect->is_clear ? FIRM_MS : FIRM_UNCLEAR_MS) &&
-		    !suspect->is_firm) {
-			suspect->is_firm = 1;
+		if (suspect->quarantined_ms && !suspect->is_short &&
+		    now_ms - suspect->quarantined_ms >=
+			    (suspect->is_sole_candidate ? COMMIT_MS : COMMIT_AMBIGUOUS_MS) &&
+		    !suspect->is_committed) {
+			suspect->is_committed = 1;
 			suspect->changed_ms = now_ms;
 			quarantine->is_dirty = 1;
 		}
-		if (suspect->held_ms && has_aged(suspect, now_ms))
+		if (suspect->quarantined_ms && has_expired(suspect, now_ms))
 			suspect_release(quarantine, suspect, CW_QUARANTINE_TIME, now_ms);
-		else if (!suspect->held_ms && has_aged(suspect, now_ms))
-			suspect_forget(quarantine, suspect);
+		else if (!suspect->quarantined_ms && has_expired(suspect, now_ms))
+			suspect_remove(quarantine, suspect);
 		suspect = next;
 	}
 }
@@ -164,8 +167,8 @@
 	size_t count = 0;
 
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link)
-		if (suspect->held_ms && count < max)
-			suspect_record(suspect, now_ms, &records[count++]);
+		if (suspect->quarantined_ms && count < max)
+			suspect_fill_record(suspect, now_ms, &records[count++]);
 	return count;
 }
 
@@ -173,7 +176,7 @@
 {
 	struct suspect *suspect = suspect_find(quarantine, fingerprint);
 
-	if (!suspect || !suspect->held_ms)
+	if (!suspect || !suspect->quarantined_ms)
 		return 0;
 	suspect_release(quarantine, suspect, CW_QUARANTINE_OPERATOR, now_ms);
 	return 1;
@@ -195,18 +198,18 @@
 	return g_hash_table_lookup(quarantine->by_fingerprint, &fingerprint);
 }
 
-struct suspect *suspect_learn(struct cw_quarantine *quarantine, uint64_t fingerprint,
-			      const char *organisation, const char *target, int64_t now_ms)
+struct suspect *suspect_find_or_add(struct cw_quarantine *quarantine, uint64_t fingerprint,
+				    const char *organisation, const char *target, int64_t now_ms)
 {
-	const struct good *good = &quarantine->good[fingerprint % GOOD_SLOTS];
+	const struct answered *answered = &quarantine->answered[fingerprint % ANSWERED_SLOTS];
 	struct suspect *suspect = suspect_find(quarantine, fingerprint);
 
 	if (!suspect) {
-		make_room(quarantine, organisation);
+		evict_suspect(quarantine, organisation);
 		suspect = g_new0(struct suspect, 1);
 		suspect->fingerprint = fingerprint;
-		suspect->answered_ms = good->fingerprint == fingerprint ? good->at_ms : -1;
-		suspect->news_ms = now_ms;
+		suspect->answered_ms = answered->fingerprint == fingerprint ? answered->at_ms : -1;
+		suspect->updated_ms = now_ms;
 		TAILQ_INSERT_TAIL(&quarantine->suspects, suspect, link);
 		g_hash_table_insert(quarantine->by_fingerprint, &suspect->fingerprint, suspect);
 	}
@@ -217,202 +220,218 @@
 	return suspect;
 }
 
-void suspect_forget(struct cw_quarantine *quarantine, struct suspect *suspect)
+void suspect_remove(struct cw_quarantine *quarantine, struct suspect *suspect)
 {
-	if (suspect->held_ms)
-		quarantine->held--;
+	if (suspect->quarantined_ms)
+		quarantine->quarantined_count--;
 	g_hash_table_remove(quarantine->by_fingerprint, &suspect->fingerprint);
 	TAILQ_REMOVE(&quarantine->suspects, suspect, link);
 	g_free(suspect);
 }
 
-int suspect_add_end(struct cw_quarantine *quarantine, struct suspect *suspect,
-		    const struct end *end, int64_t now_ms)
+int suspect_add_crash(struct cw_quarantine *quarantine, struct suspect *suspect,
+		      const struct crash *crash, int64_t now_ms)
 {
-	struct end noted = *end;
-	struct end *known;
+	struct crash observed = *crash;
+	struct crash *known;
 	size_t at;
 
-	noted.outage = outage_note(quarantine, end);
-	if (!noted.outage)
+	observed.outage = outage_find_or_add(quarantine, crash);
+	if (!observed.outage)
 		return 0;
-	if (!outage_met(quarantine, &noted)) {
-		outage_broke(quarantine, &noted);
+	if (!outage_covers(quarantine, &observed)) {
+		outage_add_break(quarantine, &observed);
 		return 0;
 	}
-	noted.is_confirmed = outage_is_confirmed(quarantine, noted.outage);
-	known = suspect_end_in(suspect, noted.outage);
-	/* Of several copies, the one that had just come. */
+	observed.is_confirmed = outage_is_confirmed(quarantine, observed.outage);
+	known = suspect_find_crash(suspect, observed.outage);
+	/* Of several copies of the request, keep the one with the shortest run. */
 	if (known) {
-		if (!outage_met(quarantine, known) || known->ran_ms > noted.ran_ms)
-			*known = noted;
+		if (!outage_covers(quarantine, known) || known->ran_ms > observed.ran_ms)
+			*known = observed;
 		return 0;
 	}
-	/* Peers still tell of what was dropped here. */
-	if (suspect->end_count == ENDS_KEPT && end->at_ms <= suspect->ends[0].at_ms)
+	/* Peers still announce crashes that were dropped here for space. */
+	if (suspect->crash_count == CRASHES_KEPT && crash->at_ms <= suspect->crashes[0].at_ms)
 		return 0;
-	if (suspect->end_count == ENDS_KEPT)
-		memmove(suspect->ends, suspect->ends + 1,
-			--suspect->end_count * sizeof(suspect->ends[0]));
-	at = suspect->end_count++;
-	for (; at > 0 && suspect->ends[at - 1].at_ms > end->at_ms; at--)
-		suspect->ends[at] = suspect->ends[at - 1];
-	suspect->ends[at] = noted;
-	outage_broke(quarantine, &noted);
-	suspect->ends_seen++;
-	suspect->news_ms = now_ms;
+	if (suspect->crash_count == CRASHES_KEPT)
+		memmove(suspect->crashes, suspect->crashes + 1,
+			--suspect->crash_count * sizeof(suspect->crashes[0]));
+	at = suspect->crash_count++;
+	for (; at > 0 && suspect->crashes[at - 1].at_ms > crash->at_ms; at--)
+		suspect->crashes[at] = suspect->crashes[at - 1];
+	suspect->crashes[at] = observed;
+	outage_add_break(quarantine, &observed);
+	suspect->crashes_seen++;
+	suspect->updated_ms = now_ms;
 	quarantine->is_dirty = 1;
 	return 1;
 }
 
-int suspect_is_listed(const struct suspect *suspect)
+int suspect_is_announced(const struct suspect *suspect)
 {
-	return suspect->is_firm || suspect->released_ms != 0;
+	return suspect->is_committed || suspect->released_ms != 0;
 }
 
-int suspect_drop_end(struct suspect *suspect, uint32_t outage)
+int suspect_remove_crash(struct suspect *suspect, uint32_t outage)
 {
-	struct end *end = suspect_end_in(suspect, outage);
+	struct crash *crash = suspect_find_crash(suspect, outage);
 
-	if (!end)
+	if (!crash)
 		return 0;
-	suspect->end_count--;
-	suspect->ends_seen--;
-	memmove(end, end + 1, (size_t)(suspect->ends + suspect->end_count - end) * sizeof(*end));
+	suspect->crash_count--;
+	suspect->crashes_seen--;
+	memmove(crash, crash + 1,
+		(size_t)(suspect->crashes + suspect->crash_count - crash) * sizeof(*crash));
 	return 1;
 }
 
-/* What ends each server that runs it is never answered whole: all ends before that are others'. */
-void suspect_answered(struct cw_quarantine *quarantine, struct suspect *suspect, int64_t at_ms,
-		      int64_t now_ms)
+/*
+ * A poison request is never answered completely, so all crashes before a complete answer have other
+ * causes.
+ */
+void suspect_note_answer(struct cw_quarantine *quarantine, struct suspect *suspect, int64_t at_ms,
+			 int64_t now_ms)
 {
 	if (at_ms <= suspect->answered_ms)
 		return;
 	suspect->answered_ms = at_ms;
-	suspect->news_ms = now_ms;
+	suspect->updated_ms = now_ms;
 	quarantine->is_dirty = 1;
-	if (suspect->held_ms && at_ms > suspect->held_ms)
+	if (suspect->quarantined_ms && at_ms > suspect->quarantined_ms)
 		suspect_release(quarantine, suspect, CW_QUARANTINE_ANSWER, now_ms);
 }
 
-void suspect_hold(struct cw_quarantine *quarantine, struct suspect *suspect,
-		  enum cw_quarantine_source source, int64_t since_ms, int64_t now_ms)
+void suspect_quarantine(struct cw_quarantine *quarantine, struct suspect *suspect,
+			enum cw_quarantine_source source, int64_t since_ms, int64_t now_ms)
 {
-	if (suspect->held_ms)
+	if (suspect->quarantined_ms)
 		return;
-	suspect->held_ms = MAX(since_ms, 1);
-	suspect->is_doubtful = suspect->is_outdone = 0;
+	suspect->quarantined_ms = MAX(since_ms, 1);
+	suspect->is_ambiguous = suspect->is_superseded = 0;
 	suspect->trial_ms = 0;
 	suspect->released_ms = 0;
-	suspect->is_firm = source != CW_QUARANTINE_OWN;
+	suspect->is_committed = source != CW_QUARANTINE_OWN;
 	suspect->changed_ms = now_ms;
-	suspect->is_brief = source == CW_QUARANTINE_OWN && suspect->answered_ms >= 0;
+	suspect->is_short = source == CW_QUARANTINE_OWN && suspect->answered_ms >= 0;
 	suspect->is_written = source == CW_QUARANTINE_STORE;
-	quarantine->held++;
-	limit_held(quarantine, suspect, now_ms);
-	tell_change(quarantine, suspect, source, now_ms);
+	quarantine->quarantined_count++;
+	limit_quarantined(quarantine, suspect, now_ms);
+	queue_change(quarantine, suspect, source, now_ms);
 }
 
 void suspect_withdraw(struct cw_quarantine *quarantine, struct suspect *suspect, int64_t now_ms)
 {
-	suspect->held_ms = 0;
-	suspect->is_brief = 0;
-	quarantine->held--;
-	tell_change(quarantine, suspect, CW_QUARANTINE_OWN, now_ms);
+	suspect->quarantined_ms = 0;
+	suspect->is_short = 0;
+	quarantine->quarantined_count--;
+	queue_change(quarantine, suspect, CW_QUARANTINE_OWN, now_ms);
 }
 
-/* Its ends don't count any more. The store, where it stands there, is told by one instance. */
+/*
+ * Clears the request of its crashes. One instance writes the release to the shared store, if the
+ * quarantine is stored there.
+ */
 void suspect_release(struct cw_quarantine *quarantine, struct suspect *suspect,
 		     enum cw_quarantine_source source, int64_t now_ms)
 {
-	if (!suspect->held_ms)
+	if (!suspect->quarantined_ms)
 		return;
-	suspect->held_ms = 0;
-	suspect->released_ms = suspect->is_firm ? now_ms : 0;
+	suspect->quarantined_ms = 0;
+	suspect->released_ms = suspect->is_committed ? now_ms : 0;
 	suspect->changed_ms = now_ms;
-	suspect->is_written = !suspect->is_firm || source == CW_QUARANTINE_STORE;
-	suspect->is_firm = suspect->is_brief = 0;
+	suspect->is_written = !suspect->is_committed || source == CW_QUARANTINE_STORE;
+	suspect->is_committed = suspect->is_short = 0;
 	suspect->answered_ms = MAX(suspect->answered_ms, now_ms);
-	suspect->news_ms = now_ms;
-	quarantine->held--;
-	tell_change(quarantine, suspect, source, now_ms);
+	suspect->updated_ms = now_ms;
+	quarantine->quarantined_count--;
+	queue_change(quarantine, suspect, source, now_ms);
 }
 
-void suspect_record(const struct suspect *suspect, int64_t now_ms,
-		    struct cw_quarantine_record *record)
+void suspect_fill_record(const struct suspect *suspect, int64_t now_ms,
+			 struct cw_quarantine_record *record)
 {
-	int64_t since_ms = suspect->held_ms	  ? suspect->held_ms
-			   : suspect->released_ms ? suspect->released_ms
-						  : now_ms;
+	int64_t since_ms = suspect->quarantined_ms ? suspect->quarantined_ms
+			   : suspect->released_ms  ? suspect->released_ms
+						   : now_ms;
 
 	memset(record, 0, sizeof(*record));
 	record->fingerprint = suspect->fingerprint;
 	g_strlcpy(record->organisation, suspect->organisation, CW_NAME_MAX);
 	g_strlcpy(record->target, suspect->target, CW_NAME_MAX);
-	record->ends = suspect->ends_seen;
-	record->age_ms = (uint32_t)CLAMP(now_ms - since_ms, 0, HOLD_MS);
-	record->is_released = !suspect->held_ms;
+	record->ends = suspect->crashes_seen;
+	record->age_ms = (uint32_t)CLAMP(now_ms - since_ms, 0, QUARANTINE_MS);
+	record->is_released = !suspect->quarantined_ms;
 	record->is_written = suspect->is_written;
 }
 
 /*
- * A small model's answer may be dropped for a larger one's just after it began, and its server end
- * a moment later: the request was there all the same.
+ * A small model's answer may be dropped for a larger model's just after it began, and its server
+ * may crash a moment later: the request took part in the crash all the same.
  */
-void quarantine_note_left(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
-			  int64_t now_ms)
+void quarantine_add_finished(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
+			     int64_t now_ms)
 {
-	for (size_t i = 0; i < LEFT_KEPT; i++) {
-		struct left *left = &quarantine->left[i];
-		struct end end = {
-			.server = server, .at_ms = at_ms, .ran_ms = at_ms - left->sent_ms};
+	for (size_t i = 0; i < FINISHED_KEPT; i++) {
+		struct finished *finished = &quarantine->finished[i];
+		struct crash crash = {
+			.server = server, .at_ms = at_ms, .ran_ms = at_ms - finished->sent_ms};
 
-		if (left->server != server || !left->left_ms || left->left_ms > at_ms ||
-		    at_ms - left->left_ms > LEFT_MS)
+		if (finished->server != server || !finished->finished_ms ||
+		    finished->finished_ms > at_ms || at_ms - finished->finished_ms > FINISHED_MS)
 			continue;
-		left->is_answered = 0;
-		suspect_add_end(quarantine,
-				suspect_learn(quarantine, left->fingerprint, "", "", now_ms), &end,
-				now_ms);
+		finished->is_answered = 0;
+		suspect_add_crash(
+			quarantine,
+			suspect_find_or_add(quarantine, finished->fingerprint, "", "", now_ms),
+			&crash, now_ms);
 	}
 }
 
-/* A run that began while it was held, a trial anywhere, ended its server: it is guilty. */
-static int ended_held(const struct suspect *suspect)
+/*
+ * A run that began during the quarantine, as a trial at any instance, crashed its server, which
+ * proves a poison request.
+ */
+static int crashed_in_trial(const struct suspect *suspect)
 {
-	for (size_t i = 0; i < suspect->end_count; i++)
-		if (suspect->ends[i].at_ms - suspect->ends[i].ran_ms > suspect->held_ms)
+	for (size_t i = 0; i < suspect->crash_count; i++)
+		if (suspect->crashes[i].at_ms - suspect->crashes[i].ran_ms >
+		    suspect->quarantined_ms)
 			return 1;
 	return 0;
 }
 
-/* What was answered whole by a server that has gone on since. */
-static void prove_answers(struct cw_quarantine *quarantine, int64_t now_ms)
-{
-	if (quarantine->left_next - quarantine->left_proved > LEFT_KEPT)
-		quarantine->left_proved = quarantine->left_next - LEFT_KEPT;
-	while (quarantine->left_proved < quarantine->left_next) {
-		const struct left *left = &quarantine->left[quarantine->left_proved % LEFT_KEPT];
-		struct good *good = &quarantine->good[left->fingerprint % GOOD_SLOTS];
+/*
+ * Marks requests as answered if their servers stayed up for FINISHED_MS after the complete answer.
+ */
+static void verify_answers(struct cw_quarantine *quarantine, int64_t now_ms)
+{
+	if (quarantine->finished_next - quarantine->finished_verified > FINISHED_KEPT)
+		quarantine->finished_verified = quarantine->finished_next - FINISHED_KEPT;
+	while (quarantine->finished_verified < quarantine->finished_next) {
+		const struct finished *finished =
+			&quarantine->finished[quarantine->finished_verified % FINISHED_KEPT];
+		struct answered *answered =
+			&quarantine->answered[finished->fingerprint % ANSWERED_SLOTS];
 		struct suspect *suspect;
 
-		if (now_ms - left->left_ms < LEFT_MS)
+		if (now_ms - finished->finished_ms < FINISHED_MS)
 			return;
-		quarantine->left_proved++;
-		if (!left->is_answered)
+		quarantine->finished_verified++;
+		if (!finished->is_answered)
 			continue;
-		good->fingerprint = left->fingerprint;
-		good->at_ms = left->left_ms;
-		suspect = suspect_find(quarantine, left->fingerprint);
+		answered->fingerprint = finished->fingerprint;
+		answered->at_ms = finished->finished_ms;
+		suspect = suspect_find(quarantine, finished->fingerprint);
 		if (suspect)
-			suspect_answered(quarantine, suspect, left->left_ms, now_ms);
+			suspect_note_answer(quarantine, suspect, finished->finished_ms, now_ms);
 	}
 }
 
-static void make_room(struct cw_quarantine *quarantine, const char *organisation)
+static void evict_suspect(struct cw_quarantine *quarantine, const char *organisation)
 {
 	const struct suspect *suspect;
-	struct suspect *least = NULL;
+	struct suspect *least_likely = NULL;
 	size_t own = 0;
 	size_t all = 0;
 
@@ -420,47 +439,52 @@
 		all++;
 		own += !strcmp(suspect->organisation, organisation);
 	}
-	/* Peers don't always tell whose a request is. */
-	if (*organisation && own >= SUSPECTS_ONE_MAX)
-		least = least_suspect(quarantine, organisation);
+	/* Peers do not always report the organisation of a request. */
+	if (*organisation && own >= SUSPECTS_PER_ORGANISATION_MAX)
+		least_likely = find_least_likely(quarantine, organisation);
 	else if (all >= SUSPECTS_MAX)
-		least = least_suspect(quarantine, NULL);
-	if (least)
-		suspect_forget(quarantine, least);
+		least_likely = find_least_likely(quarantine, NULL);
+	if (least_likely)
+		suspect_remove(quarantine, least_likely);
 }
 
-/* Of one organisation, NULL: of all; NULL: all of them are held. */
-static struct suspect *least_suspect(struct cw_quarantine *quarantine, const char *organisation)
+/*
+ * Considers one organisation, or all if organisation is NULL. Returns NULL if all candidates are
+ * quarantined.
+ */
+static struct suspect *find_least_likely(struct cw_quarantine *quarantine, const char *organisation)
 {
-	struct suspect *least = NULL;
+	struct suspect *least_likely = NULL;
 	struct suspect *suspect;
 
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link) {
-		if (suspect->held_ms ||
+		if (suspect->quarantined_ms ||
 		    (organisation && strcmp(suspect->organisation, organisation) != 0))
 			continue;
-		if (!least || is_less(suspect, least))
-			least = suspect;
+		if (!least_likely || is_less_likely(suspect, least_likely))
+			least_likely = suspect;
 	}
-	return least;
+	return least_likely;
 }
 
-/* Is it the less likely one? */
-static int is_less(const struct suspect *one, const struct suspect *other)
+/* Whether one is less likely than other to be a poison request. */
+static int is_less_likely(const struct suspect *one, const struct suspect *other)
 {
 	int is_known = one->answered_ms >= 0;
 	int is_other_known = other->answered_ms >= 0;
 
 	if (is_known != is_other_known)
 		return is_known;
-	if (one->end_count != other->end_count)
-		return one->end_count < other->end_count;
-	return one->news_ms < other->news_ms;
+	if (one->crash_count != other->crash_count)
+		return one->crash_count < other->crash_count;
+	return one->updated_ms < other->updated_ms;
 }
 
-/* One caller with many such requests must not drive the others' off the list. */
-static void limit_held(struct cw_quarantine *quarantine, const struct suspect *newest,
-		       int64_t now_ms)
+/*
+ * One organisation with many poison requests must not displace the quarantined requests of others.
+ */
+static void limit_quarantined(struct cw_quarantine *quarantine, const struct suspect *newest,
+			      int64_t now_ms)
 {
 	struct suspect *oldest_own = NULL;
 	struct suspect *oldest = NULL;
@@ -468,25 +492,25 @@
 	size_t own = 0;
 
 	TAILQ_FOREACH(suspect, &quarantine->suspects, link) {
-		if (!suspect->held_ms || suspect == newest)
+		if (!suspect->quarantined_ms || suspect == newest)
 			continue;
-		if (!oldest || suspect->held_ms < oldest->held_ms)
+		if (!oldest || suspect->quarantined_ms < oldest->quarantined_ms)
 			oldest = suspect;
 		if (strcmp(suspect->organisation, newest->organisation) != 0)
 			continue;
 		own++;
-		if (!oldest_own || suspect->held_ms < oldest_own->held_ms)
+		if (!oldest_own || suspect->quarantined_ms < oldest_own->quarantined_ms)
 			oldest_own = suspect;
 	}
-	if (own >= HELD_ONE_MAX)
+	if (own >= QUARANTINED_PER_ORGANISATION_MAX)
 		suspect_release(quarantine, oldest_own, CW_QUARANTINE_TIME, now_ms);
-	else if (quarantine->held > CW_QUARANTINE_HELD && oldest)
+	else if (quarantine->quarantined_count > CW_QUARANTINE_HELD && oldest)
 		suspect_release(quarantine, oldest, CW_QUARANTINE_TIME, now_ms);
 }
 
-/* Dropped when nobody takes them: the list itself is right all the same. */
-static void tell_change(struct cw_quarantine *quarantine, const struct suspect *suspect,
-			enum cw_quarantine_source source, int64_t now_ms)
+/* Drops the oldest change when the queue is full; the quarantine list itself stays correct. */
+static void queue_change(struct cw_quarantine *quarantine, const struct suspect *suspect,
+			 enum cw_quarantine_source source, int64_t now_ms)
 {
 	struct cw_quarantine_change *change;
 
@@ -496,16 +520,17 @@
 	}
 	change = &quarantine->changes[(quarantine->change_first + quarantine->change_count++) %
 				      CHANGES_KEPT];
-	suspect_record(suspect, now_ms, &change->record);
+	suspect_fill_record(suspect, now_ms, &change->record);
 	change->source = source;
 	change->rivals = suspect->rivals;
 }
 
-static int has_aged(const struct suspect *suspect, int64_t now_ms)
+static int has_expired(const struct suspect *suspect, int64_t now_ms)
 {
-	if (suspect->held_ms)
-		return now_ms - suspect->held_ms >= (suspect->is_brief ? BRIEF_HOLD_MS : HOLD_MS);
+	if (suspect->quarantined_ms)
+		return now_ms - suspect->quarantined_ms >=
+		       (suspect->is_short ? SHORT_QUARANTINE_MS : QUARANTINE_MS);
 	if (suspect->released_ms)
-		return now_ms - suspect->released_ms >= RELEASED_MS;
-	return now_ms - suspect->news_ms >= EVIDENCE_MS;
+		return now_ms - suspect->released_ms >= TOMBSTONE_MS;
+	return now_ms - suspect->updated_ms >= EVIDENCE_MS;
 }
--- a/packages/quarantine/src/quarantine_internal.h
+++ b/packages/quarantine/src/quarantine_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the package share: requests under suspicion, and the ends held against them. */
+/* Shared by the files of the package: suspect requests and the server crashes they took part in. */
 #ifndef QUARANTINE_INTERNAL_H
 #define QUARANTINE_INTERNAL_H
 
@@ -7,104 +7,105 @@
 #include <glib.h>
 #include <sys/queue.h>
 
-#define SUSPECTS_MAX	 256  /* requests under suspicion, 0.6 KB each */
-#define SUSPECTS_ONE_MAX 64   /* of one organisation: none drives out the others' */
-#define HELD_ONE_MAX	 16   /* of one organisation */
-#define ENDS_KEPT	 16   /* newest, of one request */
-#define ENDS_TO_HOLD	 3    /* servers that one request may end */
-#define OUTAGE_MS	 1000 /* after a server's end: what breaks there is of the same outage */
-#define EARLIER_MS	 500 /* by so much peers may have seen an outage earlier than this instance */
-#define SKEW_MS		 10 /* of a request's send against an outage's beginning, as told by peers */
-#define MOMENT_MS                                                                                  \
-	300 /* servers that end together have a cause of their own, for a known request            \
-	     */
-#define BURST_MS	20     /* requests that break within it */
-#define BURST		3      /* and so many of them: their server ended */
-#define QUICK_MS	10     /* a new request that breaks within it met nobody */
-#define GONE_MS		4000   /* after a break: a server that takes no connection ended then */
-#define STALL_MS	300    /* without a tick: what is read now came at any time since */
-#define ALIVE_MS	50     /* after an end, what was on its way from the server has been read */
-#define SETTLE_MS	200    /* peers' reports of the same ends are there by then */
-#define FIRM_MS		1000   /* a judgement that stood for so long is told and written down, */
-#define FIRM_UNCLEAR_MS 5000   /* and one for so long where others were at as many ends */
-#define HOLD_MS		600000 /* then it may be tried anew: three servers in ten minutes */
-#define BRIEF_HOLD_MS	10000  /* of a request that was answered lately: servers may be at fault */
-#define EVIDENCE_MS	600000 /* an end counts for so long */
-#define TELL_MS		1000   /* news are told for so long: seven rounds of messages */
-#define NAMES_MS	2000   /* from an end until a peer has told whose request it was */
-#define RELEASED_MS	60000  /* so long peers may still tell of it as held */
-#define ENDS_TOLD	4      /* newest, of one request */
-#define SINGLES_TOLD	8      /* in one message, of requests that are at one end only */
-#define LEFT_MS		1000   /* a request that is over may still end its server */
-#define TRIAL_GAP_MS	10000  /* between two trials of a held request, where one told nothing */
+#define SUSPECTS_MAX			 256 /* suspect requests, 0.6 KB each */
+#define SUSPECTS_PER_ORGANISATION_MAX	 64  /* no organisation evicts the suspects of others */
+#define QUARANTINED_PER_ORGANISATION_MAX 16
+#define CRASHES_KEPT			 16 /* newest crashes kept per suspect */
+#define CRASHES_TO_QUARANTINE		 3  /* server crashes that quarantine a request */
+#define OUTAGE_MS			 1000 /* breaks this soon after a crash belong to the same outage */
+#define DETECTION_LAG_MS		 500 /* a peer may detect an outage this much earlier */
+#define SKEW_MS				 10 /* error of times reported by peers, relative to an outage */
+/* Servers that crash within this time share a cause, which charges a known request only once. */
+#define COMMON_CAUSE_MS 300
+#define BURST_MS	20 /* BURST_BREAKS requests that break within this time confirm a crash */
+#define BURST_BREAKS	3
+/* A request sent during an outage that breaks this soon found no server. */
+#define IMMEDIATE_BREAK_MS 10
+#define UNREACHABLE_MS	   4000 /* a connection refused this soon after a break confirms a crash */
+/* After a gap this long between ticks, bytes just read may have arrived at any time in the gap. */
+#define STALL_MS	      300
+#define IN_FLIGHT_MS	      50   /* bytes sent before a crash have been read by then */
+#define SETTLE_MS	      200  /* peers' reports of the same crashes have arrived by then */
+#define COMMIT_MS	      1000 /* a decision that stands this long is announced and persisted */
+#define COMMIT_AMBIGUOUS_MS   5000 /* the same where another request took part in as many crashes */
+#define QUARANTINE_MS	      600000 /* then the request may run again: three crashes in ten minutes */
+#define SHORT_QUARANTINE_MS   10000  /* of a request answered lately: servers may be at fault */
+#define EVIDENCE_MS	      600000 /* age up to which a crash counts as evidence */
+#define ANNOUNCE_MS	      1000   /* how long a change is announced: seven gossip rounds */
+#define OWNER_WAIT_MS	      2000 /* from a crash until a peer has reported organisation and target */
+#define TOMBSTONE_MS	      60000 /* peers may announce a released request as quarantined this long */
+#define ANNOUNCED_CRASHES_MAX 4	    /* newest crashes announced per suspect */
+#define ANNOUNCED_SINGLES_MAX 8	    /* suspects with a single crash, per message */
+#define FINISHED_MS	      1000 /* a finished request may still crash its server for this long */
+#define TRIAL_GAP_MS	      10000 /* before the trial of a quarantined request is repeated */
 
-/* One server that ended, as far as one request is concerned. */
-struct end {
+/* A server crash that a suspect request took part in. */
+struct crash {
 	uint64_t server;
-	uint32_t outage; /* its number here */
+	uint32_t outage; /* local number of the outage */
 	int64_t at_ms;
-	int64_t ran_ms;
-	int is_running;	  /* the server was up when it began */
-	int is_confirmed; /* the server ended, and did not only drop the connection */
+	int64_t ran_ms;	  /* how long the request had run by then */
+	int is_running;	  /* the server was up when the request began */
+	int is_confirmed; /* the server crashed, rather than only dropped the connection */
 };
 
-/* A request that was at a server as it ended, or that is held. */
+/* A request that was running on a server when it crashed, or that is quarantined. */
 struct suspect {
 	TAILQ_ENTRY(suspect) link;
 	uint64_t fingerprint;
-	char organisation[CW_NAME_MAX]; /* empty: not told by the peer that reported it */
+	char organisation[CW_NAME_MAX]; /* empty: the peer that reported the request left it out */
 	char target[CW_NAME_MAX];
-	struct end ends[ENDS_KEPT]; /* oldest first */
-	size_t end_count;
-	unsigned int ends_seen; /* those that were dropped included */
-	int64_t answered_ms;	/* of the last whole answer: ends before it don't count; -1 none */
-	int64_t news_ms;	/* when this instance last learned anything of it */
-	int64_t held_ms;	/* since when, 0: not held */
-	int64_t released_ms;	/* when it was taken off, 0: not, or long ago */
-	int64_t changed_ms;  /* when this instance learned either as firm, or that it was written */
-	int is_firm;	     /* told to peers; stays until it is released */
-	int is_brief;	     /* for a short time */
-	int is_written;	     /* the store has its newest state */
-	int is_blamed;	     /* by the judgement under way */
-	int is_clear;	     /* and no other was at as many of its ends */
-	int is_doubtful;     /* while it is held: another was at all of its ends, */
-	int is_outdone;	     /* and at one more since */
-	int64_t trial_ms;    /* when this instance last let it run while it was held, 0: never */
-	unsigned int rivals; /* others at two or more of its ends, as it was blamed */
+	struct crash crashes[CRASHES_KEPT]; /* oldest first */
+	size_t crash_count;
+	unsigned int crashes_seen; /* including the ones dropped for space */
+	int64_t answered_ms; /* last complete answer, which clears all earlier crashes; -1: none */
+	int64_t updated_ms;  /* when this instance last learned anything of the request */
+	int64_t quarantined_ms; /* start of the quarantine, 0: not quarantined */
+	int64_t released_ms;	/* time of the release, 0: none, or long ago */
+	int64_t changed_ms;	/* last committed quarantine, release, or write to the store */
+	int is_committed;	/* announced to peers; stays set until the request is released */
+	int is_short;		/* quarantined for SHORT_QUARANTINE_MS only */
+	int is_written;		/* the shared store has the newest state */
+	int is_culprit;		/* found by the judgement that is running */
+	int is_sole_candidate;	/* no other request took part in as many of its crashes */
+	int is_ambiguous;  /* while quarantined: another request took part in all of its crashes */
+	int is_superseded; /* that other request took part in one more crash since */
+	int64_t trial_ms;  /* last trial run by this instance during the quarantine, 0: none */
+	unsigned int rivals; /* alternative suspects, in two or more of its crashes */
 };
 
 TAILQ_HEAD(suspect_list, suspect);
 
-/* A request that is over at a server, which may still end under it. */
-struct left {
+/* A request that finished at a server, which may still crash because of it. */
+struct finished {
 	uint64_t fingerprint;
 	uint64_t server;
 	int64_t sent_ms;
-	int64_t left_ms;
-	int is_answered; /* whole: it is harmless, if the server goes on */
+	int64_t finished_ms;
+	int is_answered; /* completely: the request is harmless if the server stays up */
 };
 
-#define LEFT_KEPT    256 /* in the last second */
-#define OUTAGES_KEPT 256 /* newest, of all servers */
-#define VOID_TOLD    8	 /* in one message */
-#define GOOD_SLOTS   512 /* requests that were answered whole, by fingerprint */
-#define CHANGES_KEPT 64
+#define FINISHED_KEPT		   256 /* requests finished in the last second */
+#define OUTAGES_KEPT		   256 /* newest outages, of all servers */
+#define ANNOUNCED_FALSE_ALARMS_MAX 8   /* per message */
+#define ANSWERED_SLOTS		   512 /* completely answered requests, by fingerprint */
+#define CHANGES_KEPT		   64
 
-/* One server, away from its end until it is heard again. */
+/* The time from a server's crash until the server is seen alive. */
 struct outage {
-	uint32_t number; /* 0: none */
+	uint32_t number; /* 0: unused slot */
 	uint64_t server;
-	int64_t at_ms;	     /* the first break */
-	int64_t noted_ms;    /* the one that this instance learned of first */
-	int64_t back_ms;     /* when it was heard again, 0: not yet */
-	unsigned int breaks; /* requests that broke in its first moment */
-	int is_confirmed;    /* not only that requests broke */
-	int is_void;	     /* it had not ended: */
-	int64_t heard_ms;    /* a byte came then on a connection that was there before */
-	int64_t news_ms;     /* when this instance learned that */
+	int64_t at_ms;	      /* the earliest break */
+	int64_t detected_ms;  /* the break that this instance learned of first */
+	int64_t recovered_ms; /* when the server was seen alive after the outage, 0: not yet */
+	unsigned int breaks;  /* requests that broke within BURST_MS of detected_ms */
+	int is_confirmed;     /* by more than a broken request */
+	int is_false_alarm;   /* the server had not crashed */
+	int64_t last_seen_ms; /* when a byte arrived on a connection opened before the outage */
+	int64_t updated_ms;   /* when this instance learned of the false alarm */
 };
 
-struct good {
+struct answered {
 	uint64_t fingerprint;
 	int64_t at_ms;
 };
@@ -112,61 +113,62 @@
 struct cw_quarantine {
 	struct suspect_list suspects;
 	GHashTable *by_fingerprint;
-	size_t held; /* suspects with held_ms */
-	struct left left[LEFT_KEPT];
-	size_t left_next;
-	size_t left_proved; /* those before it have been over for LEFT_MS */
-	struct good good[GOOD_SLOTS];
+	size_t quarantined_count;
+	struct finished finished[FINISHED_KEPT];
+	size_t finished_next;
+	size_t finished_verified; /* entries before this index are older than FINISHED_MS */
+	struct answered answered[ANSWERED_SLOTS];
 	struct cw_quarantine_change changes[CHANGES_KEPT];
 	size_t change_first, change_count;
 	struct outage outages[OUTAGES_KEPT];
 	uint64_t outage_next;
 	int64_t newest_outage_ms;
 	int64_t tick_ms;
-	int64_t stalled_until_ms; /* bytes that are read may be old */
-	size_t tell_turn;
-	size_t record_turn;
-	int is_dirty; /* ends or answers came since the last judgement */
+	int64_t stalled_until_ms; /* until then, bytes just read may have arrived long ago */
+	size_t single_turn;	  /* round-robin position among the suspects with a single crash */
+	size_t record_turn; /* round-robin position among the records that did not change lately */
+	int is_dirty;	    /* crashes or answers arrived since the last judgement */
 };
 
 /* quarantine.c */
-int suspect_is_listed(const struct suspect *suspect); /* peers and the store are told of it */
+int suspect_is_announced(const struct suspect *suspect); /* to peers and the shared store */
 struct suspect *suspect_find(const struct cw_quarantine *quarantine, uint64_t fingerprint);
-struct suspect *suspect_learn(struct cw_quarantine *quarantine, uint64_t fingerprint,
-			      const char *organisation, const char *target, int64_t now_ms);
-void suspect_forget(struct cw_quarantine *quarantine, struct suspect *suspect);
-int suspect_drop_end(struct suspect *suspect, uint32_t outage); /* 1: it was there */
-int suspect_add_end(struct cw_quarantine *quarantine, struct suspect *suspect,
-		    const struct end *end, int64_t now_ms); /* 1: news */
-void quarantine_note_left(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
-			  int64_t now_ms); /* what was given up there lately was there too */
-void suspect_answered(struct cw_quarantine *quarantine, struct suspect *suspect, int64_t at_ms,
-		      int64_t now_ms);
-void suspect_hold(struct cw_quarantine *quarantine, struct suspect *suspect,
-		  enum cw_quarantine_source source, int64_t since_ms, int64_t now_ms);
+struct suspect *suspect_find_or_add(struct cw_quarantine *quarantine, uint64_t fingerprint,
+				    const char *organisation, const char *target, int64_t now_ms);
+void suspect_remove(struct cw_quarantine *quarantine, struct suspect *suspect);
+int suspect_remove_crash(struct suspect *suspect, uint32_t outage); /* 1: removed, 0: not found */
+int suspect_add_crash(struct cw_quarantine *quarantine, struct suspect *suspect,
+		      const struct crash *crash,
+		      int64_t now_ms); /* 1: added, 0: known or irrelevant */
+void quarantine_add_finished(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
+			     int64_t now_ms); /* charges requests that finished just before */
+void suspect_note_answer(struct cw_quarantine *quarantine, struct suspect *suspect, int64_t at_ms,
+			 int64_t now_ms);
+void suspect_quarantine(struct cw_quarantine *quarantine, struct suspect *suspect,
+			enum cw_quarantine_source source, int64_t since_ms, int64_t now_ms);
 void suspect_withdraw(struct cw_quarantine *quarantine, struct suspect *suspect,
-		      int64_t now_ms); /* others explain its ends: as if it had not been held */
+		      int64_t now_ms); /* undoes a quarantine whose crashes others explain */
 void suspect_release(struct cw_quarantine *quarantine, struct suspect *suspect,
 		     enum cw_quarantine_source source, int64_t now_ms);
-void suspect_record(const struct suspect *suspect, int64_t now_ms,
-		    struct cw_quarantine_record *record);
+void suspect_fill_record(const struct suspect *suspect, int64_t now_ms,
+			 struct cw_quarantine_record *record);
 
 /* outages.c */
-uint32_t outage_note(struct cw_quarantine *quarantine,
-		     const struct end *end); /* its number; 0: the server had not ended */
-int outage_met(const struct cw_quarantine *quarantine,
-	       const struct end *end); /* 1: the request was there as it began */
+uint32_t outage_find_or_add(struct cw_quarantine *quarantine,
+			    const struct crash *crash); /* the outage's number; 0: a false alarm */
+int outage_covers(const struct cw_quarantine *quarantine,
+		  const struct crash *crash); /* 1: the request was running when the outage began */
 int outage_is_confirmed(const struct cw_quarantine *quarantine, uint32_t number);
 void outage_confirm(struct cw_quarantine *quarantine, uint32_t number);
-void outage_broke(struct cw_quarantine *quarantine,
-		  const struct end *end); /* another request did, there or after it began */
-void outage_withdraw(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
-		     int64_t now_ms); /* a byte at that moment says that there was none */
-size_t outages_tell_void(const struct cw_quarantine *quarantine, int64_t now_ms,
-			 struct cw_quarantine_end *ends, size_t max);
+void outage_add_break(struct cw_quarantine *quarantine,
+		      const struct crash *crash); /* by a request sent before or in it */
+void outage_mark_false_alarm(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
+			     int64_t now_ms); /* a byte that came at at_ms disproves it */
+size_t outages_announce_false_alarms(const struct cw_quarantine *quarantine, int64_t now_ms,
+				     struct cw_quarantine_end *crashes, size_t max);
 
 /* judge.c */
-struct end *suspect_end_in(const struct suspect *suspect, uint32_t outage); /* NULL: none */
+struct crash *suspect_find_crash(const struct suspect *suspect, uint32_t outage); /* NULL: none */
 void quarantine_judge(struct cw_quarantine *quarantine, int64_t now_ms);
 
 #endif
