--- a/tests/unit/quarantine_bed.c
+++ b/tests/unit/quarantine_bed.c
@@ -6,51 +6,52 @@
 		.fingerprint = fingerprint, .organisation = organisation, .target = "chat"};
 }
 
-void bed_broke(struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server,
-	       int64_t now_ms)
+void bed_crash_server(struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server,
+		      int64_t now_ms)
 {
 	struct cw_quarantine_request request = bed_request(fingerprint, "museo");
 
-	cw_quarantine_broke(quarantine, &request, server, fingerprint == DEADLY ? 50 : 900, 0,
+	cw_quarantine_broke(quarantine, &request, server, fingerprint == POISON ? 50 : 900, 0,
 			    now_ms);
 	cw_quarantine_gone(quarantine, server, now_ms);
 	cw_quarantine_tick(quarantine, now_ms);
 }
 
-/* Lets time pass as the loop does. */
-void bed_pass(struct cw_quarantine *quarantine, int64_t from_ms, int64_t to_ms)
+/* Ticks as the event loop does. */
+void bed_run_ticks(struct cw_quarantine *quarantine, int64_t from_ms, int64_t to_ms)
 {
 	for (int64_t now_ms = from_ms; now_ms <= to_ms; now_ms += 100)
 		cw_quarantine_tick(quarantine, now_ms);
 }
 
-size_t bed_held(const struct cw_quarantine *quarantine)
+size_t bed_count_quarantined(const struct cw_quarantine *quarantine)
 {
 	struct cw_quarantine_record records[CW_QUARANTINE_HELD];
 
 	return cw_quarantine_list(quarantine, NOW, records, CW_QUARANTINE_HELD);
 }
 
-/* One message from one instance to another. */
-void bed_tell(struct cw_quarantine *from, struct cw_quarantine *to, int64_t now_ms)
+/* Sends one message from one instance to another. */
+void bed_announce(struct cw_quarantine *from, struct cw_quarantine *to, int64_t now_ms)
 {
-	struct cw_quarantine_end ends[CW_QUARANTINE_ENDS];
+	struct cw_quarantine_end crashes[CW_QUARANTINE_ENDS];
 	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS];
-	size_t end_count = cw_quarantine_tell_ends(from, now_ms, ends, CW_QUARANTINE_ENDS);
+	size_t crash_count = cw_quarantine_tell_ends(from, now_ms, crashes, CW_QUARANTINE_ENDS);
 	size_t record_count =
 		cw_quarantine_tell_records(from, now_ms, records, CW_QUARANTINE_RECORDS);
 
-	for (size_t i = 0; i < end_count; i++)
-		cw_quarantine_hear_end(to, &ends[i], now_ms);
+	for (size_t i = 0; i < crash_count; i++)
+		cw_quarantine_hear_end(to, &crashes[i], now_ms);
 	for (size_t i = 0; i < record_count; i++)
 		cw_quarantine_hear_record(to, &records[i], CW_QUARANTINE_PEER, now_ms);
 }
 
-void bed_talk(struct cw_quarantine *from, struct cw_quarantine *to, int64_t from_ms, int64_t to_ms)
+void bed_exchange(struct cw_quarantine *from, struct cw_quarantine *to, int64_t from_ms,
+		  int64_t to_ms)
 {
 	for (int64_t now_ms = from_ms; now_ms < to_ms; now_ms += 100) {
 		cw_quarantine_tick(from, now_ms);
 		cw_quarantine_tick(to, now_ms);
-		bed_tell(from, to, now_ms);
+		bed_announce(from, to, now_ms);
 	}
 }
--- a/tests/unit/test_health.c
+++ b/tests/unit/test_health.c
@@ -16,7 +16,7 @@
 	return health;
 }
 
-static void a_failing_version_trips_and_comes_back_in_steps(void **state)
+static void a_failing_version_trips_and_returns_in_steps(void **state)
 {
 	struct cw_health *health = create();
 	int answers = 0;
@@ -33,7 +33,7 @@
 	cw_health_destroy(health);
 }
 
-static void one_in_a_hundred_does_not_trip(void **state)
+static void one_percent_of_failures_trips_no_version(void **state)
 {
 	GRand *random = g_rand_new_with_seed(1);
 	struct cw_health *health = create();
@@ -48,11 +48,11 @@
 }
 
 /*
- * Symptom: every instance saw three bad statements before any of them acted.
- * Sequence: nine instances each send a few requests to a version that fails.
- * Cause: evidence stayed where it was seen. Totals are pooled, and a message twice counts once.
+ * Symptom: each of many instances saw several failures of a version before any of them acted,
+ * because evidence stayed where it was seen. The totals of all instances are pooled, and a
+ * duplicate message counts once.
  */
-static void small_samples_of_many_add_up(void **state)
+static void evidence_of_many_instances_adds_up(void **state)
 {
 	struct cw_health *health = create();
 	struct cw_evidence evidence = {.version = BAD, .good = 1, .bad = 1};
@@ -67,7 +67,7 @@
 	cw_health_destroy(health);
 }
 
-static void ratings_that_drop_trip(void **state)
+static void falling_ratings_trip_a_version(void **state)
 {
 	GRand *random = g_rand_new_with_seed(2);
 	struct cw_health *health = create();
@@ -86,7 +86,7 @@
 	cw_health_destroy(health);
 }
 
-static void a_busy_hour_is_no_fault(void **state)
+static void a_common_load_peak_trips_no_version(void **state)
 {
 	struct cw_health *health = create();
 	int trips = 0;
@@ -104,7 +104,7 @@
 	cw_health_destroy(health);
 }
 
-static void an_operator_overrides(void **state)
+static void clearing_a_trip_restores_the_full_weight(void **state)
 {
 	struct cw_health *health = create();
 
@@ -118,12 +118,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_failing_version_trips_and_comes_back_in_steps),
-		cmocka_unit_test(one_in_a_hundred_does_not_trip),
-		cmocka_unit_test(small_samples_of_many_add_up),
-		cmocka_unit_test(ratings_that_drop_trip),
-		cmocka_unit_test(a_busy_hour_is_no_fault),
-		cmocka_unit_test(an_operator_overrides),
+		cmocka_unit_test(a_failing_version_trips_and_returns_in_steps),
+		cmocka_unit_test(one_percent_of_failures_trips_no_version),
+		cmocka_unit_test(evidence_of_many_instances_adds_up),
+		cmocka_unit_test(falling_ratings_trip_a_version),
+		cmocka_unit_test(a_common_load_peak_trips_no_version),
+		cmocka_unit_test(clearing_a_trip_restores_the_full_weight),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
