--- a/packages/health/include/cw_health.h
+++ b/packages/health/include/cw_health.h
@@ -17,7 +17,7 @@
 	uint64_t version; /* cw_pool_version of (model, version) */
 	uint32_t good;	  /* complete answers */
 	uint32_t bad;	  /* errors and incomplete answers */
-	uint32_t slow;	  /* time to first token above the siblings' usual */
+	uint32_t slow;	  /* complete answers with a first token later than the siblings' usual */
 	uint32_t rated;
 	double rating_sum;
 	double rating_squares;
--- a/packages/health/src/health.c
+++ b/packages/health/src/health.c
@@ -22,7 +22,7 @@
 #define RATING_STEP	      0.8 /* drop of the mean rating that trips a version, in standard deviations */
 #define RATING_SIGMA_MIN      0.05
 #define RATING_CLAMP	      2.0 /* a single rating counts for at most this many standard deviations */
-/* Log likelihood ratio; a good version trips once in e^16 = 9 million answers at most. */
+/* Log likelihood ratio; a good version trips at most once in e^16 = 9 million answers. */
 #define TRIP_LLR	   16.0
 #define BACKOFF_FIRST_MS   20000
 #define BACKOFF_MAX_MS	   600000
--- a/packages/quarantine/include/cw_quarantine.h
+++ b/packages/quarantine/include/cw_quarantine.h
@@ -39,7 +39,7 @@
 	uint32_t age_ms;  /* since the crash */
 	uint32_t ran_ms;  /* from the request's send, or from the first byte, to the crash */
 	int is_running;	  /* the server was up and had begun to answer the request */
-	int is_confirmed; /* the server then refused connections, or broke many at once */
+	int is_confirmed; /* the server then refused connections, or many requests broke at once */
 	uint32_t answered_ms; /* since the request's last complete answer, or CW_QUARANTINE_NEVER */
 };
 
--- a/packages/quarantine/src/outages.c
+++ b/packages/quarantine/src/outages.c
@@ -82,7 +82,7 @@
 
 /*
  * Symptom this prevents: servers that reset some of their answers and stay up got hundreds of
- * harmless requests quarantined, each of which had met three resets.
+ * harmless requests quarantined, each of which had met three such servers.
  */
 void cw_quarantine_gone(struct cw_quarantine *quarantine, uint64_t server, int64_t now_ms)
 {
--- a/packages/quarantine/src/quarantine_internal.h
+++ b/packages/quarantine/src/quarantine_internal.h
@@ -14,7 +14,7 @@
 #define CRASHES_TO_QUARANTINE		 3  /* server crashes that quarantine a request */
 #define OUTAGE_MS			 1000 /* breaks this soon after a crash belong to the same outage */
 #define DETECTION_LAG_MS		 500 /* a peer may detect an outage this much earlier */
-#define SKEW_MS				 10 /* error of times reported by peers, relative to an outage */
+#define SKEW_MS				 10  /* of a reported send time against an outage's start */
 /* Servers that crash within this time share a cause, which charges a known request only once. */
 #define COMMON_CAUSE_MS 300
 #define BURST_MS	20 /* BURST_BREAKS requests that break within this time confirm a crash */
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -257,7 +257,7 @@
 
 /*
  * Symptom: hundreds of harmless requests were quarantined. Servers reset two of five answers and
- * stay up; a request meets three resets, and each broken connection counted as a server crash.
+ * stay up; a request meets three such servers, and each broken connection counted as a crash.
  */
 static void a_break_alone_is_no_crash(void **state)
 {
