--- a/tests/unit/test_quarantine_causes.c
+++ b/tests/unit/test_quarantine_causes.c
@@ -198,7 +198,7 @@
 }
 
 /* Fails if poison requests keep crashing servers, or harmless ones are refused. */
-static void poison_requests_are_quarantined_and_harmless_ones_served(void **state)
+static void of_several_causes_each_is_found_and_nobody_else(void **state)
 {
 	struct simulation *simulation = g_new0(struct simulation, 1);
 	unsigned int failed_seeds = 0;
@@ -226,7 +226,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(poison_requests_are_quarantined_and_harmless_ones_served),
+		cmocka_unit_test(of_several_causes_each_is_found_and_nobody_else),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
