--- a/apps/corianderwalk/entry_news.c
+++ b/apps/corianderwalk/entry_news.c
@@ -43,8 +43,8 @@
 		server_gone(feed, news->server.name, now_ms);
 		break;
 	case CW_UP_HELD:
-		cw_quarantine_hear_record(cw_gate_quarantine(feed->entry->gate), &news->held,
-					  CW_QUARANTINE_STORE, now_ms);
+		cw_quarantine_merge_record(cw_gate_quarantine(feed->entry->gate), &news->held,
+					   CW_QUARANTINE_STORE, now_ms);
 		break;
 	case CW_UP_OTHER:
 		break;
@@ -156,7 +156,7 @@
 
 	if (!server || server->is_removed)
 		return;
-	cw_quarantine_gone(cw_gate_quarantine(feed->entry->gate), server->id, now_ms);
+	cw_quarantine_note_unreachable(cw_gate_quarantine(feed->entry->gate), server->id, now_ms);
 	cw_event("feed", "server_gone", "server=%s address=%s held_ms=%ld", name, server->address,
 		 (long)MAX(until_ms - now_ms, 0));
 	cw_pool_delist(pool, server, until_ms, now_ms);
--- a/apps/corianderwalk/entry_peers.c
+++ b/apps/corianderwalk/entry_peers.c
@@ -265,11 +265,11 @@
 	}
 	gossip->rollout_count = cw_rollouts_announce(cw_gate_rollouts(entry->gate), now_ms,
 						     gossip->rollouts, CW_GOSSIP_ROLLOUTS);
-	gossip->crash_count = cw_quarantine_tell_ends(cw_gate_quarantine(entry->gate), now_ms,
-						      gossip->ends, CW_QUARANTINE_ENDS);
+	gossip->crash_count = cw_quarantine_announce_crashes(
+		cw_gate_quarantine(entry->gate), now_ms, gossip->ends, CW_QUARANTINE_CRASHES_MAX);
 	gossip->quarantined_count =
-		cw_quarantine_tell_records(cw_gate_quarantine(entry->gate), now_ms,
-					   gossip->quarantined, CW_QUARANTINE_RECORDS);
+		cw_quarantine_announce_records(cw_gate_quarantine(entry->gate), now_ms,
+					       gossip->quarantined, CW_QUARANTINE_RECORDS_MAX);
 	gossip->drain_count = cw_drains_list(cw_pool_drains(cw_gate_pool(entry->gate)),
 					     gossip->drains, CW_DRAINS_MAX);
 }
@@ -337,10 +337,11 @@
 				 gossip->rollouts[i].target, gossip->rollouts[i].state,
 				 gossip->rollouts[i].is_written);
 	for (size_t i = 0; i < gossip->crash_count; i++)
-		cw_quarantine_hear_end(cw_gate_quarantine(entry->gate), &gossip->ends[i], now_ms);
+		cw_quarantine_merge_crash(cw_gate_quarantine(entry->gate), &gossip->ends[i],
+					  now_ms);
 	for (size_t i = 0; i < gossip->quarantined_count; i++)
-		cw_quarantine_hear_record(cw_gate_quarantine(entry->gate), &gossip->quarantined[i],
-					  CW_QUARANTINE_PEER, now_ms);
+		cw_quarantine_merge_record(cw_gate_quarantine(entry->gate), &gossip->quarantined[i],
+					   CW_QUARANTINE_PEER, now_ms);
 	for (size_t i = 0; i < gossip->drain_count; i++)
 		feed_drain(entry->feed, &gossip->drains[i], member->instance);
 	feed_hear(entry->feed, gossip);
--- a/apps/corianderwalk/entry_quarantine.c
+++ b/apps/corianderwalk/entry_quarantine.c
@@ -40,7 +40,7 @@
 {
 	struct entry *entry = holding->feed->entry;
 	struct cw_quarantine *quarantine = cw_gate_quarantine(entry->gate);
-	struct cw_quarantine_record records[CW_QUARANTINE_HELD];
+	struct cw_quarantine_record records[CW_QUARANTINE_MAX];
 	struct cw_quarantine_change change;
 	int any = 0;
 
@@ -51,7 +51,7 @@
 	if (!any)
 		return;
 	cw_gauge("quarantined", "",
-		 cw_quarantine_list(quarantine, now_ms, records, CW_QUARANTINE_HELD));
+		 cw_quarantine_list(quarantine, now_ms, records, CW_QUARANTINE_MAX));
 	relay_stop_held(entry);
 	peers_tell(entry->peers);
 }
@@ -69,7 +69,7 @@
 		 "source=%s",
 		 (unsigned long)record->fingerprint,
 		 *record->organisation ? record->organisation : "-",
-		 *record->target ? record->target : "-", record->ends, change->rivals,
+		 *record->target ? record->target : "-", record->ends, change->alternatives,
 		 record->age_ms, cw_quarantine_source_name(change->source));
 }
 
@@ -80,7 +80,7 @@
 	GString *bytes;
 	size_t rank;
 
-	if (!cw_quarantine_unwritten(cw_gate_quarantine(entry->gate), now_ms, &record))
+	if (!cw_quarantine_find_unwritten(cw_gate_quarantine(entry->gate), now_ms, &record))
 		return;
 	rank = peers_rank(entry->peers, record.fingerprint, now_ms);
 	if (record.age_ms < STEP_MS * rank)
@@ -105,7 +105,7 @@
 	}
 	cw_event("feed", "quarantine_written", "fingerprint=%016lx released=%d",
 		 (unsigned long)holding->fingerprint, holding->is_released);
-	cw_quarantine_written(cw_gate_quarantine(entry->gate), holding->fingerprint,
-			      holding->is_released, entry_now_ms(entry));
+	cw_quarantine_mark_written(cw_gate_quarantine(entry->gate), holding->fingerprint,
+				   holding->is_released, entry_now_ms(entry));
 	peers_tell(entry->peers);
 }
--- a/apps/corianderwalk/entry_reach.c
+++ b/apps/corianderwalk/entry_reach.c
@@ -100,8 +100,8 @@
 	struct watch *watch = context;
 
 	if (!is_reachable)
-		cw_quarantine_gone(cw_gate_quarantine(watch->entry->gate), watch->server,
-				   entry_now_ms(watch->entry));
+		cw_quarantine_note_unreachable(cw_gate_quarantine(watch->entry->gate),
+					       watch->server, entry_now_ms(watch->entry));
 	g_free(watch);
 }
 
--- a/apps/corianderwalk/entry_relay.c
+++ b/apps/corianderwalk/entry_relay.c
@@ -445,8 +445,8 @@
 	if (!server)
 		return;
 	cw_pool_mark_seen(server, entry_now_ms(relay->entry));
-	cw_quarantine_heard(cw_gate_quarantine(relay->entry->gate), server->id, relay->sent_ms,
-			    entry_now_ms(relay->entry));
+	cw_quarantine_note_received(cw_gate_quarantine(relay->entry->gate), server->id,
+				    relay->sent_ms, entry_now_ms(relay->entry));
 }
 
 static void drop_exchange(struct relay *relay)
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -154,7 +154,7 @@
 		if (how == CW_ATTEMPT_NO_CONNECTION)
 			cw_pool_mark_unreachable(call->server);
 		cw_pool_record_refusal(call->server, now_ms, gate_random(call->gate));
-		cw_quarantine_gone(call->gate->quarantine, call->server->id, now_ms);
+		cw_quarantine_note_unreachable(call->gate->quarantine, call->server->id, now_ms);
 		release_server(call, now_ms, 0);
 		call->attempts--;
 		if (++call->connect_failures < CONNECT_FAILURES_MAX &&
@@ -186,8 +186,8 @@
 	if (call->is_resumed)
 		call_record_abandoned(call, call->server, now_ms);
 	else
-		cw_quarantine_answered(call->gate->quarantine, call->fingerprint, call->server->id,
-				       call_run_time_ms(call, now_ms), now_ms);
+		cw_quarantine_note_answer(call->gate->quarantine, call->fingerprint,
+					  call->server->id, call_run_time_ms(call, now_ms), now_ms);
 	cw_pool_record_success(call->server, now_ms);
 	release_server(call, now_ms, 1);
 }
@@ -409,8 +409,8 @@
 	call_work_end(call);
 	if (!dispatch_attempt(call, now_ms, step))
 		return 0;
-	cw_quarantine_left(call->gate->quarantine, call->fingerprint, previous->id,
-			   previous_run_time_ms, now_ms);
+	cw_quarantine_note_finished(call->gate->quarantine, call->fingerprint, previous->id,
+				    previous_run_time_ms, now_ms);
 	cw_pool_record_end(previous, now_ms, -1);
 	return 1;
 }
@@ -489,7 +489,7 @@
 	/* A network partition or an earlier incarnation is no evidence against the server. */
 	if (!call->server->is_unreachable && !call->server->is_superseded &&
 	    cw_pool_record_crash(call->server, now_ms) &&
-	    !cw_quarantine_doubts(call->gate->quarantine, call->server->id, now_ms))
+	    !cw_quarantine_explains_crash(call->gate->quarantine, call->server->id, now_ms))
 		call_work_failed(call, now_ms);
 	cw_pool_record_failure(call->server, now_ms, gate_random(call->gate));
 }
--- a/packages/gate/src/call_held.c
+++ b/packages/gate/src/call_held.c
@@ -6,7 +6,7 @@
 
 int cw_call_is_quarantined(const struct cw_call *call)
 {
-	return !call->is_trial && cw_quarantine_holds(call->gate->quarantine, call->fingerprint);
+	return !call->is_trial && cw_quarantine_contains(call->gate->quarantine, call->fingerprint);
 }
 
 int call_has_single_attempt(const struct cw_call *call)
@@ -36,15 +36,15 @@
 	if (!cw_quarantine_wants_trial(quarantine, call->fingerprint, call->opened_ms) ||
 	    !cw_pool_is_owner(call->gate->pool, call->fingerprint))
 		return 0;
-	cw_quarantine_try(quarantine, call->fingerprint, call->opened_ms);
+	cw_quarantine_begin_trial(quarantine, call->fingerprint, call->opened_ms);
 	call->is_trial = 1;
 	return 1;
 }
 
 void call_record_abandoned(struct cw_call *call, const struct cw_server *server, int64_t now_ms)
 {
-	cw_quarantine_left(call->gate->quarantine, call->fingerprint, server->id,
-			   call_run_time_ms(call, now_ms), now_ms);
+	cw_quarantine_note_finished(call->gate->quarantine, call->fingerprint, server->id,
+				    call_run_time_ms(call, now_ms), now_ms);
 }
 
 /* A server that is leaving, or whose version was replaced, stops as planned: not a crash. */
@@ -56,8 +56,8 @@
 	if (server->leaving || server->is_removed || server->is_unreachable ||
 	    cw_rollouts_is_retired(call->gate->rollouts, call->service_name, server->software))
 		return;
-	cw_quarantine_broke(call->gate->quarantine, &request, server->id,
-			    call_run_time_ms(call, now_ms), call->is_head_seen, now_ms);
+	cw_quarantine_note_break(call->gate->quarantine, &request, server->id,
+				 call_run_time_ms(call, now_ms), call->is_head_seen, now_ms);
 }
 
 static struct cw_quarantine_request quarantine_request(const struct cw_call *call)
--- a/packages/gossip/include/cw_gossip.h
+++ b/packages/gossip/include/cw_gossip.h
@@ -58,9 +58,9 @@
 	size_t rollout_count;
 	struct cw_rollout_announcement rollouts[CW_GOSSIP_ROLLOUTS];
 	size_t crash_count;
-	struct cw_quarantine_end ends[CW_QUARANTINE_ENDS];
+	struct cw_quarantine_crash ends[CW_QUARANTINE_CRASHES_MAX];
 	size_t quarantined_count;
-	struct cw_quarantine_record quarantined[CW_QUARANTINE_RECORDS];
+	struct cw_quarantine_record quarantined[CW_QUARANTINE_RECORDS_MAX];
 	size_t drain_count;
 	struct cw_drain_order drains[CW_DRAINS_MAX]; /* withdrawn ones included */
 };
--- a/packages/gossip/src/gossip.c
+++ b/packages/gossip/src/gossip.c
@@ -13,7 +13,7 @@
 static bool_t code_address(XDR *xdr, char *address);
 static bool_t code_load(XDR *xdr, struct cw_gossip_load *load);
 static bool_t code_rollout(XDR *xdr, struct cw_rollout_announcement *news);
-static bool_t code_crash(XDR *xdr, struct cw_quarantine_end *end);
+static bool_t code_crash(XDR *xdr, struct cw_quarantine_crash *end);
 static bool_t code_quarantined(XDR *xdr, struct cw_quarantine_record *record);
 static bool_t code_drain(XDR *xdr, struct cw_drain_order *order);
 static bool_t code_plan(XDR *xdr, struct cw_rollout_announcement *news);
@@ -113,12 +113,12 @@
 	for (size_t i = 0; i < gossip->rollout_count; i++)
 		if (!code_rollout(xdr, &gossip->rollouts[i]))
 			return FALSE;
-	if (!gossip_code_count(xdr, &gossip->crash_count, CW_QUARANTINE_ENDS))
+	if (!gossip_code_count(xdr, &gossip->crash_count, CW_QUARANTINE_CRASHES_MAX))
 		return FALSE;
 	for (size_t i = 0; i < gossip->crash_count; i++)
 		if (!code_crash(xdr, &gossip->ends[i]))
 			return FALSE;
-	if (!gossip_code_count(xdr, &gossip->quarantined_count, CW_QUARANTINE_RECORDS))
+	if (!gossip_code_count(xdr, &gossip->quarantined_count, CW_QUARANTINE_RECORDS_MAX))
 		return FALSE;
 	for (size_t i = 0; i < gossip->quarantined_count; i++)
 		if (!code_quarantined(xdr, &gossip->quarantined[i]))
@@ -131,7 +131,7 @@
 	return TRUE;
 }
 
-static bool_t code_crash(XDR *xdr, struct cw_quarantine_end *end)
+static bool_t code_crash(XDR *xdr, struct cw_quarantine_crash *end)
 {
 	return xdr_uint64_t(xdr, &end->fingerprint) && xdr_uint64_t(xdr, &end->server) &&
 	       xdr_int(xdr, &end->is_alive) && xdr_u_int(xdr, &end->age_ms) &&
--- a/packages/health/include/cw_health.h
+++ b/packages/health/include/cw_health.h
@@ -13,8 +13,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-struct cw_evidence {
-	uint64_t version; /* cw_pool_version of (model, version) */
+struct cw_health_evidence {
+	uint64_t version; /* cw_pool_version_hash of (model, version) */
 	uint32_t good;	  /* complete answers */
 	uint32_t bad;	  /* errors and incomplete answers */
 	uint32_t slow;	  /* complete answers with a first token later than the siblings' usual */
@@ -24,7 +24,7 @@
 };
 
 enum cw_health_state {
-	CW_HEALTH_GOOD,
+	CW_HEALTH_HEALTHY,
 	CW_HEALTH_TRIPPED,
 	CW_HEALTH_PROBING,
 };
@@ -45,25 +45,28 @@
 
 struct cw_health *cw_health_create(const struct cw_health_policy *policy);
 void cw_health_destroy(struct cw_health *health);
-void cw_health_sibling(struct cw_health *health, uint64_t version,
-		       uint64_t model); /* versions of one model are siblings */
-int cw_health_answered(struct cw_health *health, uint64_t version, int good, double first_ms,
-		       unsigned int prompt_tokens,
-		       int64_t now_ms); /* 1: the answer tripped the version */
-int cw_health_rated(struct cw_health *health, uint64_t version, double score,
-		    int64_t now_ms); /* 1: the rating tripped the version */
-int cw_health_pool(struct cw_health *health, uint64_t instance, uint64_t boot,
-		   const struct cw_evidence *evidence,
-		   int64_t now_ms); /* totals of another instance; 1: they tripped the version */
+void cw_health_set_model(struct cw_health *health, uint64_t version,
+			 uint64_t model); /* versions of one model are siblings */
+int cw_health_add_answer(struct cw_health *health, uint64_t version, int good, double first_ms,
+			 unsigned int prompt_tokens,
+			 int64_t now_ms); /* 1: the answer tripped the version */
+int cw_health_add_rating(struct cw_health *health, uint64_t version, double score,
+			 int64_t now_ms); /* 1: the rating tripped the version */
+int cw_health_merge_evidence(
+	struct cw_health *health, uint64_t instance, uint64_t boot,
+	const struct cw_health_evidence *evidence,
+	int64_t now_ms); /* totals of another instance; 1: they tripped the version */
 int cw_health_trip(struct cw_health *health, uint64_t version,
 		   int64_t now_ms); /* reported by a peer or a notice; 1: newly tripped */
 void cw_health_clear(struct cw_health *health, uint64_t version); /* an operator's edit overrides */
 enum cw_health_state cw_health_state(struct cw_health *health, uint64_t version, int64_t now_ms);
-double cw_health_factor(struct cw_health *health, uint64_t version,
-			int64_t now_ms); /* of the version's weight, 0 to 1 */
-int cw_health_disturbed(struct cw_health *health, uint64_t model,
-			int64_t now_ms); /* 1: a version is not good, or was restored lately */
-size_t cw_health_own(struct cw_health *health, struct cw_evidence *evidence, uint32_t *tripped,
-		     size_t max); /* this instance's totals, for gossip */
+double cw_health_weight_factor(struct cw_health *health, uint64_t version,
+			       int64_t now_ms); /* of the version's weight, 0 to 1 */
+int cw_health_is_model_degraded(
+	struct cw_health *health, uint64_t model,
+	int64_t now_ms); /* 1: a version is not good, or was restored lately */
+size_t cw_health_own_evidence(struct cw_health *health, struct cw_health_evidence *evidence,
+			      uint32_t *tripped,
+			      size_t max); /* this instance's totals, for gossip */
 
 #endif
--- a/packages/health/src/health.c
+++ b/packages/health/src/health.c
@@ -35,7 +35,7 @@
 struct health_version {
 	uint64_t version;
 	uint64_t model;
-	struct cw_evidence own;
+	struct cw_health_evidence own;
 	GHashTable *peers; /* instance -> struct peer_totals */
 	double good, bad;  /* pooled history, for the baseline */
 	double slow;
@@ -53,7 +53,7 @@
 
 struct peer_totals {
 	uint64_t boot;
-	struct cw_evidence last; /* totals of the newest message */
+	struct cw_health_evidence last; /* totals of the newest message */
 };
 
 struct cw_health {
@@ -110,13 +110,13 @@
 	g_free(health);
 }
 
-void cw_health_sibling(struct cw_health *health, uint64_t version, uint64_t model)
+void cw_health_set_model(struct cw_health *health, uint64_t version, uint64_t model)
 {
 	find_or_add_version(health, version)->model = model;
 }
 
-int cw_health_answered(struct cw_health *health, uint64_t id, int good, double first_ms,
-		       unsigned int prompt_tokens, int64_t now_ms)
+int cw_health_add_answer(struct cw_health *health, uint64_t id, int good, double first_ms,
+			 unsigned int prompt_tokens, int64_t now_ms)
 {
 	struct health_version *version = find_or_add_version(health, id);
 	int slow = good && is_slow(health, version, first_ms, length_class(prompt_tokens));
@@ -129,7 +129,7 @@
 	return trip_if_bad(health, version, now_ms);
 }
 
-int cw_health_rated(struct cw_health *health, uint64_t id, double score, int64_t now_ms)
+int cw_health_add_rating(struct cw_health *health, uint64_t id, double score, int64_t now_ms)
 {
 	struct health_version *version = find_or_add_version(health, id);
 
@@ -142,12 +142,12 @@
 	return trip_if_bad(health, version, now_ms);
 }
 
-int cw_health_pool(struct cw_health *health, uint64_t instance, uint64_t boot,
-		   const struct cw_evidence *evidence, int64_t now_ms)
+int cw_health_merge_evidence(struct cw_health *health, uint64_t instance, uint64_t boot,
+			     const struct cw_health_evidence *evidence, int64_t now_ms)
 {
 	struct health_version *version = find_or_add_version(health, evidence->version);
 	struct peer_totals *totals = g_hash_table_lookup(version->peers, &instance);
-	struct cw_evidence *last;
+	struct cw_health_evidence *last;
 	uint64_t *key;
 
 	if (!health->policy->pooled)
@@ -199,7 +199,7 @@
 {
 	struct health_version *version = find_or_add_version(health, id);
 
-	version->state = CW_HEALTH_GOOD;
+	version->state = CW_HEALTH_HEALTHY;
 	version->backoff_ms = 0;
 	reset_tests(version);
 }
@@ -209,12 +209,12 @@
 	struct health_version *version = g_hash_table_lookup(health->versions, &id);
 
 	if (!version)
-		return CW_HEALTH_GOOD;
+		return CW_HEALTH_HEALTHY;
 	advance_state(version, now_ms);
 	return version->state;
 }
 
-double cw_health_factor(struct cw_health *health, uint64_t id, int64_t now_ms)
+double cw_health_weight_factor(struct cw_health *health, uint64_t id, int64_t now_ms)
 {
 	static const double steps[] = {0.01, 0.05, 0.2, 0.5};
 	struct health_version *version = g_hash_table_lookup(health->versions, &id);
@@ -224,12 +224,12 @@
 		return 1;
 	advance_state(version, now_ms);
 	if (version->state != CW_HEALTH_PROBING)
-		return version->state == CW_HEALTH_GOOD;
+		return version->state == CW_HEALTH_HEALTHY;
 	step = (now_ms - version->since_ms) / PROBE_STEP_MS;
 	return steps[CLAMP(step, 0, (int64_t)G_N_ELEMENTS(steps) - 1)];
 }
 
-int cw_health_disturbed(struct cw_health *health, uint64_t model, int64_t now_ms)
+int cw_health_is_model_degraded(struct cw_health *health, uint64_t model, int64_t now_ms)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -241,14 +241,14 @@
 		advance_state(version, now_ms);
 		/* Sessions may have been bound to another version before a recent restore. */
 		if (version->model == model &&
-		    (version->state != CW_HEALTH_GOOD || version->backoff_ms))
+		    (version->state != CW_HEALTH_HEALTHY || version->backoff_ms))
 			return 1;
 	}
 	return 0;
 }
 
-size_t cw_health_own(struct cw_health *health, struct cw_evidence *evidence, uint32_t *tripped,
-		     size_t max)
+size_t cw_health_own_evidence(struct cw_health *health, struct cw_health_evidence *evidence,
+			      uint32_t *tripped, size_t max)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -403,7 +403,7 @@
 		const struct health_version *other = value;
 
 		if (other == version || other->model != version->model ||
-		    other->state != CW_HEALTH_GOOD)
+		    other->state != CW_HEALTH_HEALTHY)
 			continue;
 		if (!best || other->good > best->good)
 			best = other;
@@ -461,11 +461,11 @@
 		in_state_ms = now_ms - version->since_ms;
 	}
 	if (version->state == CW_HEALTH_PROBING && in_state_ms >= 4 * PROBE_STEP_MS) {
-		version->state = CW_HEALTH_GOOD;
+		version->state = CW_HEALTH_HEALTHY;
 		version->since_ms += 4 * PROBE_STEP_MS;
 		in_state_ms = now_ms - version->since_ms;
 	}
-	if (version->state == CW_HEALTH_GOOD && version->backoff_ms &&
+	if (version->state == CW_HEALTH_HEALTHY && version->backoff_ms &&
 	    in_state_ms >= BACKOFF_MAX_MS)
 		version->backoff_ms = 0;
 }
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -212,7 +212,7 @@
 	rating->tokens = tokens;
 	node->next_rating++;
 	cw_cascade_add_rating(node->cascade, task, common, version, score);
-	if (cw_health_rated(node->health, version, score, node->now_ms))
+	if (cw_health_add_rating(node->health, version, score, node->now_ms))
 		gossip_tripped(node, version, "ratings");
 }
 
@@ -246,21 +246,21 @@
 
 static void send_heartbeat(struct cw_node *node, const struct cw_member *member)
 {
-	struct cw_evidence own[EVIDENCE_MAX];
+	struct cw_health_evidence own[EVIDENCE_MAX];
 	uint32_t tripped[EVIDENCE_MAX];
 	struct peer_evidence evidence[EVIDENCE_MAX];
 	struct peer_load loads[LOADS_MAX];
 	struct peer_want wants[WANTS_MAX];
 	struct peer_rating ratings[RATINGS_A_MESSAGE];
-	struct peer_end ends[CW_QUARANTINE_ENDS];
-	struct peer_held held[CW_QUARANTINE_RECORDS];
-	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS];
+	struct peer_end ends[CW_QUARANTINE_CRASHES_MAX];
+	struct peer_held held[CW_QUARANTINE_RECORDS_MAX];
+	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS_MAX];
 	uint64_t rows[WANTS_MAX];
 	uint32_t parts[WANTS_MAX];
 	struct peer_message message = {0};
 	struct peer_heartbeat *beat = &message.body.peer_body_u.heartbeat;
 	const struct cw_server *server;
-	size_t count = cw_health_own(node->health, own, tripped, EVIDENCE_MAX);
+	size_t count = cw_health_own_evidence(node->health, own, tripped, EVIDENCE_MAX);
 
 	message.body.kind = PEER_HEARTBEAT;
 	beat->leaving = (u_int)node->stopping;
@@ -352,7 +352,7 @@
 {
 	for (u_int i = 0; i < beat->evidence.evidence_len; i++) {
 		const struct peer_evidence *peer = &beat->evidence.evidence_val[i];
-		struct cw_evidence evidence = {
+		struct cw_health_evidence evidence = {
 			.version = peer->model_version,
 			.good = peer->good,
 			.bad = peer->bad,
@@ -362,7 +362,8 @@
 			.rating_squares = peer->rating_squares / THOUSAND,
 		};
 
-		if (cw_health_pool(node->health, member->id, member->boot, &evidence, node->now_ms))
+		if (cw_health_merge_evidence(node->health, member->id, member->boot, &evidence,
+					     node->now_ms))
 			gossip_tripped(node, evidence.version, "pooled");
 		if (peer->tripped && node->config.health->pooled &&
 		    cw_health_trip(node->health, evidence.version, node->now_ms))
--- a/packages/node/src/node_internal.h
+++ b/packages/node/src/node_internal.h
@@ -317,9 +317,9 @@
 void quarantine_tick(struct cw_node *node);
 void quarantine_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms);
 void quarantine_appended(struct cw_node *node, const struct cw_appended *appended);
-void quarantine_tell(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_ENDS],
-		     struct peer_held held[CW_QUARANTINE_RECORDS],
-		     struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
+void quarantine_tell(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_CRASHES_MAX],
+		     struct peer_held held[CW_QUARANTINE_RECORDS_MAX],
+		     struct cw_quarantine_record records[CW_QUARANTINE_RECORDS_MAX],
 		     struct peer_heartbeat *beat); /* the beat points into the three */
 void quarantine_hear(struct cw_node *node, const struct peer_heartbeat *beat);
 char *quarantine_answer(struct cw_node *node); /* JSON, for operators; g_free */
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -20,7 +20,7 @@
 
 int quarantine_refuses(struct cw_node *node, struct request *request)
 {
-	if (!cw_quarantine_holds(node->quarantine, request->fingerprint) ||
+	if (!cw_quarantine_contains(node->quarantine, request->fingerprint) ||
 	    begin_trial(node, request))
 		return 0;
 	request_refuse(node, request, CW_CODE_QUARANTINED, 0,
@@ -37,7 +37,7 @@
 	    !cw_quarantine_wants_trial(node->quarantine, request->fingerprint, node->now_ms) ||
 	    cw_membership_rank(node->membership, request->fingerprint, node->now_ms) > 0)
 		return 0;
-	cw_quarantine_try(node->quarantine, request->fingerprint, node->now_ms);
+	cw_quarantine_begin_trial(node->quarantine, request->fingerprint, node->now_ms);
 	request->is_trial = 1;
 	return 1;
 }
@@ -50,7 +50,8 @@
 	struct cw_quarantine_request quarantined = as_quarantined(request);
 
 	if (end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_PASSED)
-		cw_quarantine_heard(node->quarantine, server->id, attempt->sent_ms, node->now_ms);
+		cw_quarantine_note_received(node->quarantine, server->id, attempt->sent_ms,
+					    node->now_ms);
 	switch (end->result) {
 	case CW_ATTEMPT_ANSWERED:
 	case CW_ATTEMPT_PASSED:
@@ -58,18 +59,18 @@
 			quarantine_left(node, request, server);
 			break;
 		}
-		cw_quarantine_answered(node->quarantine, request->fingerprint, server->id,
-				       ran_ms(node, request), node->now_ms);
+		cw_quarantine_note_answer(node->quarantine, request->fingerprint, server->id,
+					  ran_ms(node, request), node->now_ms);
 		break;
 	case CW_ATTEMPT_BROKEN:
 		if (!end->is_cut || server->leaving || server->is_removed) {
 			quarantine_left(node, request, server);
 			break;
 		}
-		cw_quarantine_broke(node->quarantine, &quarantined, server->id,
-				    ran_ms(node, request), 0, node->now_ms);
+		cw_quarantine_note_break(node->quarantine, &quarantined, server->id,
+					 ran_ms(node, request), 0, node->now_ms);
 		/* Nothing here tries a server's connections: its word is taken. */
-		cw_quarantine_gone(node->quarantine, server->id, node->now_ms);
+		cw_quarantine_note_unreachable(node->quarantine, server->id, node->now_ms);
 		gossip_hurry(node);
 		break;
 	case CW_ATTEMPT_FAILED:
@@ -85,8 +86,8 @@
 void quarantine_left(struct cw_node *node, const struct request *request,
 		     const struct cw_server *server)
 {
-	cw_quarantine_left(node->quarantine, request->fingerprint, server->id,
-			   ran_ms(node, request), node->now_ms);
+	cw_quarantine_note_finished(node->quarantine, request->fingerprint, server->id,
+				    ran_ms(node, request), node->now_ms);
 }
 
 static struct cw_quarantine_request as_quarantined(const struct request *request)
@@ -135,10 +136,10 @@
 	if (json_object_object_get_ex(notice, "released", &value))
 		record.is_released = json_object_get_boolean(value);
 	record.age_ms = (uint32_t)CLAMP(node->wall_ms - time_ms, 0, UINT32_MAX - 1);
-	cw_quarantine_hear_record(node->quarantine, &record, CW_QUARANTINE_STORE, node->now_ms);
-	if (cw_quarantine_holds(node->quarantine, record.fingerprint) != record.is_released)
-		cw_quarantine_written(node->quarantine, record.fingerprint, record.is_released,
-				      node->now_ms);
+	cw_quarantine_merge_record(node->quarantine, &record, CW_QUARANTINE_STORE, node->now_ms);
+	if (cw_quarantine_contains(node->quarantine, record.fingerprint) != record.is_released)
+		cw_quarantine_mark_written(node->quarantine, record.fingerprint, record.is_released,
+					   node->now_ms);
 }
 
 void quarantine_appended(struct cw_node *node, const struct cw_appended *appended)
@@ -147,14 +148,14 @@
 		node->quarantine_ticket = 0;
 }
 
-void quarantine_tell(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_ENDS],
-		     struct peer_held held[CW_QUARANTINE_RECORDS],
-		     struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
+void quarantine_tell(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_CRASHES_MAX],
+		     struct peer_held held[CW_QUARANTINE_RECORDS_MAX],
+		     struct cw_quarantine_record records[CW_QUARANTINE_RECORDS_MAX],
 		     struct peer_heartbeat *beat)
 {
-	struct cw_quarantine_end own[CW_QUARANTINE_ENDS];
-	size_t count =
-		cw_quarantine_tell_ends(node->quarantine, node->now_ms, own, CW_QUARANTINE_ENDS);
+	struct cw_quarantine_crash own[CW_QUARANTINE_CRASHES_MAX];
+	size_t count = cw_quarantine_announce_crashes(node->quarantine, node->now_ms, own,
+						      CW_QUARANTINE_CRASHES_MAX);
 
 	for (size_t i = 0; i < count; i++) {
 		ends[i].fingerprint = own[i].fingerprint;
@@ -168,8 +169,8 @@
 	}
 	beat->ends.ends_len = (u_int)count;
 	beat->ends.ends_val = ends;
-	count = cw_quarantine_tell_records(node->quarantine, node->now_ms, records,
-					   CW_QUARANTINE_RECORDS);
+	count = cw_quarantine_announce_records(node->quarantine, node->now_ms, records,
+					       CW_QUARANTINE_RECORDS_MAX);
 	for (size_t i = 0; i < count; i++) {
 		held[i].fingerprint = records[i].fingerprint;
 		held[i].organisation = records[i].organisation;
@@ -187,7 +188,7 @@
 {
 	for (u_int i = 0; i < beat->ends.ends_len; i++) {
 		const struct peer_end *peer = &beat->ends.ends_val[i];
-		struct cw_quarantine_end end = {
+		struct cw_quarantine_crash end = {
 			.fingerprint = peer->fingerprint,
 			.server = peer->server,
 			.is_alive = peer->alive != 0,
@@ -198,7 +199,7 @@
 			.answered_ms = peer->answered_ms,
 		};
 
-		cw_quarantine_hear_end(node->quarantine, &end, node->now_ms);
+		cw_quarantine_merge_crash(node->quarantine, &end, node->now_ms);
 	}
 	for (u_int i = 0; i < beat->held.held_len; i++) {
 		const struct peer_held *peer = &beat->held.held_val[i];
@@ -212,16 +213,16 @@
 
 		g_strlcpy(record.organisation, peer->organisation, CW_NAME_MAX);
 		g_strlcpy(record.target, peer->target, CW_NAME_MAX);
-		cw_quarantine_hear_record(node->quarantine, &record, CW_QUARANTINE_PEER,
-					  node->now_ms);
+		cw_quarantine_merge_record(node->quarantine, &record, CW_QUARANTINE_PEER,
+					   node->now_ms);
 	}
 }
 
 char *quarantine_answer(struct cw_node *node)
 {
-	struct cw_quarantine_record records[CW_QUARANTINE_HELD];
+	struct cw_quarantine_record records[CW_QUARANTINE_MAX];
 	size_t count =
-		cw_quarantine_list(node->quarantine, node->now_ms, records, CW_QUARANTINE_HELD);
+		cw_quarantine_list(node->quarantine, node->now_ms, records, CW_QUARANTINE_MAX);
 	struct json_object *answer = json_object_new_object();
 	struct json_object *list = json_object_new_array();
 	char *text;
@@ -251,7 +252,7 @@
 		   "fingerprint=%016" G_GINT64_MODIFIER
 		   "x organisation=%s target=%s ends=%u rivals=%u age_ms=%u source=%s",
 		   record->fingerprint, *record->organisation ? record->organisation : "-",
-		   *record->target ? record->target : "-", record->ends, change->rivals,
+		   *record->target ? record->target : "-", record->ends, change->alternatives,
 		   record->age_ms, cw_quarantine_source_name(change->source));
 }
 
@@ -265,7 +266,7 @@
 		struct cw_server *server = cw_pool_find(node->pool, request->server);
 
 		if (request->state == REQUEST_RUNNING && !request->is_trial &&
-		    cw_quarantine_holds(node->quarantine, request->fingerprint)) {
+		    cw_quarantine_contains(node->quarantine, request->fingerprint)) {
 			if (server)
 				cw_pool_record_end(server, node->now_ms, -1);
 			request->sent = 1;
@@ -284,7 +285,7 @@
 
 	if (node->quarantine_ticket || node->now_ms < node->quarantine_due_ms ||
 	    !log_is_up(node, CW_STREAM_NOTICES) ||
-	    !cw_quarantine_unwritten(node->quarantine, node->now_ms, &record))
+	    !cw_quarantine_find_unwritten(node->quarantine, node->now_ms, &record))
 		return;
 	rank = cw_membership_rank(node->membership, record.fingerprint, node->now_ms);
 	if (record.age_ms < STEP_MS * rank)
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -227,11 +227,11 @@
 	/* A connection that failed says nothing of the version; a server that sends rubbish does.
 	 */
 	if (request->version_id &&
-	    !cw_quarantine_doubts(node->quarantine, attempt->server, node->now_ms) &&
+	    !cw_quarantine_explains_crash(node->quarantine, attempt->server, node->now_ms) &&
 	    (end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_FAILED ||
 	     end->result == CW_ATTEMPT_BROKEN) &&
-	    cw_health_answered(node->health, request->version_id, answered, first_ms,
-			       end->prompt_tokens, node->now_ms))
+	    cw_health_add_answer(node->health, request->version_id, answered, first_ms,
+				 end->prompt_tokens, node->now_ms))
 		gossip_tripped(node, request->version_id, "failures");
 	if (request->version_id && failed)
 		gossip_hurry(node);
--- a/packages/node/src/request_choice.c
+++ b/packages/node/src/request_choice.c
@@ -159,7 +159,7 @@
 	TAILQ_FOREACH(row, rows, organisation_link) {
 		double weight = row->cell[CW_COLUMN_WEIGHT];
 		uint64_t id = cw_pool_version_hash(row->model, row->version);
-		double factor = cw_health_factor(node->health, id, node->now_ms);
+		double factor = cw_health_weight_factor(node->health, id, node->now_ms);
 		double score;
 
 		if (strcmp(row->model, model) != 0 || !cw_table_allows(row))
@@ -167,7 +167,7 @@
 		*allowed = 1;
 		if (isnan(weight) || weight <= 0)
 			continue;
-		cw_health_sibling(node->health, id, cw_pool_version_hash(row->model, ""));
+		cw_health_set_model(node->health, id, cw_pool_version_hash(row->model, ""));
 		/* What failed this request once is its last resort: a sibling may answer it well.
 		 */
 		if (id == request->avoid)
--- a/packages/quarantine/include/cw_quarantine.h
+++ b/packages/quarantine/include/cw_quarantine.h
@@ -4,12 +4,12 @@
  * server and all requests running on it. So server crashes are charged to the requests that were
  * running on the server; a request with three crashes and no complete answer is quarantined, which
  * means that no instance sends it to a server. A broken connection alone is no crash:
- * cw_quarantine_gone, or several breaks at once, confirm one.
+ * cw_quarantine_note_unreachable, or several breaks at once, confirm one.
  *
  * Sans-I/O: the caller passes in sends, breaks, answers and peers' announcements, and fetches
  * quarantine changes, announcements for peers and records to write. A request passes
- * cw_quarantine_holds, then for each attempt one of cw_quarantine_broke, cw_quarantine_left and
- * cw_quarantine_answered.
+ * cw_quarantine_contains, then for each attempt one of cw_quarantine_note_break,
+ * cw_quarantine_note_finished and cw_quarantine_note_answer.
  */
 #ifndef CW_QUARANTINE_H
 #define CW_QUARANTINE_H
@@ -19,10 +19,10 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_QUARANTINE_HELD    64	 /* requests quarantined at a time */
-#define CW_QUARANTINE_ENDS    32	 /* per message to a peer */
-#define CW_QUARANTINE_RECORDS 16	 /* per message to a peer */
-#define CW_QUARANTINE_NEVER   UINT32_MAX /* an age: has not happened */
+#define CW_QUARANTINE_MAX	  64	     /* requests quarantined at a time */
+#define CW_QUARANTINE_CRASHES_MAX 32	     /* per message to a peer */
+#define CW_QUARANTINE_RECORDS_MAX 16	     /* per message to a peer */
+#define CW_QUARANTINE_NEVER	  UINT32_MAX /* an age: has not happened */
 
 /* A request as this module identifies it; the strings are for operators only. */
 struct cw_quarantine_request {
@@ -32,7 +32,7 @@
 };
 
 /* A server crash while a request ran, or a sign of life that disproves one; announced to peers. */
-struct cw_quarantine_end {
+struct cw_quarantine_crash {
 	uint64_t fingerprint; /* unused if is_alive */
 	uint64_t server;
 	int is_alive;	  /* 1: a byte arrived age_ms ago, so the server had not crashed before */
@@ -61,14 +61,14 @@
 	CW_QUARANTINE_STORE,	/* the shared store */
 	CW_QUARANTINE_OPERATOR, /* released by an operator */
 	CW_QUARANTINE_ANSWER,	/* released by a complete answer */
-	CW_QUARANTINE_TIME,	/* the quarantine expired */
+	CW_QUARANTINE_EXPIRED,	/* the quarantine expired */
 };
 
 /* The start or the end of a quarantine. */
 struct cw_quarantine_change {
 	struct cw_quarantine_record record;
 	enum cw_quarantine_source source;
-	unsigned int rivals; /* alternative suspects: in two or more of the crashes */
+	unsigned int alternatives; /* alternative suspects: in two or more of the crashes */
 };
 
 struct cw_quarantine;
@@ -83,30 +83,33 @@
 uint64_t cw_quarantine_fingerprint(const char *path, const char *organisation, uint64_t body);
 
 /* One request. ran_ms counts from the request's send to that server. */
-int cw_quarantine_holds(const struct cw_quarantine *quarantine,
-			uint64_t fingerprint); /* 1: must not be sent */
+int cw_quarantine_contains(const struct cw_quarantine *quarantine,
+			   uint64_t fingerprint); /* 1: must not be sent */
 int cw_quarantine_wants_trial(const struct cw_quarantine *quarantine, uint64_t fingerprint,
 			      int64_t now_ms); /* 1: alternative suspects may explain all crashes; a
 						  trial run would tell */
-void cw_quarantine_try(struct cw_quarantine *quarantine, uint64_t fingerprint,
-		       int64_t now_ms); /* a trial run begins; only one instance may start one */
-void cw_quarantine_broke(struct cw_quarantine *quarantine,
-			 const struct cw_quarantine_request *request, uint64_t server,
-			 int64_t ran_ms, int is_running,
-			 int64_t now_ms); /* the connection broke unexpectedly; is_running: ran_ms
-					     counts from the first byte */
-void cw_quarantine_left(
+void cw_quarantine_begin_trial(
+	struct cw_quarantine *quarantine, uint64_t fingerprint,
+	int64_t now_ms); /* a trial run begins; only one instance may start one */
+void cw_quarantine_note_break(struct cw_quarantine *quarantine,
+			      const struct cw_quarantine_request *request, uint64_t server,
+			      int64_t ran_ms, int is_running,
+			      int64_t now_ms); /* the connection broke unexpectedly; is_running:
+						  ran_ms counts from the first byte */
+void cw_quarantine_note_finished(
 	struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server, int64_t ran_ms,
 	int64_t now_ms); /* abandoned, or partly answered: may still crash the server */
-void cw_quarantine_answered(struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server,
-			    int64_t ran_ms,
-			    int64_t now_ms); /* completely and by one run, whatever the status */
-void cw_quarantine_gone(struct cw_quarantine *quarantine, uint64_t server,
-			int64_t now_ms); /* the server refuses connections, or was removed */
-void cw_quarantine_heard(struct cw_quarantine *quarantine, uint64_t server, int64_t sent_ms,
-			 int64_t now_ms); /* a byte arrived for a request sent at sent_ms */
-int cw_quarantine_doubts(const struct cw_quarantine *quarantine, uint64_t server,
-			 int64_t now_ms); /* 1: the server just crashed under a quarantined one */
+void cw_quarantine_note_answer(struct cw_quarantine *quarantine, uint64_t fingerprint,
+			       uint64_t server, int64_t ran_ms,
+			       int64_t now_ms); /* completely and by one run, whatever the status */
+void cw_quarantine_note_unreachable(
+	struct cw_quarantine *quarantine, uint64_t server,
+	int64_t now_ms); /* the server refuses connections, or was removed */
+void cw_quarantine_note_received(struct cw_quarantine *quarantine, uint64_t server, int64_t sent_ms,
+				 int64_t now_ms); /* a byte arrived for a request sent at sent_ms */
+int cw_quarantine_explains_crash(
+	const struct cw_quarantine *quarantine, uint64_t server,
+	int64_t now_ms); /* 1: the server just crashed under a quarantined one */
 
 /* The quarantine list over time. */
 void cw_quarantine_tick(struct cw_quarantine *quarantine,
@@ -119,20 +122,20 @@
 			  int64_t now_ms); /* by an operator; 0: not quarantined */
 
 /* Peers and the shared store. */
-size_t cw_quarantine_tell_ends(struct cw_quarantine *quarantine, int64_t now_ms,
-			       struct cw_quarantine_end *crashes, size_t max);
-size_t cw_quarantine_tell_records(struct cw_quarantine *quarantine, int64_t now_ms,
-				  struct cw_quarantine_record *records, size_t max);
-void cw_quarantine_hear_end(struct cw_quarantine *quarantine, const struct cw_quarantine_end *crash,
-			    int64_t now_ms);
-void cw_quarantine_hear_record(struct cw_quarantine *quarantine,
-			       const struct cw_quarantine_record *record,
-			       enum cw_quarantine_source source, int64_t now_ms);
-int cw_quarantine_unwritten(
+size_t cw_quarantine_announce_crashes(struct cw_quarantine *quarantine, int64_t now_ms,
+				      struct cw_quarantine_crash *crashes, size_t max);
+size_t cw_quarantine_announce_records(struct cw_quarantine *quarantine, int64_t now_ms,
+				      struct cw_quarantine_record *records, size_t max);
+void cw_quarantine_merge_crash(struct cw_quarantine *quarantine,
+			       const struct cw_quarantine_crash *crash, int64_t now_ms);
+void cw_quarantine_merge_record(struct cw_quarantine *quarantine,
+				const struct cw_quarantine_record *record,
+				enum cw_quarantine_source source, int64_t now_ms);
+int cw_quarantine_find_unwritten(
 	const struct cw_quarantine *quarantine, int64_t now_ms,
 	struct cw_quarantine_record *record); /* 1: found; the oldest to write */
-void cw_quarantine_written(struct cw_quarantine *quarantine, uint64_t fingerprint, int is_released,
-			   int64_t now_ms);
+void cw_quarantine_mark_written(struct cw_quarantine *quarantine, uint64_t fingerprint,
+				int is_released, int64_t now_ms);
 const char *cw_quarantine_source_name(enum cw_quarantine_source source); /* for logs */
 
 #endif
--- a/packages/quarantine/src/judge.c
+++ b/packages/quarantine/src/judge.c
@@ -118,7 +118,7 @@
 	struct suspect *suspect;
 
 	while ((suspect = find_likeliest(quarantine, now_ms))) {
-		suspect->rivals = count_alternatives(quarantine, suspect, now_ms);
+		suspect->alternatives = count_alternatives(quarantine, suspect, now_ms);
 		/* Each delay may cost a server; a wrong decision is withdrawn just as fast. */
 		if (!suspect->is_sole_candidate &&
 		    !are_reports_settled(quarantine, suspect, now_ms)) {
@@ -228,7 +228,7 @@
 				       struct suspect *suspect, int64_t now_ms)
 {
 	const struct suspect *other;
-	unsigned int rivals = 0;
+	unsigned int alternatives = 0;
 
 	suspect->is_sole_candidate = 1;
 	TAILQ_FOREACH(other, &quarantine->suspects, link) {
@@ -238,10 +238,10 @@
 		if (other == suspect || other->is_culprit || other->crash_count < 2)
 			continue;
 		shared = count_shared(quarantine, suspect, other, now_ms, &own);
-		rivals += shared >= 2;
+		alternatives += shared >= 2;
 		suspect->is_sole_candidate &= shared < own;
 	}
-	return rivals;
+	return alternatives;
 }
 
 /*
--- a/packages/quarantine/src/outages.c
+++ b/packages/quarantine/src/outages.c
@@ -84,7 +84,8 @@
  * Symptom this prevents: servers that reset some of their answers and stay up got hundreds of
  * harmless requests quarantined, each of which had met three such servers.
  */
-void cw_quarantine_gone(struct cw_quarantine *quarantine, uint64_t server, int64_t now_ms)
+void cw_quarantine_note_unreachable(struct cw_quarantine *quarantine, uint64_t server,
+				    int64_t now_ms)
 {
 	struct outage *newest = NULL;
 
@@ -110,8 +111,8 @@
  * byte on a connection opened before the outage proves a false alarm. A byte on a later connection
  * shows that the server has recovered, and may crash again.
  */
-void cw_quarantine_heard(struct cw_quarantine *quarantine, uint64_t server, int64_t sent_ms,
-			 int64_t now_ms)
+void cw_quarantine_note_received(struct cw_quarantine *quarantine, uint64_t server, int64_t sent_ms,
+				 int64_t now_ms)
 {
 	struct outage *outage;
 
@@ -140,7 +141,7 @@
 }
 
 size_t outages_announce_false_alarms(const struct cw_quarantine *quarantine, int64_t now_ms,
-				     struct cw_quarantine_end *crashes, size_t max)
+				     struct cw_quarantine_crash *crashes, size_t max)
 {
 	size_t count = 0;
 
@@ -149,7 +150,7 @@
 
 		if (!outage->is_false_alarm || now_ms - outage->updated_ms >= ANNOUNCE_MS)
 			continue;
-		crashes[count++] = (struct cw_quarantine_end){
+		crashes[count++] = (struct cw_quarantine_crash){
 			.server = outage->server,
 			.is_alive = 1,
 			.age_ms = (uint32_t)MAX(now_ms - outage->last_seen_ms, 0),
--- a/packages/quarantine/src/quarantine.c
+++ b/packages/quarantine/src/quarantine.c
@@ -36,7 +36,7 @@
 	g_free(quarantine);
 }
 
-int cw_quarantine_holds(const struct cw_quarantine *quarantine, uint64_t fingerprint)
+int cw_quarantine_contains(const struct cw_quarantine *quarantine, uint64_t fingerprint)
 {
 	const struct suspect *suspect;
 
@@ -57,7 +57,8 @@
 	return !suspect->trial_ms || now_ms - suspect->trial_ms >= TRIAL_GAP_MS;
 }
 
-void cw_quarantine_try(struct cw_quarantine *quarantine, uint64_t fingerprint, int64_t now_ms)
+void cw_quarantine_begin_trial(struct cw_quarantine *quarantine, uint64_t fingerprint,
+			       int64_t now_ms)
 {
 	struct suspect *suspect = suspect_find(quarantine, fingerprint);
 
@@ -65,9 +66,9 @@
 		suspect->trial_ms = now_ms;
 }
 
-void cw_quarantine_broke(struct cw_quarantine *quarantine,
-			 const struct cw_quarantine_request *request, uint64_t server,
-			 int64_t ran_ms, int is_running, int64_t now_ms)
+void cw_quarantine_note_break(struct cw_quarantine *quarantine,
+			      const struct cw_quarantine_request *request, uint64_t server,
+			      int64_t ran_ms, int is_running, int64_t now_ms)
 {
 	struct crash crash = {
 		.server = server, .at_ms = now_ms, .ran_ms = ran_ms, .is_running = is_running};
@@ -81,8 +82,8 @@
 		quarantine_judge(quarantine, now_ms);
 }
 
-void cw_quarantine_left(struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server,
-			int64_t ran_ms, int64_t now_ms)
+void cw_quarantine_note_finished(struct cw_quarantine *quarantine, uint64_t fingerprint,
+				 uint64_t server, int64_t ran_ms, int64_t now_ms)
 {
 	struct finished finished = {.fingerprint = fingerprint,
 				    .server = server,
@@ -96,10 +97,10 @@
  * A short answer may be complete before its request crashes the server. So the answer clears the
  * request only after the server has stayed up for FINISHED_MS.
  */
-void cw_quarantine_answered(struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server,
-			    int64_t ran_ms, int64_t now_ms)
+void cw_quarantine_note_answer(struct cw_quarantine *quarantine, uint64_t fingerprint,
+			       uint64_t server, int64_t ran_ms, int64_t now_ms)
 {
-	cw_quarantine_left(quarantine, fingerprint, server, ran_ms, now_ms);
+	cw_quarantine_note_finished(quarantine, fingerprint, server, ran_ms, now_ms);
 	quarantine->finished[(quarantine->finished_next - 1) % FINISHED_KEPT].is_answered = 1;
 }
 
@@ -108,7 +109,8 @@
  * the server: a good version on trial on a few servers was rolled back for such a crash. A request
  * that is not quarantined yet may have met three servers of a bad version.
  */
-int cw_quarantine_doubts(const struct cw_quarantine *quarantine, uint64_t server, int64_t now_ms)
+int cw_quarantine_explains_crash(const struct cw_quarantine *quarantine, uint64_t server,
+				 int64_t now_ms)
 {
 	const struct suspect *suspect;
 
@@ -143,7 +145,7 @@
 			quarantine->is_dirty = 1;
 		}
 		if (suspect->quarantined_ms && has_expired(suspect, now_ms))
-			suspect_release(quarantine, suspect, CW_QUARANTINE_TIME, now_ms);
+			suspect_release(quarantine, suspect, CW_QUARANTINE_EXPIRED, now_ms);
 		else if (!suspect->quarantined_ms && has_expired(suspect, now_ms))
 			suspect_remove(quarantine, suspect);
 		suspect = next;
@@ -187,7 +189,7 @@
 	static const char *const names[] = {
 		[CW_QUARANTINE_OWN] = "own",	   [CW_QUARANTINE_PEER] = "peer",
 		[CW_QUARANTINE_STORE] = "store",   [CW_QUARANTINE_OPERATOR] = "operator",
-		[CW_QUARANTINE_ANSWER] = "answer", [CW_QUARANTINE_TIME] = "time",
+		[CW_QUARANTINE_ANSWER] = "answer", [CW_QUARANTINE_EXPIRED] = "time",
 	};
 
 	return names[source];
@@ -503,9 +505,9 @@
 			oldest_own = suspect;
 	}
 	if (own >= QUARANTINED_PER_ORGANISATION_MAX)
-		suspect_release(quarantine, oldest_own, CW_QUARANTINE_TIME, now_ms);
-	else if (quarantine->quarantined_count > CW_QUARANTINE_HELD && oldest)
-		suspect_release(quarantine, oldest, CW_QUARANTINE_TIME, now_ms);
+		suspect_release(quarantine, oldest_own, CW_QUARANTINE_EXPIRED, now_ms);
+	else if (quarantine->quarantined_count > CW_QUARANTINE_MAX && oldest)
+		suspect_release(quarantine, oldest, CW_QUARANTINE_EXPIRED, now_ms);
 }
 
 /* Drops the oldest change when the queue is full; the quarantine list itself stays correct. */
@@ -522,7 +524,7 @@
 				      CHANGES_KEPT];
 	suspect_fill_record(suspect, now_ms, &change->record);
 	change->source = source;
-	change->rivals = suspect->rivals;
+	change->alternatives = suspect->alternatives;
 }
 
 static int has_expired(const struct suspect *suspect, int64_t now_ms)
--- a/packages/quarantine/src/quarantine_internal.h
+++ b/packages/quarantine/src/quarantine_internal.h
@@ -71,7 +71,7 @@
 	int is_ambiguous;  /* while quarantined: another request took part in all of its crashes */
 	int is_superseded; /* that other request took part in one more crash since */
 	int64_t trial_ms;  /* last trial run by this instance during the quarantine, 0: none */
-	unsigned int rivals; /* alternative suspects, in two or more of its crashes */
+	unsigned int alternatives; /* alternative suspects, in two or more of its crashes */
 };
 
 TAILQ_HEAD(suspect_list, suspect);
@@ -165,7 +165,7 @@
 void outage_mark_false_alarm(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
 			     int64_t now_ms); /* a byte that came at at_ms disproves it */
 size_t outages_announce_false_alarms(const struct cw_quarantine *quarantine, int64_t now_ms,
-				     struct cw_quarantine_end *crashes, size_t max);
+				     struct cw_quarantine_crash *crashes, size_t max);
 
 /* judge.c */
 struct crash *suspect_find_crash(const struct suspect *suspect, uint32_t outage); /* NULL: none */
--- a/packages/quarantine/src/share.c
+++ b/packages/quarantine/src/share.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 static size_t announce_suspect(const struct suspect *suspect, int64_t now_ms,
-			       struct cw_quarantine_end *crashes, size_t max);
+			       struct cw_quarantine_crash *crashes, size_t max);
 static int is_recently_updated(const struct suspect *suspect, int64_t now_ms);
 static gint compare_likelihood(gconstpointer one, gconstpointer other);
 
@@ -13,8 +13,8 @@
  * never answered. So the likelier suspects are announced first, and those with a single crash take
  * turns.
  */
-size_t cw_quarantine_tell_ends(struct cw_quarantine *quarantine, int64_t now_ms,
-			       struct cw_quarantine_end *crashes, size_t max)
+size_t cw_quarantine_announce_crashes(struct cw_quarantine *quarantine, int64_t now_ms,
+				      struct cw_quarantine_crash *crashes, size_t max)
 {
 	GPtrArray *updated = g_ptr_array_new();
 	struct suspect *suspect;
@@ -50,8 +50,8 @@
  * for ANNOUNCE_MS, plus one older record in turn: a starting instance receives many messages and
  * has the complete list within a second.
  */
-size_t cw_quarantine_tell_records(struct cw_quarantine *quarantine, int64_t now_ms,
-				  struct cw_quarantine_record *records, size_t max)
+size_t cw_quarantine_announce_records(struct cw_quarantine *quarantine, int64_t now_ms,
+				      struct cw_quarantine_record *records, size_t max)
 {
 	const struct suspect *suspect;
 	const struct suspect *next = NULL;
@@ -76,8 +76,8 @@
 	return count;
 }
 
-void cw_quarantine_hear_end(struct cw_quarantine *quarantine,
-			    const struct cw_quarantine_end *report, int64_t now_ms)
+void cw_quarantine_merge_crash(struct cw_quarantine *quarantine,
+			       const struct cw_quarantine_crash *report, int64_t now_ms)
 {
 	struct crash crash = {.server = report->server,
 			      .at_ms = now_ms - report->age_ms,
@@ -104,9 +104,9 @@
  * The newer state wins; a peer that has not received the release of a request cannot quarantine
  * that request again.
  */
-void cw_quarantine_hear_record(struct cw_quarantine *quarantine,
-			       const struct cw_quarantine_record *record,
-			       enum cw_quarantine_source source, int64_t now_ms)
+void cw_quarantine_merge_record(struct cw_quarantine *quarantine,
+				const struct cw_quarantine_record *record,
+				enum cw_quarantine_source source, int64_t now_ms)
 {
 	int64_t since_ms = now_ms - record->age_ms;
 	struct suspect *suspect = suspect_find(quarantine, record->fingerprint);
@@ -133,8 +133,8 @@
 	}
 }
 
-int cw_quarantine_unwritten(const struct cw_quarantine *quarantine, int64_t now_ms,
-			    struct cw_quarantine_record *record)
+int cw_quarantine_find_unwritten(const struct cw_quarantine *quarantine, int64_t now_ms,
+				 struct cw_quarantine_record *record)
 {
 	const struct suspect *suspect;
 
@@ -153,8 +153,8 @@
 	return 0;
 }
 
-void cw_quarantine_written(struct cw_quarantine *quarantine, uint64_t fingerprint, int is_released,
-			   int64_t now_ms)
+void cw_quarantine_mark_written(struct cw_quarantine *quarantine, uint64_t fingerprint,
+				int is_released, int64_t now_ms)
 {
 	struct suspect *suspect = suspect_find(quarantine, fingerprint);
 
@@ -166,14 +166,14 @@
 
 /* Fills in the newest crashes; each carries the time of the last complete answer. */
 static size_t announce_suspect(const struct suspect *suspect, int64_t now_ms,
-			       struct cw_quarantine_end *crashes, size_t max)
+			       struct cw_quarantine_crash *crashes, size_t max)
 {
 	size_t count = 0;
 
 	for (size_t i = suspect->crash_count; i-- > 0 && count < MIN(max, ANNOUNCED_CRASHES_MAX);) {
 		const struct crash *crash = &suspect->crashes[i];
 
-		crashes[count++] = (struct cw_quarantine_end){
+		crashes[count++] = (struct cw_quarantine_crash){
 			.fingerprint = suspect->fingerprint,
 			.server = crash->server,
 			.age_ms = (uint32_t)MAX(now_ms - crash->at_ms, 0),
--- a/tests/fuzz/users_input.c
+++ b/tests/fuzz/users_input.c
@@ -139,17 +139,17 @@
 static void hear_ends(const uint8_t *bytes, size_t size)
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
-	struct cw_quarantine_record records[CW_QUARANTINE_HELD + 1];
+	struct cw_quarantine_record records[CW_QUARANTINE_MAX + 1];
 	struct cw_quarantine_change change;
 	int64_t now_ms = START;
 
 	for (size_t i = 0; i + 2 < size; i += 3) {
 		struct cw_quarantine_request request = {
 			.fingerprint = bytes[i] / 8, .organisation = "o", .target = "t"};
-		struct cw_quarantine_end end = {.fingerprint = bytes[i] / 8,
-						.server = bytes[i + 1] % 16,
-						.age_ms = bytes[i + 2] * 10,
-						.answered_ms = CW_QUARANTINE_NEVER};
+		struct cw_quarantine_crash end = {.fingerprint = bytes[i] / 8,
+						  .server = bytes[i + 1] % 16,
+						  .age_ms = bytes[i + 2] * 10,
+						  .answered_ms = CW_QUARANTINE_NEVER};
 		struct cw_quarantine_record record = {.fingerprint = bytes[i] / 8,
 						      .age_ms = bytes[i + 2] * 10,
 						      .is_released = bytes[i + 1] % 2};
@@ -157,34 +157,34 @@
 		now_ms += bytes[i + 1];
 		switch (bytes[i] % 8) {
 		case 0:
-			cw_quarantine_hear_record(quarantine, &record, CW_QUARANTINE_PEER, now_ms);
+			cw_quarantine_merge_record(quarantine, &record, CW_QUARANTINE_PEER, now_ms);
 			break;
 		case 1:
-			cw_quarantine_answered(quarantine, request.fingerprint, end.server,
-					       bytes[i + 2], now_ms);
+			cw_quarantine_note_answer(quarantine, request.fingerprint, end.server,
+						  bytes[i + 2], now_ms);
 			break;
 		case 2:
-			cw_quarantine_left(quarantine, request.fingerprint, end.server,
-					   bytes[i + 2], now_ms);
+			cw_quarantine_note_finished(quarantine, request.fingerprint, end.server,
+						    bytes[i + 2], now_ms);
 			break;
 		case 3:
 			end.answered_ms = bytes[i + 1] * 10;
-			cw_quarantine_hear_end(quarantine, &end, now_ms);
+			cw_quarantine_merge_crash(quarantine, &end, now_ms);
 			break;
 		default:
-			cw_quarantine_broke(quarantine, &request, end.server, bytes[i + 2],
-					    bytes[i + 1] % 2, now_ms);
+			cw_quarantine_note_break(quarantine, &request, end.server, bytes[i + 2],
+						 bytes[i + 1] % 2, now_ms);
 		}
 		cw_quarantine_tick(quarantine, now_ms);
 		while (cw_quarantine_next_change(quarantine, &change))
 			check(change.record.fingerprint < 32, "a change of an unknown request");
-		check(cw_quarantine_list(quarantine, now_ms, records, CW_QUARANTINE_HELD + 1) <=
-			      CW_QUARANTINE_HELD,
+		check(cw_quarantine_list(quarantine, now_ms, records, CW_QUARANTINE_MAX + 1) <=
+			      CW_QUARANTINE_MAX,
 		      "more requests are held than may be");
 	}
-	cw_quarantine_answered(quarantine, 1, 99, 0, now_ms + 1);
+	cw_quarantine_note_answer(quarantine, 1, 99, 0, now_ms + 1);
 	cw_quarantine_tick(quarantine, now_ms + 2000);
-	check(!cw_quarantine_holds(quarantine, 1), "a request is held that was answered");
+	check(!cw_quarantine_contains(quarantine, 1), "a request is held that was answered");
 	cw_quarantine_destroy(quarantine);
 }
 
--- a/tests/unit/quarantine_bed.c
+++ b/tests/unit/quarantine_bed.c
@@ -11,9 +11,9 @@
 {
 	struct cw_quarantine_request request = bed_request(fingerprint, "museo");
 
-	cw_quarantine_broke(quarantine, &request, server, fingerprint == POISON ? 50 : 900, 0,
-			    now_ms);
-	cw_quarantine_gone(quarantine, server, now_ms);
+	cw_quarantine_note_break(quarantine, &request, server, fingerprint == POISON ? 50 : 900, 0,
+				 now_ms);
+	cw_quarantine_note_unreachable(quarantine, server, now_ms);
 	cw_quarantine_tick(quarantine, now_ms);
 }
 
@@ -26,24 +26,25 @@
 
 size_t bed_count_quarantined(const struct cw_quarantine *quarantine)
 {
-	struct cw_quarantine_record records[CW_QUARANTINE_HELD];
+	struct cw_quarantine_record records[CW_QUARANTINE_MAX];
 
-	return cw_quarantine_list(quarantine, NOW, records, CW_QUARANTINE_HELD);
+	return cw_quarantine_list(quarantine, NOW, records, CW_QUARANTINE_MAX);
 }
 
 /* Sends one message from one instance to another. */
 void bed_announce(struct cw_quarantine *from, struct cw_quarantine *to, int64_t now_ms)
 {
-	struct cw_quarantine_end crashes[CW_QUARANTINE_ENDS];
-	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS];
-	size_t crash_count = cw_quarantine_tell_ends(from, now_ms, crashes, CW_QUARANTINE_ENDS);
+	struct cw_quarantine_crash crashes[CW_QUARANTINE_CRASHES_MAX];
+	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS_MAX];
+	size_t crash_count =
+		cw_quarantine_announce_crashes(from, now_ms, crashes, CW_QUARANTINE_CRASHES_MAX);
 	size_t record_count =
-		cw_quarantine_tell_records(from, now_ms, records, CW_QUARANTINE_RECORDS);
+		cw_quarantine_announce_records(from, now_ms, records, CW_QUARANTINE_RECORDS_MAX);
 
 	for (size_t i = 0; i < crash_count; i++)
-		cw_quarantine_hear_end(to, &crashes[i], now_ms);
+		cw_quarantine_merge_crash(to, &crashes[i], now_ms);
 	for (size_t i = 0; i < record_count; i++)
-		cw_quarantine_hear_record(to, &records[i], CW_QUARANTINE_PEER, now_ms);
+		cw_quarantine_merge_record(to, &records[i], CW_QUARANTINE_PEER, now_ms);
 }
 
 void bed_exchange(struct cw_quarantine *from, struct cw_quarantine *to, int64_t from_ms,
--- a/tests/unit/test_gate_quarantine.c
+++ b/tests/unit/test_gate_quarantine.c
@@ -18,8 +18,8 @@
 		sends++;
 		cw_call_handle_failure(fixture->call, CW_ATTEMPT_CONNECTION_LOST,
 				       FIXTURE_NOW_MS + (int64_t)sends * 2000, &fixture->step);
-		cw_quarantine_gone(cw_gate_quarantine(fixture->gate), server,
-				   FIXTURE_NOW_MS + (int64_t)sends * 2000);
+		cw_quarantine_note_unreachable(cw_gate_quarantine(fixture->gate), server,
+					       FIXTURE_NOW_MS + (int64_t)sends * 2000);
 		cw_quarantine_tick(cw_gate_quarantine(fixture->gate),
 				   FIXTURE_NOW_MS + (int64_t)sends * 2000);
 	}
@@ -34,8 +34,8 @@
 	fixture->facts.body = BODY;
 	fixture_open_call(fixture, "/chat/x");
 	record.fingerprint = cw_call_fingerprint(fixture->call);
-	cw_quarantine_hear_record(cw_gate_quarantine(fixture->gate), &record, CW_QUARANTINE_PEER,
-				  FIXTURE_NOW_MS);
+	cw_quarantine_merge_record(cw_gate_quarantine(fixture->gate), &record, CW_QUARANTINE_PEER,
+				   FIXTURE_NOW_MS);
 }
 
 /*
@@ -143,8 +143,9 @@
 {
 	struct cw_response_head low_confidence = {
 		.status = 200, .is_signed = 1, .is_event_stream = 1, .confidence = 0};
-	struct cw_quarantine_end ends[CW_QUARANTINE_ENDS];
-	struct cw_quarantine_end received = {.fingerprint = 1, .answered_ms = CW_QUARANTINE_NEVER};
+	struct cw_quarantine_crash ends[CW_QUARANTINE_CRASHES_MAX];
+	struct cw_quarantine_crash received = {.fingerprint = 1,
+					       .answered_ms = CW_QUARANTINE_NEVER};
 	struct fixture fixture;
 	size_t count;
 
@@ -154,9 +155,10 @@
 	received.server = fixture.step.server->id;
 	cw_call_handle_head(fixture.call, &low_confidence, FIXTURE_NOW_MS + 20, &fixture.step);
 	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
-	cw_quarantine_hear_end(cw_gate_quarantine(fixture.gate), &received, FIXTURE_NOW_MS + 70);
-	count = cw_quarantine_tell_ends(cw_gate_quarantine(fixture.gate), FIXTURE_NOW_MS + 70, ends,
-					CW_QUARANTINE_ENDS);
+	cw_quarantine_merge_crash(cw_gate_quarantine(fixture.gate), &received, FIXTURE_NOW_MS + 70);
+	count = cw_quarantine_announce_crashes(cw_gate_quarantine(fixture.gate),
+					       FIXTURE_NOW_MS + 70, ends,
+					       CW_QUARANTINE_CRASHES_MAX);
 	assert_int_equal(count, 2);
 	assert_int_equal(ends[0].server, ends[1].server);
 	fixture_close(&fixture);
@@ -175,9 +177,9 @@
 		struct cw_quarantine_request alternative = request;
 
 		alternative.fingerprint++;
-		cw_quarantine_broke(quarantine, &request, server, 5, 0, FIXTURE_NOW_MS);
-		cw_quarantine_broke(quarantine, &alternative, server, 900, 0, FIXTURE_NOW_MS);
-		cw_quarantine_gone(quarantine, server, FIXTURE_NOW_MS);
+		cw_quarantine_note_break(quarantine, &request, server, 5, 0, FIXTURE_NOW_MS);
+		cw_quarantine_note_break(quarantine, &alternative, server, 900, 0, FIXTURE_NOW_MS);
+		cw_quarantine_note_unreachable(quarantine, server, FIXTURE_NOW_MS);
 	}
 	for (int64_t now_ms = FIXTURE_NOW_MS; now_ms < FIXTURE_NOW_MS + 7000; now_ms += 100)
 		cw_quarantine_tick(quarantine, now_ms);
--- a/tests/unit/test_gossip.c
+++ b/tests/unit/test_gossip.c
@@ -86,8 +86,8 @@
 	sent.member_count = CW_GOSSIP_MEMBERS;
 	sent.rollouts[0].session_count = CW_ROLLOUT_MAX_SESSIONS;
 	/* Full messages carry server crashes, and reach all instances within a second. */
-	sent.crash_count = CW_QUARANTINE_ENDS;
-	sent.quarantined_count = CW_QUARANTINE_RECORDS;
+	sent.crash_count = CW_QUARANTINE_CRASHES_MAX;
+	sent.quarantined_count = CW_QUARANTINE_RECORDS_MAX;
 	cw_gossip_trim(&sent);
 	size = cw_gossip_encode(&sent, bytes, sizeof(bytes));
 	/* 65 messages of this size every 150 ms take at most 3 Mbit/s. */
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -11,10 +11,10 @@
 
 	bed_crash_server(quarantine, POISON, 1, NOW);
 	bed_crash_server(quarantine, POISON, 2, NOW + 60);
-	assert_false(cw_quarantine_holds(quarantine, POISON));
+	assert_false(cw_quarantine_contains(quarantine, POISON));
 	bed_crash_server(quarantine, POISON, 3, NOW + 120);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
-	assert_false(cw_quarantine_holds(quarantine, HARMLESS));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
+	assert_false(cw_quarantine_contains(quarantine, HARMLESS));
 	assert_true(cw_quarantine_next_change(quarantine, &change));
 	assert_int_equal(change.record.fingerprint, POISON);
 	assert_string_equal(change.record.organisation, "museo");
@@ -27,22 +27,22 @@
 static void reports_of_one_crash_count_once(void **state)
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
-	struct cw_quarantine_end report = {.fingerprint = POISON,
-					   .server = 1,
-					   .ran_ms = 50,
-					   .is_confirmed = 1,
-					   .answered_ms = CW_QUARANTINE_NEVER};
+	struct cw_quarantine_crash report = {.fingerprint = POISON,
+					     .server = 1,
+					     .ran_ms = 50,
+					     .is_confirmed = 1,
+					     .answered_ms = CW_QUARANTINE_NEVER};
 
 	for (int i = 0; i < 5; i++)
 		bed_crash_server(quarantine, POISON, 1, NOW + i);
 	for (report.age_ms = 0; report.age_ms < 300; report.age_ms += 50)
-		cw_quarantine_hear_end(quarantine, &report, NOW + 200);
+		cw_quarantine_merge_crash(quarantine, &report, NOW + 200);
 	bed_run_ticks(quarantine, NOW + 200, NOW + DECISION_MS);
-	assert_false(cw_quarantine_holds(quarantine, POISON));
+	assert_false(cw_quarantine_contains(quarantine, POISON));
 	/* The server crashes again once it has recovered. */
 	bed_crash_server(quarantine, POISON, 1, NOW + 2000);
 	bed_crash_server(quarantine, POISON, 1, NOW + 4000);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -63,7 +63,7 @@
 		cw_quarantine_tick(quarantine, NOW + server * 80);
 	}
 	bed_run_ticks(quarantine, NOW + DECISION_MS, NOW + DECISION_MS + 1000);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	assert_int_equal(bed_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
@@ -79,7 +79,7 @@
 		bed_crash_server(quarantine, POISON, server, NOW + server * 80);
 	}
 	bed_run_ticks(quarantine, NOW + 240, NOW + DECISION_MS);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	assert_int_equal(bed_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
@@ -96,7 +96,7 @@
 		int64_t now_ms = NOW + i * 600;
 
 		bed_crash_server(quarantine, HARMLESS, (uint64_t)i % 6, now_ms);
-		cw_quarantine_answered(quarantine, HARMLESS, 7, 50, now_ms + 100);
+		cw_quarantine_note_answer(quarantine, HARMLESS, 7, 50, now_ms + 100);
 		bed_run_ticks(quarantine, now_ms + 100, now_ms + 500);
 		assert_int_equal(bed_count_quarantined(quarantine), 0);
 	}
@@ -108,12 +108,12 @@
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 
-	cw_quarantine_answered(quarantine, HARMLESS, 7, 50, NOW - 1000);
+	cw_quarantine_note_answer(quarantine, HARMLESS, 7, 50, NOW - 1000);
 	cw_quarantine_tick(quarantine, NOW);
 	for (int server = 1; server <= 5; server++)
 		bed_crash_server(quarantine, HARMLESS, server, NOW + server);
 	bed_run_ticks(quarantine, NOW + 5, NOW + DECISION_MS);
-	assert_false(cw_quarantine_holds(quarantine, HARMLESS));
+	assert_false(cw_quarantine_contains(quarantine, HARMLESS));
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -122,13 +122,13 @@
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 
-	cw_quarantine_answered(quarantine, HARMLESS, 7, 50, NOW - 1000);
+	cw_quarantine_note_answer(quarantine, HARMLESS, 7, 50, NOW - 1000);
 	cw_quarantine_tick(quarantine, NOW);
 	for (int server = 1; server <= 3; server++)
 		bed_crash_server(quarantine, HARMLESS, server, NOW + server * 500);
-	assert_true(cw_quarantine_holds(quarantine, HARMLESS));
+	assert_true(cw_quarantine_contains(quarantine, HARMLESS));
 	bed_run_ticks(quarantine, NOW + 1500, NOW + 12000);
-	assert_false(cw_quarantine_holds(quarantine, HARMLESS));
+	assert_false(cw_quarantine_contains(quarantine, HARMLESS));
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -137,14 +137,14 @@
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 	for (int server = 1; server <= 3; server++) {
-		cw_quarantine_left(quarantine, POISON, server, 5, NOW + server * 500);
+		cw_quarantine_note_finished(quarantine, POISON, server, 5, NOW + server * 500);
 		bed_crash_server(quarantine, HARMLESS + server, server, NOW + server * 500 + 50);
 	}
 	/* This request had finished long before the crash. */
-	cw_quarantine_left(quarantine, POISON, 9, 5, NOW + 2000);
+	cw_quarantine_note_finished(quarantine, POISON, 9, 5, NOW + 2000);
 	bed_crash_server(quarantine, HARMLESS + 9, 9, NOW + 4000);
 	bed_run_ticks(quarantine, NOW + 2000, NOW + 2000 + DECISION_MS);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	assert_int_equal(bed_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
@@ -160,11 +160,11 @@
 	for (int server = 1; server <= 3; server++) {
 		int64_t now_ms = NOW + server * 2000;
 
-		cw_quarantine_answered(quarantine, POISON, server, 30, now_ms);
+		cw_quarantine_note_answer(quarantine, POISON, server, 30, now_ms);
 		bed_crash_server(quarantine, HARMLESS + server, server, now_ms + 20);
 		bed_run_ticks(quarantine, now_ms + 20, now_ms + 1900);
 	}
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	assert_int_equal(bed_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
@@ -185,9 +185,9 @@
 		cw_quarantine_tick(quarantine, now_ms);
 		bed_crash_server(quarantine, HARMLESS, server, now_ms);
 		/* Sent before the crash, and read after the crash. */
-		cw_quarantine_heard(quarantine, server, NOW, now_ms + 1);
+		cw_quarantine_note_received(quarantine, server, NOW, now_ms + 1);
 		if (server < 3)
-			cw_quarantine_heard(quarantine, server, NOW, now_ms + 100);
+			cw_quarantine_note_received(quarantine, server, NOW, now_ms + 100);
 	}
 	bed_run_ticks(quarantine, NOW + 450, NOW + 450 + DECISION_MS);
 	assert_int_equal(bed_count_quarantined(quarantine), 0);
@@ -209,9 +209,9 @@
 	for (int server = 1; server <= 3; server++)
 		bed_crash_server(quarantine, POISON, server, NOW + server);
 	cw_quarantine_tick(quarantine, NOW + 800);
-	cw_quarantine_heard(quarantine, 1, NOW - 100, NOW + 801);
+	cw_quarantine_note_received(quarantine, 1, NOW - 100, NOW + 801);
 	bed_run_ticks(quarantine, NOW + 900, NOW + 900 + DECISION_MS);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -223,19 +223,19 @@
 static void a_recovered_server_can_crash_again(void **state)
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
-	struct cw_quarantine_end report = {.fingerprint = POISON,
-					   .server = 1,
-					   .ran_ms = 40,
-					   .is_running = 1,
-					   .is_confirmed = 1,
-					   .answered_ms = CW_QUARANTINE_NEVER};
+	struct cw_quarantine_crash report = {.fingerprint = POISON,
+					     .server = 1,
+					     .ran_ms = 40,
+					     .is_running = 1,
+					     .is_confirmed = 1,
+					     .answered_ms = CW_QUARANTINE_NEVER};
 
 	for (int i = 0; i < 3; i++) {
 		bed_crash_server(quarantine, HARMLESS + i, 1, NOW + i * 760);
-		cw_quarantine_hear_end(quarantine, &report, NOW + i * 760 + 740);
+		cw_quarantine_merge_crash(quarantine, &report, NOW + i * 760 + 740);
 	}
 	bed_run_ticks(quarantine, NOW + 2300, NOW + 2300 + DECISION_MS);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -247,10 +247,10 @@
 
 	for (int server = 1; server <= 4; server++) {
 		bed_crash_server(quarantine, POISON, server, NOW + server * 50);
-		cw_quarantine_broke(quarantine, &late, server, 1, 0, NOW + server * 50 + 20);
+		cw_quarantine_note_break(quarantine, &late, server, 1, 0, NOW + server * 50 + 20);
 	}
 	bed_run_ticks(quarantine, NOW + 300, NOW + 300 + DECISION_MS);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	assert_int_equal(bed_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
@@ -265,7 +265,7 @@
 	struct cw_quarantine_request request = bed_request(HARMLESS, "museo");
 
 	for (int server = 1; server <= 5; server++)
-		cw_quarantine_broke(quarantine, &request, server, 40, 0, NOW + server * 100);
+		cw_quarantine_note_break(quarantine, &request, server, 40, 0, NOW + server * 100);
 	bed_run_ticks(quarantine, NOW + 500, NOW + 500 + DECISION_MS);
 	assert_int_equal(bed_count_quarantined(quarantine), 0);
 	cw_quarantine_destroy(quarantine);
@@ -283,11 +283,11 @@
 			struct cw_quarantine_request request = bed_request(
 				i ? HARMLESS + (uint64_t)server * 10 + i : POISON, "museo");
 
-			cw_quarantine_broke(quarantine, &request, server, 40, 0,
-					    NOW + server * 100 + (int64_t)i);
+			cw_quarantine_note_break(quarantine, &request, server, 40, 0,
+						 NOW + server * 100 + (int64_t)i);
 		}
 	bed_run_ticks(quarantine, NOW + 300, NOW + 300 + DECISION_MS);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	assert_int_equal(bed_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
@@ -306,16 +306,17 @@
 	for (int i = 0; i < 1000; i++) {
 		poison = bed_request((uint64_t)(HARMLESS + i), "other");
 		for (uint64_t j = 0; j < 3; j++) {
-			cw_quarantine_broke(quarantine, &poison, 100 + (uint64_t)i * 3 + j, 40, 0,
-					    NOW + i);
-			cw_quarantine_gone(quarantine, 100 + (uint64_t)i * 3 + j, NOW + i);
+			cw_quarantine_note_break(quarantine, &poison, 100 + (uint64_t)i * 3 + j, 40,
+						 0, NOW + i);
+			cw_quarantine_note_unreachable(quarantine, 100 + (uint64_t)i * 3 + j,
+						       NOW + i);
 		}
 		cw_quarantine_tick(quarantine, NOW + i);
 	}
 	assert_true(bed_count_quarantined(quarantine) <= 16);
 	bed_crash_server(quarantine, POISON, 3, NOW + 1000);
 	bed_run_ticks(quarantine, NOW + 1000, NOW + 1000 + DECISION_MS);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -329,10 +330,10 @@
 		struct cw_quarantine_request shared = bed_request(HARMLESS, "others");
 
 		bed_crash_server(one, POISON, server, NOW + server * 50);
-		cw_quarantine_broke(one, &shared, server, 5, 0, NOW + server * 50);
+		cw_quarantine_note_break(one, &shared, server, 5, 0, NOW + server * 50);
 	}
 	bed_exchange(one, other, NOW + 200, NOW + 8000);
-	assert_true(cw_quarantine_holds(other, HARMLESS));
+	assert_true(cw_quarantine_contains(other, HARMLESS));
 }
 
 /*
@@ -347,16 +348,16 @@
 	quarantine_harmless_request(one, other);
 	bed_crash_server(one, POISON, 4, NOW + 8000);
 	bed_exchange(one, other, NOW + 8100, NOW + 9500);
-	assert_true(cw_quarantine_holds(one, POISON));
-	assert_true(cw_quarantine_holds(other, POISON));
+	assert_true(cw_quarantine_contains(one, POISON));
+	assert_true(cw_quarantine_contains(other, POISON));
 	assert_true(cw_quarantine_wants_trial(other, HARMLESS, NOW + 9500));
-	cw_quarantine_try(other, HARMLESS, NOW + 9500);
-	cw_quarantine_answered(other, HARMLESS, 5, 100, NOW + 9600);
+	cw_quarantine_begin_trial(other, HARMLESS, NOW + 9500);
+	cw_quarantine_note_answer(other, HARMLESS, 5, 100, NOW + 9600);
 	bed_exchange(other, one, NOW + 9600, NOW + 11500);
-	assert_false(cw_quarantine_holds(one, HARMLESS));
-	assert_false(cw_quarantine_holds(other, HARMLESS));
-	assert_true(cw_quarantine_holds(one, POISON));
-	assert_true(cw_quarantine_holds(other, POISON));
+	assert_false(cw_quarantine_contains(one, HARMLESS));
+	assert_false(cw_quarantine_contains(other, HARMLESS));
+	assert_true(cw_quarantine_contains(one, POISON));
+	assert_true(cw_quarantine_contains(other, POISON));
 	cw_quarantine_destroy(one);
 	cw_quarantine_destroy(other);
 }
@@ -374,8 +375,8 @@
 	for (int server = 4; server <= 6; server++)
 		bed_crash_server(one, POISON, server, NOW + server * 2000);
 	bed_exchange(one, other, NOW + 12100, NOW + 14000);
-	assert_true(cw_quarantine_holds(one, HARMLESS));
-	assert_true(cw_quarantine_holds(other, HARMLESS));
+	assert_true(cw_quarantine_contains(one, HARMLESS));
+	assert_true(cw_quarantine_contains(other, HARMLESS));
 	cw_quarantine_destroy(one);
 	cw_quarantine_destroy(other);
 }
@@ -390,13 +391,13 @@
 	struct cw_quarantine_request retry = bed_request(HARMLESS, "others");
 
 	quarantine_harmless_request(one, other);
-	cw_quarantine_try(one, HARMLESS, NOW + 8000);
+	cw_quarantine_begin_trial(one, HARMLESS, NOW + 8000);
 	assert_false(cw_quarantine_wants_trial(one, HARMLESS, NOW + 8000));
-	cw_quarantine_broke(one, &retry, 7, 100, 0, NOW + 8200);
-	cw_quarantine_gone(one, 7, NOW + 8200);
+	cw_quarantine_note_break(one, &retry, 7, 100, 0, NOW + 8200);
+	cw_quarantine_note_unreachable(one, 7, NOW + 8200);
 	bed_exchange(one, other, NOW + 8200, NOW + 30000);
-	assert_true(cw_quarantine_holds(one, HARMLESS));
-	assert_true(cw_quarantine_holds(other, HARMLESS));
+	assert_true(cw_quarantine_contains(one, HARMLESS));
+	assert_true(cw_quarantine_contains(other, HARMLESS));
 	assert_false(cw_quarantine_wants_trial(one, HARMLESS, NOW + 30000));
 	assert_false(cw_quarantine_wants_trial(other, HARMLESS, NOW + 30000));
 	cw_quarantine_destroy(one);
@@ -411,7 +412,7 @@
 
 	quarantine_harmless_request(one, other);
 	assert_true(cw_quarantine_wants_trial(one, HARMLESS, NOW + 8000));
-	cw_quarantine_try(one, HARMLESS, NOW + 8000);
+	cw_quarantine_begin_trial(one, HARMLESS, NOW + 8000);
 	assert_false(cw_quarantine_wants_trial(one, HARMLESS, NOW + 12000));
 	assert_true(cw_quarantine_wants_trial(one, HARMLESS, NOW + 19000));
 	cw_quarantine_destroy(one);
@@ -435,7 +436,7 @@
 	for (int server = 4; server <= 5; server++)
 		bed_crash_server(quarantine, HARMLESS, server, NOW + server * 2000);
 	bed_run_ticks(quarantine, NOW + 10000, NOW + 12000);
-	assert_true(cw_quarantine_holds(quarantine, POISON));
+	assert_true(cw_quarantine_contains(quarantine, POISON));
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -446,10 +447,10 @@
 
 	bed_crash_server(quarantine, POISON, 1, NOW);
 	bed_crash_server(quarantine, POISON, 2, NOW + 100);
-	assert_false(cw_quarantine_doubts(quarantine, 2, NOW + 100));
+	assert_false(cw_quarantine_explains_crash(quarantine, 2, NOW + 100));
 	bed_crash_server(quarantine, POISON, 3, NOW + 200);
-	assert_true(cw_quarantine_doubts(quarantine, 3, NOW + 200));
-	assert_false(cw_quarantine_doubts(quarantine, 4, NOW + 200));
+	assert_true(cw_quarantine_explains_crash(quarantine, 3, NOW + 200));
+	assert_false(cw_quarantine_explains_crash(quarantine, 4, NOW + 200));
 	cw_quarantine_destroy(quarantine);
 }
 
--- a/tests/unit/test_quarantine_causes.c
+++ b/tests/unit/test_quarantine_causes.c
@@ -70,9 +70,9 @@
 		if (!run->is_busy || run->server != server)
 			continue;
 		run->is_busy = 0;
-		cw_quarantine_broke(quarantine, &request, server, simulation->now_ms - run->sent_ms,
-				    1, simulation->now_ms);
-		cw_quarantine_gone(quarantine, server, simulation->now_ms);
+		cw_quarantine_note_break(quarantine, &request, server,
+					 simulation->now_ms - run->sent_ms, 1, simulation->now_ms);
+		cw_quarantine_note_unreachable(quarantine, server, simulation->now_ms);
 	}
 }
 
@@ -90,8 +90,9 @@
 			continue;
 		}
 		run->is_busy = 0;
-		cw_quarantine_answered(simulation->instances[run->instance], run->body, run->server,
-				       simulation->now_ms - run->sent_ms, simulation->now_ms);
+		cw_quarantine_note_answer(simulation->instances[run->instance], run->body,
+					  run->server, simulation->now_ms - run->sent_ms,
+					  simulation->now_ms);
 	}
 }
 
@@ -100,11 +101,11 @@
 {
 	struct cw_quarantine *quarantine = simulation->instances[instance];
 
-	if (!cw_quarantine_holds(quarantine, body))
+	if (!cw_quarantine_contains(quarantine, body))
 		return 1;
 	if (instance > 0 || !cw_quarantine_wants_trial(quarantine, body, simulation->now_ms))
 		return 0;
-	cw_quarantine_try(quarantine, body, simulation->now_ms);
+	cw_quarantine_begin_trial(quarantine, body, simulation->now_ms);
 	return 1;
 }
 
@@ -198,7 +199,7 @@
 }
 
 /* Fails if poison requests keep crashing servers, or harmless ones are refused. */
-static void of_several_causes_each_is_found_and_nobody_else(void **state)
+static void poison_requests_are_quarantined_and_harmless_ones_served(void **state)
 {
 	struct simulation *simulation = g_new0(struct simulation, 1);
 	unsigned int failed_seeds = 0;
@@ -226,7 +227,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(of_several_causes_each_is_found_and_nobody_else),
+		cmocka_unit_test(poison_requests_are_quarantined_and_harmless_ones_served),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/unit/test_quarantine_peers.c
+++ b/tests/unit/test_quarantine_peers.c
@@ -10,7 +10,7 @@
 	struct cw_quarantine *one = cw_quarantine_create();
 	struct cw_quarantine *other = cw_quarantine_create();
 
-	cw_quarantine_answered(other, HARMLESS, 7, 50, NOW + 200);
+	cw_quarantine_note_answer(other, HARMLESS, 7, 50, NOW + 200);
 	bed_crash_server(one, HARMLESS, 1, NOW);
 	bed_crash_server(one, HARMLESS, 2, NOW + 100);
 	bed_announce(one, other, NOW + 250);
@@ -18,7 +18,7 @@
 	bed_announce(other, one, NOW + 1260);
 	bed_crash_server(one, HARMLESS, 3, NOW + 1300);
 	bed_run_ticks(one, NOW + 1300, NOW + 1300 + DECISION_MS);
-	assert_false(cw_quarantine_holds(one, HARMLESS));
+	assert_false(cw_quarantine_contains(one, HARMLESS));
 	cw_quarantine_destroy(one);
 	cw_quarantine_destroy(other);
 }
@@ -43,7 +43,7 @@
 			cw_quarantine_tick(all[i], now_ms);
 		}
 	for (int i = 0; i < 4; i++) {
-		assert_true(cw_quarantine_holds(all[i], POISON));
+		assert_true(cw_quarantine_contains(all[i], POISON));
 		cw_quarantine_destroy(all[i]);
 	}
 }
@@ -60,15 +60,15 @@
 
 	for (int server = 1; server <= 3; server++)
 		bed_crash_server(one, POISON, server, NOW + server);
-	assert_false(cw_quarantine_unwritten(one, NOW + 3, &record));
+	assert_false(cw_quarantine_find_unwritten(one, NOW + 3, &record));
 	bed_run_ticks(one, NOW + 3, NOW + 20000);
-	assert_true(cw_quarantine_unwritten(one, NOW + 20000, &record));
+	assert_true(cw_quarantine_find_unwritten(one, NOW + 20000, &record));
 	assert_int_equal(record.fingerprint, POISON);
-	cw_quarantine_written(one, POISON, 0, NOW + 20000);
-	assert_false(cw_quarantine_unwritten(one, NOW + 20000, &record));
+	cw_quarantine_mark_written(one, POISON, 0, NOW + 20000);
+	assert_false(cw_quarantine_find_unwritten(one, NOW + 20000, &record));
 	bed_announce(one, other, NOW + 20000);
-	assert_true(cw_quarantine_holds(other, POISON));
-	assert_false(cw_quarantine_unwritten(other, NOW + 20000, &record));
+	assert_true(cw_quarantine_contains(other, POISON));
+	assert_false(cw_quarantine_find_unwritten(other, NOW + 20000, &record));
 	cw_quarantine_destroy(one);
 	cw_quarantine_destroy(other);
 }
@@ -84,15 +84,15 @@
 		bed_crash_server(one, POISON, server, NOW + server);
 	bed_run_ticks(one, NOW + 3, NOW + DECISION_MS);
 	bed_announce(one, other, NOW + DECISION_MS);
-	assert_true(cw_quarantine_holds(other, POISON));
+	assert_true(cw_quarantine_contains(other, POISON));
 	assert_true(cw_quarantine_release(one, POISON, NOW + 2000));
 	assert_false(cw_quarantine_release(one, POISON, NOW + 2000));
 	bed_announce(other, one, NOW + 2100);
 	bed_run_ticks(one, NOW + 2100, NOW + 2500);
-	assert_false(cw_quarantine_holds(one, POISON));
+	assert_false(cw_quarantine_contains(one, POISON));
 	bed_announce(one, other, NOW + 2600);
-	assert_false(cw_quarantine_holds(other, POISON));
-	assert_true(cw_quarantine_unwritten(one, NOW + 2600, &record));
+	assert_false(cw_quarantine_contains(other, POISON));
+	assert_true(cw_quarantine_find_unwritten(one, NOW + 2600, &record));
 	assert_true(record.is_released);
 	cw_quarantine_destroy(one);
 	cw_quarantine_destroy(other);
@@ -109,7 +109,7 @@
 		bed_crash_server(one, HARMLESS, server, NOW + server);
 		bed_announce(one, other, NOW + 50);
 		bed_run_ticks(other, NOW + 100, NOW + 200);
-		cw_quarantine_heard(other, server, NOW - 100, NOW + 200);
+		cw_quarantine_note_received(other, server, NOW - 100, NOW + 200);
 	}
 	bed_announce(other, one, NOW + 250);
 	bed_announce(one, other, NOW + 260);
@@ -129,7 +129,7 @@
 static void the_request_with_the_most_crashes_is_announced_first(void **state)
 {
 	struct cw_quarantine *one = cw_quarantine_create();
-	struct cw_quarantine_end crashes[CW_QUARANTINE_ENDS];
+	struct cw_quarantine_crash crashes[CW_QUARANTINE_CRASHES_MAX];
 	size_t poison = 0;
 	size_t count;
 
@@ -139,8 +139,8 @@
 				bed_crash_server(one, HARMLESS + i, server, NOW + server * 50);
 		bed_crash_server(one, POISON, server, NOW + server * 50);
 	}
-	count = cw_quarantine_tell_ends(one, NOW + 200, crashes, CW_QUARANTINE_ENDS);
-	assert_int_equal(count, CW_QUARANTINE_ENDS);
+	count = cw_quarantine_announce_crashes(one, NOW + 200, crashes, CW_QUARANTINE_CRASHES_MAX);
+	assert_int_equal(count, CW_QUARANTINE_CRASHES_MAX);
 	for (size_t i = 0; i < count; i++)
 		poison += crashes[i].fingerprint == POISON;
 	assert_int_equal(poison, 3);
@@ -155,16 +155,16 @@
 {
 	struct cw_quarantine *one = cw_quarantine_create();
 	struct cw_quarantine *other = cw_quarantine_create();
-	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS];
+	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS_MAX];
 
 	for (uint64_t i = 0; i < 12; i++)
 		for (uint64_t j = 0; j < 3; j++)
 			bed_crash_server(one, HARMLESS + i, i * 3 + j, NOW + (int64_t)i);
 	bed_run_ticks(one, NOW + 12, NOW + DECISION_MS);
-	assert_true(cw_quarantine_tell_records(one, NOW + DECISION_MS, records,
-					       CW_QUARANTINE_RECORDS) == 12);
-	assert_true(cw_quarantine_tell_records(one, NOW + 9000, records, CW_QUARANTINE_RECORDS) ==
-		    1);
+	assert_true(cw_quarantine_announce_records(one, NOW + DECISION_MS, records,
+						   CW_QUARANTINE_RECORDS_MAX) == 12);
+	assert_true(cw_quarantine_announce_records(one, NOW + 9000, records,
+						   CW_QUARANTINE_RECORDS_MAX) == 1);
 	/* An instance that starts now has the list after as many messages as there are records. */
 	for (int i = 0; i < 12; i++)
 		bed_announce(one, other, NOW + 9000 + i);
