--- a/tests/unit/test_pool.c
+++ b/tests/unit/test_pool.c
@@ -113,8 +113,8 @@
 		TAILQ_FOREACH(server, cw_pool_servers(pool), link) {
 			tracked_count += server->is_tracked;
 			own += server->is_tracked && server->failure_domain[0] == 'n';
-			users[atoi(server->name + 1)] +=
-				server->is_tracked; /* NOLINT(cert-err34-c) */
+			/* NOLINTNEXTLINE(cert-err34-c) */
+			users[atoi(server->name + 1)] += server->is_tracked;
 		}
 		assert_int_equal(tracked_count, CW_TRACKED_SERVERS);
 		assert_true(own > tracked_count / 2);
