--- a/packages/platform/include/cw_platform.h
+++ b/packages/platform/include/cw_platform.h
@@ -1,4 +1,7 @@
-/* The platform's services, each behind a table of function pointers; HTTP is one of their kinds. */
+/*
+ * The services of the platform: the log, the list of members and the rating of answers. Each is
+ * accessed through a table of function pointers; the tables defined here use HTTP.
+ */
 #ifndef CW_PLATFORM_H
 #define CW_PLATFORM_H
 
@@ -9,19 +12,20 @@
 
 struct cw_platform_record {
 	uint64_t offset;
-	int64_t time_ms;
-	char *data; /* JSON text */
+	int64_t time_ms; /* as reported by the platform */
+	char *data;	 /* JSON text */
 };
 
 struct cw_platform_read {
-	uint64_t first; /* oldest offset kept; 0: not said */
+	uint64_t first; /* oldest offset kept by the log; 0: not reported */
 	struct cw_platform_record *list;
 	size_t count;
 };
 
+/* An instance or a backend server, as the platform lists it. */
 struct cw_platform_member {
 	char name[CW_NAME_MAX];
-	int is_instance;
+	int is_instance; /* 0: a backend server */
 	char address[CW_ADDRESS_MAX];
 	char peer_address[CW_ADDRESS_MAX];
 	char failure_domain[CW_NAME_MAX];
@@ -30,6 +34,7 @@
 	int checks_fencing;
 };
 
+/* An answer to be rated by the platform. */
 struct cw_rating_request {
 	const char *request_id;
 	const char *organisation;
@@ -40,7 +45,7 @@
 };
 
 struct cw_log_ops {
-	/* CW_REFUSED, CW_UNREACHABLE: not kept. CW_UNKNOWN: no answer, it may have been kept. */
+	/* CW_REFUSED, CW_UNREACHABLE: not appended. CW_UNKNOWN: may have been appended. */
 	enum cw_status (*append)(const char *platform, const char *stream, const char *data,
 				 uint64_t *offset, struct cw_error *error);
 	/* CW_EXPIRED: from is older than read->first. */
--- a/packages/platform/src/platform_http.c
+++ b/packages/platform/src/platform_http.c
@@ -6,10 +6,10 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CONNECT_MS    500
-#define ANSWER_MS     1500 /* beyond what the call itself waits */
-#define RATING_MS     2500
-#define READ_SIZE_MAX (16 * 1024 * 1024)
+#define CONNECT_TIMEOUT_MS    500
+#define ANSWER_TIMEOUT_MS     1500 /* in addition to the wait that a read requests */
+#define RATING_TIMEOUT_MS     2500
+#define ANSWER_SIZE_MAX_BYTES (16 * 1024 * 1024)
 
 static enum cw_status http_append(const char *platform, const char *stream, const char *data,
 				  uint64_t *offset, struct cw_error *error);
@@ -19,13 +19,14 @@
 				size_t *count, struct cw_error *error);
 static enum cw_status http_rate(const char *platform, const struct cw_rating_request *request,
 				double *score, struct cw_error *error);
-static enum cw_status call(const char *method, const char *platform, const char *path,
-			   const char *body, int total_ms, int once, struct json_object **answer,
-			   int *http, struct cw_error *error);
-static void fill_read(struct json_object *answer, struct cw_platform_read *read);
-static int fill_member(struct json_object *source, struct cw_platform_member *member);
-static void copy_text(struct json_object *object, const char *key, char *text, size_t size);
-static uint64_t number_of(struct json_object *object, const char *key);
+static enum cw_status send_call(const char *method, const char *platform, const char *path,
+				const char *body, int total_ms, int once,
+				struct json_object **answer, int *http_status,
+				struct cw_error *error);
+static void parse_records(struct json_object *answer, struct cw_platform_read *read);
+static int parse_member(struct json_object *source, struct cw_platform_member *member);
+static void copy_string(struct json_object *object, const char *key, char *text, size_t size);
+static uint64_t get_uint64(struct json_object *object, const char *key);
 
 const struct cw_log_ops cw_log_http = {http_append, http_read};
 const struct cw_list_ops cw_list_http = {http_list};
@@ -44,19 +45,19 @@
 {
 	char *path = g_strdup_printf("/log/%s", stream);
 	struct json_object *answer = NULL;
-	int http = 0;
-	enum cw_status status =
-		call("POST", platform, path, data, ANSWER_MS, 1, &answer, &http, error);
+	int http_status = 0;
+	enum cw_status status = send_call("POST", platform, path, data, ANSWER_TIMEOUT_MS, 1,
+					  &answer, &http_status, error);
 
 	g_free(path);
 	if (status == CW_OK) {
-		*offset = number_of(answer, "offset");
-		if (http == 429 || http == 503)
+		*offset = get_uint64(answer, "offset");
+		if (http_status == 429 || http_status == 503)
 			status = cw_error_set(error, CW_REFUSED, "log.append", platform,
-					      "status %d", http);
-		else if (http != 201 || *offset == 0)
+					      "status %d", http_status);
+		else if (http_status != 201 || *offset == 0)
 			status = cw_error_set(error, CW_UNKNOWN, "log.append", platform,
-					      "status %d", http);
+					      "status %d", http_status);
 	}
 	json_object_put(answer);
 	return status;
@@ -68,21 +69,21 @@
 	char *path = g_strdup_printf("/log/%s?from=%" G_GUINT64_FORMAT "&max=%zu&wait_ms=%d",
 				     stream, from, max, wait_ms);
 	struct json_object *answer = NULL;
-	int http = 0;
-	enum cw_status status =
-		call("GET", platform, path, NULL, wait_ms + ANSWER_MS, 0, &answer, &http, error);
+	int http_status = 0;
+	enum cw_status status = send_call("GET", platform, path, NULL, wait_ms + ANSWER_TIMEOUT_MS,
+					  0, &answer, &http_status, error);
 
 	g_free(path);
 	memset(read, 0, sizeof(*read));
 	if (status == CW_OK) {
-		read->first = number_of(answer, "first");
-		if (http == 410)
+		read->first = get_uint64(answer, "first");
+		if (http_status == 410)
 			status = CW_EXPIRED;
-		else if (http != 200)
+		else if (http_status != 200)
 			status = cw_error_set(error, CW_REFUSED, "log.read", platform, "status %d",
-					      http);
+					      http_status);
 		else
-			fill_read(answer, read);
+			parse_records(answer, read);
 	}
 	json_object_put(answer);
 	return status;
@@ -93,20 +94,21 @@
 {
 	struct json_object *answer = NULL;
 	struct json_object *list;
-	int http = 0;
-	enum cw_status status =
-		call("GET", platform, "/list", NULL, ANSWER_MS, 0, &answer, &http, error);
+	int http_status = 0;
+	enum cw_status status = send_call("GET", platform, "/list", NULL, ANSWER_TIMEOUT_MS, 0,
+					  &answer, &http_status, error);
 
 	*members = NULL;
 	*count = 0;
-	if (status == CW_OK && http != 200)
-		status = cw_error_set(error, CW_REFUSED, "list.read", platform, "status %d", http);
+	if (status == CW_OK && http_status != 200)
+		status = cw_error_set(error, CW_REFUSED, "list.read", platform, "status %d",
+				      http_status);
 	if (status == CW_OK && json_object_object_get_ex(answer, "members", &list) &&
 	    json_object_is_type(list, json_type_array)) {
 		*members = g_new0(struct cw_platform_member, json_object_array_length(list) + 1);
 		for (size_t i = 0; i < json_object_array_length(list); i++)
-			*count += (size_t)fill_member(json_object_array_get_idx(list, i),
-						      &(*members)[*count]);
+			*count += (size_t)parse_member(json_object_array_get_idx(list, i),
+						       &(*members)[*count]);
 	}
 	json_object_put(answer);
 	return status;
@@ -118,7 +120,7 @@
 	struct json_object *body = json_object_new_object();
 	struct json_object *answer = NULL;
 	struct json_object *value;
-	int http = 0;
+	int http_status = 0;
 	enum cw_status status;
 
 	json_object_object_add(body, "request_id", json_object_new_string(request->request_id));
@@ -127,23 +129,24 @@
 	json_object_object_add(body, "version", json_object_new_string(request->version));
 	json_object_object_add(body, "task", json_object_new_string(request->task));
 	json_object_object_add(body, "answer", json_object_new_string(request->answer));
-	status = call("POST", platform, "/ratings", json_object_to_json_string(body), RATING_MS, 0,
-		      &answer, &http, error);
+	status = send_call("POST", platform, "/ratings", json_object_to_json_string(body),
+			   RATING_TIMEOUT_MS, 0, &answer, &http_status, error);
 	json_object_put(body);
 	if (status == CW_OK) {
-		if (http == 200 && json_object_object_get_ex(answer, "score", &value))
+		if (http_status == 200 && json_object_object_get_ex(answer, "score", &value))
 			*score = CLAMP(json_object_get_double(value), 0, 1);
 		else
 			status = cw_error_set(error, CW_REFUSED, "rating", platform, "status %d",
-					      http);
+					      http_status);
 	}
 	json_object_put(answer);
 	return status;
 }
 
-static enum cw_status call(const char *method, const char *platform, const char *path,
-			   const char *body, int total_ms, int once, struct json_object **answer,
-			   int *http, struct cw_error *error)
+static enum cw_status send_call(const char *method, const char *platform, const char *path,
+				const char *body, int total_ms, int once,
+				struct json_object **answer, int *http_status,
+				struct cw_error *error)
 {
 	static const char *const headers[] = {"Content-Type: application/json", NULL};
 	struct cw_http_call request = {
@@ -153,22 +156,22 @@
 		.headers = headers,
 		.body = body,
 		.body_size = body ? strlen(body) : 0,
-		.connect_ms = CONNECT_MS,
+		.connect_ms = CONNECT_TIMEOUT_MS,
 		.total_ms = total_ms,
 		.once = once,
-		.max_size = READ_SIZE_MAX,
+		.max_size = ANSWER_SIZE_MAX_BYTES,
 	};
-	struct cw_http_answer got;
-	enum cw_status status = cw_http_perform(&request, &got, error);
+	struct cw_http_answer reply;
+	enum cw_status status = cw_http_perform(&request, &reply, error);
 
-	*http = got.status;
+	*http_status = reply.status;
 	if (status == CW_OK)
-		*answer = got.body ? json_tokener_parse(got.body) : NULL;
-	cw_http_answer_clear(&got);
+		*answer = reply.body ? json_tokener_parse(reply.body) : NULL;
+	cw_http_answer_clear(&reply);
 	return status;
 }
 
-static void fill_read(struct json_object *answer, struct cw_platform_read *read)
+static void parse_records(struct json_object *answer, struct cw_platform_read *read)
 {
 	struct json_object *records;
 
@@ -183,9 +186,9 @@
 
 		if (!json_object_object_get_ex(record, "data", &data))
 			data = NULL;
-		out->offset = number_of(record, "offset");
-		out->time_ms = (int64_t)number_of(record, "time_ms");
-		/* A record may come as JSON or as the text that was appended. */
+		out->offset = get_uint64(record, "offset");
+		out->time_ms = (int64_t)get_uint64(record, "time_ms");
+		/* The platform returns a record as JSON or as the string that was appended. */
 		if (json_object_is_type(data, json_type_string))
 			out->data = g_strdup(json_object_get_string(data));
 		else
@@ -195,20 +198,20 @@
 	}
 }
 
-static int fill_member(struct json_object *source, struct cw_platform_member *member)
+static int parse_member(struct json_object *source, struct cw_platform_member *member)
 {
 	char kind[32] = "";
 	char state[32] = "";
 	struct json_object *value;
 
 	memset(member, 0, sizeof(*member));
-	copy_text(source, "kind", kind, sizeof(kind));
-	copy_text(source, "state", state, sizeof(state));
-	copy_text(source, "name", member->name, CW_NAME_MAX);
-	copy_text(source, "address", member->address, CW_ADDRESS_MAX);
-	copy_text(source, "peer_address", member->peer_address, CW_ADDRESS_MAX);
-	copy_text(source, "failure_domain", member->failure_domain, CW_NAME_MAX);
-	copy_text(source, "service", member->service, CW_NAME_MAX);
+	copy_string(source, "kind", kind, sizeof(kind));
+	copy_string(source, "state", state, sizeof(state));
+	copy_string(source, "name", member->name, CW_NAME_MAX);
+	copy_string(source, "address", member->address, CW_ADDRESS_MAX);
+	copy_string(source, "peer_address", member->peer_address, CW_ADDRESS_MAX);
+	copy_string(source, "failure_domain", member->failure_domain, CW_NAME_MAX);
+	copy_string(source, "service", member->service, CW_NAME_MAX);
 	member->is_instance = !strcmp(kind, "instance");
 	member->leaving = !strcmp(state, "leaving");
 	member->checks_fencing = json_object_object_get_ex(source, "checks_fencing", &value) &&
@@ -216,7 +219,7 @@
 	return *member->name && (member->is_instance || !strcmp(kind, "backend_server"));
 }
 
-static void copy_text(struct json_object *object, const char *key, char *text, size_t size)
+static void copy_string(struct json_object *object, const char *key, char *text, size_t size)
 {
 	struct json_object *value;
 
@@ -225,7 +228,7 @@
 		g_strlcpy(text, json_object_get_string(value), size);
 }
 
-static uint64_t number_of(struct json_object *object, const char *key)
+static uint64_t get_uint64(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
--- a/packages/table/include/cw_table.h
+++ b/packages/table/include/cw_table.h
@@ -1,7 +1,8 @@
 /*
- * The operators' table: rows of (organisation, model, version), each cell with the log offset that
- * last set it. The table is a fold over the `table` stream, so every instance that has read the
- * same offsets holds the same table, and a table never goes back.
+ * The operators' table: one row for each organisation, model and version. Each cell carries the log
+ * offset that last set it, its revision. The table is the replayed state of the `table` log stream:
+ * every instance that has applied the same offsets holds the same table. The offset of a table only
+ * grows.
  */
 #ifndef CW_TABLE_H
 #define CW_TABLE_H
@@ -14,7 +15,7 @@
 #include <stdint.h>
 #include <sys/queue.h>
 
-#define CW_SERVICE_PREFIX "service:" /* model names of plain services start so */
+#define CW_SERVICE_PREFIX "service:" /* prefix of the model names of plain services */
 
 enum cw_column {
 	CW_COLUMN_WEIGHT,
@@ -34,19 +35,20 @@
 	char model[CW_NAME_MAX];
 	char version[CW_NAME_MAX];     /* "" for a plain service */
 	double cell[CW_COLUMNS];       /* NAN: empty, no limit */
-	uint64_t revision[CW_COLUMNS]; /* offset that last set the cell, 0 never */
-	uint64_t withdrawn_at; /* last offset at which the row stopped being allowed, 0 never */
-	uint64_t id;	       /* hash of the three names; the same everywhere */
+	uint64_t revision[CW_COLUMNS]; /* offset that last set the cell; 0: never set */
+	uint64_t withdrawn_at;	       /* offset of the last withdrawal; 0: never withdrawn */
+	uint64_t id;		       /* hash of the three names; equal on all instances */
 };
 
 TAILQ_HEAD(cw_row_list, cw_row);
 
+/* What became of a record of the log. */
 enum cw_fold {
 	CW_FOLD_APPLIED,
-	CW_FOLD_DUPLICATE, /* the edit's id was applied before: nothing changed */
-	CW_FOLD_CONFLICT,  /* a cell's revision was not the one the edit saw */
-	CW_FOLD_MALFORMED,
-	CW_FOLD_SNAPSHOT, /* a snapshot record: no change to a table that is up to date */
+	CW_FOLD_DUPLICATE, /* ignored: an edit with the same id was applied before */
+	CW_FOLD_CONFLICT,  /* rejected: a cell's revision differs from if_revision */
+	CW_FOLD_MALFORMED, /* rejected: not a valid record */
+	CW_FOLD_SNAPSHOT,  /* ignored: a snapshot record; the table is up to date already */
 };
 
 struct cw_table;
@@ -54,14 +56,14 @@
 struct cw_table *cw_table_create(void);	       /* empty, at offset 0 */
 void cw_table_destroy(struct cw_table *table); /* frees its rows */
 enum cw_status cw_table_fold(struct cw_table *table, uint64_t offset, const char *record,
-			     enum cw_fold *fold,
+			     enum cw_fold *result,
 			     struct cw_error *error); /* CW_INVALID: not the next offset */
 enum cw_status cw_table_load(struct cw_table *table, const char *record,
-			     struct cw_error *error);	/* a snapshot; CW_REFUSED: older */
-char *cw_table_snapshot(const struct cw_table *table);	/* a record for the log; g_free */
-uint64_t cw_table_offset(const struct cw_table *table); /* last folded offset */
+			     struct cw_error *error);	/* CW_REFUSED: not newer than the table */
+char *cw_table_snapshot(const struct cw_table *table);	/* a log record; g_free() it */
+uint64_t cw_table_offset(const struct cw_table *table); /* last applied offset */
 uint64_t cw_table_changed(const struct cw_table *table, const char *organisation,
-			  const char *model); /* offset of the last change of routing; 0 never */
+			  const char *model); /* offset of the last change of routing; 0: none */
 const char *cw_table_organisation(const struct cw_table *table,
 				  const char *key_sha256); /* NULL: unknown key */
 const struct cw_row *cw_table_row(const struct cw_table *table, const char *organisation,
@@ -70,13 +72,13 @@
 					uint64_t id); /* NULL: missing */
 int cw_table_allows(const struct cw_row *row);	      /* 0 for NULL, withdrawn or never set */
 int cw_table_binding_holds(const struct cw_row *row,
-			   uint64_t bound_at); /* allowed, and not withdrawn since */
+			   uint64_t bound_at); /* allowed, and not withdrawn since bound_at */
 const struct cw_row_list *cw_table_rows(const struct cw_table *table);
-const struct cw_drains *cw_table_drains(const struct cw_table *table); /* failure domains */
+const struct cw_drains *cw_table_drains(const struct cw_table *table); /* drained failure domains */
 const struct cw_row_list *
 cw_table_organisation_rows(const struct cw_table *table,
-			   const char *organisation); /* by organisation_link; NULL: none */
-size_t cw_table_bytes(const struct cw_table *table);  /* estimate of memory held */
+			   const char *organisation); /* linked by organisation_link; NULL: none */
+size_t cw_table_bytes(const struct cw_table *table);  /* estimated memory use */
 
 const char *cw_column_name(enum cw_column column);
 enum cw_status cw_column_find(const char *name, enum cw_column *column); /* CW_NOT_FOUND */
@@ -86,7 +88,7 @@
 
 enum cw_status
 cw_table_edit_from_csv(const char *csv, const char *edit_id, const char *by, char **record,
-		       struct cw_error *error);	     /* whole file or nothing; g_free(record) */
-char *cw_table_to_csv(const struct cw_table *table); /* g_free */
+		       struct cw_error *error);	     /* all lines or none; g_free(record) */
+char *cw_table_to_csv(const struct cw_table *table); /* g_free() it */
 
 #endif
--- a/packages/table/src/columns.c
+++ b/packages/table/src/columns.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CELL_MAX 1e12 /* larger numbers are typing errors */
+#define CELL_MAX 1e12 /* larger values are taken for typing errors */
 
 static const char *const column_names[CW_COLUMNS] = {
 	[CW_COLUMN_WEIGHT] = "weight",
--- a/packages/table/src/csv.c
+++ b/packages/table/src/csv.c
@@ -12,8 +12,8 @@
 				      "s,concurrent,cost_per_1k_tokens,"
 				      "quality_target,state";
 
-static enum cw_status add_line(struct json_object *cells, char **fields, int line,
-			       struct cw_error *error);
+static enum cw_status add_cells(struct json_object *cells, char **fields, int line,
+				struct cw_error *error);
 static int name_is_valid(const char *name);
 
 enum cw_status cw_table_edit_from_csv(const char *csv, const char *edit_id, const char *by,
@@ -37,7 +37,7 @@
 		if (!*lines[i])
 			continue;
 		fields = g_strsplit(lines[i], ",", -1);
-		status = add_line(cells, fields, i + 1, error);
+		status = add_cells(cells, fields, i + 1, error);
 		g_strfreev(fields);
 	}
 	if (status == CW_OK)
@@ -67,8 +67,8 @@
 	return g_string_free(csv, FALSE);
 }
 
-static enum cw_status add_line(struct json_object *cells, char **fields, int line,
-			       struct cw_error *error)
+static enum cw_status add_cells(struct json_object *cells, char **fields, int line,
+				struct cw_error *error)
 {
 	if (g_strv_length(fields) != NAME_COLUMNS + CW_COLUMNS)
 		return cw_error_set(error, CW_INVALID, STEP, "", "line %d: %u fields, not %d", line,
--- a/packages/table/src/table.c
+++ b/packages/table/src/table.c
@@ -5,8 +5,8 @@
 #include <math.h>
 #include <string.h>
 
-#define EDITS_KEPT 4096 /* edit ids remembered against appends that were repeated */
-#define STEP	   "table.fold"
+#define EDIT_IDS_MAX 4096 /* newest edit ids remembered, to recognise repeated appends */
+#define STEP	     "table.fold"
 
 struct cw_table {
 	uint64_t offset;
@@ -14,11 +14,11 @@
 	GHashTable *by_id;	     /* row id -> row */
 	GHashTable *by_organisation; /* name -> struct cw_row_list */
 	GHashTable *keys;	     /* SHA-256 of a caller's key -> organisation */
-	GHashTable *routed; /* hash of (organisation, model) -> offset of the last routing change */
-	GHashTable *edits;  /* hash of an applied edit's id */
+	GHashTable *routing_offsets; /* hash of organisation and model -> offset of last change */
+	GHashTable *applied_edits;   /* set of the hashes in edit_ids */
 	struct cw_drains *drains;
-	uint64_t edit_order[EDITS_KEPT];
-	size_t edit_count;
+	uint64_t edit_ids[EDIT_IDS_MAX]; /* ring of the hashed ids of the newest edits */
+	size_t edit_count;		 /* edits applied in total */
 };
 
 struct cell_edit {
@@ -29,29 +29,29 @@
 	double value;
 };
 
-static enum cw_fold fold_record(struct cw_table *table, uint64_t offset, struct json_object *record,
+static enum cw_fold apply_record(struct cw_table *table, uint64_t offset,
+				 struct json_object *record, struct cw_error *error);
+static enum cw_fold apply_edit(struct cw_table *table, uint64_t offset, struct json_object *record,
+			       struct json_object *cells, struct cw_error *error);
+static enum cw_fold apply_key(struct cw_table *table, struct json_object *record,
+			      struct cw_error *error);
+static enum cw_fold apply_drain(struct cw_table *table, uint64_t offset, struct json_object *record,
 				struct cw_error *error);
-static enum cw_fold fold_edit(struct cw_table *table, uint64_t offset, struct json_object *record,
-			      struct json_object *cells, struct cw_error *error);
-static enum cw_fold fold_key(struct cw_table *table, struct json_object *record,
-			     struct cw_error *error);
-static enum cw_fold fold_drain(struct cw_table *table, uint64_t offset, struct json_object *record,
-			       struct cw_error *error);
-static int read_drain(struct json_object *source, uint64_t offset, struct cw_drain_order *order);
-static struct json_object *print_drains(const struct cw_table *table);
+static int parse_drain(struct json_object *source, uint64_t offset, struct cw_drain_order *order);
+static struct json_object *format_drains(const struct cw_table *table);
 static enum cw_fold check_cell(const struct cw_table *table, struct json_object *cell,
 			       struct cell_edit *edit, struct cw_error *error);
 static void apply_cell(struct cw_table *table, uint64_t offset, const struct cell_edit *edit);
-static struct cw_row *row_create(struct cw_table *table, const char *organisation,
+static struct cw_row *create_row(struct cw_table *table, const char *organisation,
 				 const char *model, const char *version);
-static uint64_t row_id(const char *organisation, const char *model, const char *version);
-static void remember_edit(struct cw_table *table, uint64_t id);
+static uint64_t hash_row_names(const char *organisation, const char *model, const char *version);
+static void remember_edit_id(struct cw_table *table, uint64_t id);
 static void load_row(struct cw_table *table, struct json_object *source);
 static void load_drain(struct cw_table *table, struct json_object *source);
-static void clear(struct cw_table *table);
-static const char *text_of(struct json_object *object, const char *key);
-static uint64_t number_of(struct json_object *object, const char *key);
-static uint64_t *new_u64(uint64_t value);
+static void clear_table(struct cw_table *table);
+static const char *get_string(struct json_object *object, const char *key);
+static uint64_t get_uint64(struct json_object *object, const char *key);
+static uint64_t *copy_uint64(uint64_t value);
 
 struct cw_table *cw_table_create(void)
 {
@@ -61,8 +61,8 @@
 	table->by_id = g_hash_table_new(g_int64_hash, g_int64_equal);
 	table->by_organisation = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	table->keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	table->routed = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	table->edits = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
+	table->routing_offsets = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+	table->applied_edits = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	table->drains = cw_drains_create();
 	return table;
 }
@@ -71,29 +71,29 @@
 {
 	if (!table)
 		return;
-	clear(table);
+	clear_table(table);
 	g_hash_table_destroy(table->by_id);
 	g_hash_table_destroy(table->by_organisation);
 	g_hash_table_destroy(table->keys);
-	g_hash_table_destroy(table->routed);
-	g_hash_table_destroy(table->edits);
+	g_hash_table_destroy(table->routing_offsets);
+	g_hash_table_destroy(table->applied_edits);
 	cw_drains_destroy(table->drains);
 	g_free(table);
 }
 
 enum cw_status cw_table_fold(struct cw_table *table, uint64_t offset, const char *record,
-			     enum cw_fold *fold, struct cw_error *error)
+			     enum cw_fold *result, struct cw_error *error)
 {
 	struct json_object *parsed;
 
-	/* A gap or a repeat would make two instances differ for ever: only the next offset counts.
-	 */
+	/* Only the next offset is applied: a gap or a repeat would make instances diverge. */
 	if (offset != table->offset + 1)
 		return cw_error_set(error, CW_INVALID, STEP, "",
-				    "offset %" G_GUINT64_FORMAT " after %" G_GUINT64_FORMAT, offset,
-				    table->offset);
+				    "offset %" G_GUINT64_FORMAT
+				    " does not follow %" G_GUINT64_FORMAT,
+				    offset, table->offset);
 	parsed = json_tokener_parse(record);
-	*fold = fold_record(table, offset, parsed, error);
+	*result = apply_record(table, offset, parsed, error);
 	json_object_put(parsed);
 	table->offset = offset;
 	return CW_OK;
@@ -108,22 +108,22 @@
 
 	if (!json_object_object_get_ex(parsed, "snapshot", &snapshot)) {
 		status = cw_error_set(error, CW_INVALID, "table.load", "", "not a snapshot");
-	} else if (number_of(snapshot, "offset") <= table->offset) {
+	} else if (get_uint64(snapshot, "offset") <= table->offset) {
 		status = cw_error_set(error, CW_REFUSED, "table.load", "",
 				      "the snapshot is older than the table");
 	} else {
-		clear(table);
-		table->offset = number_of(snapshot, "offset");
+		clear_table(table);
+		table->offset = get_uint64(snapshot, "offset");
 		json_object_object_get_ex(snapshot, "rows", &list);
 		for (size_t i = 0; i < json_object_array_length(list); i++)
 			load_row(table, json_object_array_get_idx(list, i));
 		json_object_object_get_ex(snapshot, "keys", &list);
 		for (size_t i = 0; i < json_object_array_length(list); i++)
-			fold_key(table, json_object_array_get_idx(list, i), NULL);
+			apply_key(table, json_object_array_get_idx(list, i), NULL);
 		json_object_object_get_ex(snapshot, "edits", &list);
 		for (size_t i = 0; i < json_object_array_length(list); i++)
-			remember_edit(table, (uint64_t)json_object_get_int64(
-						     json_object_array_get_idx(list, i)));
+			remember_edit_id(table, (uint64_t)json_object_get_int64(
+							json_object_array_get_idx(list, i)));
 		json_object_object_get_ex(snapshot, "drains", &list);
 		for (size_t i = 0; list && i < json_object_array_length(list); i++)
 			load_drain(table, json_object_array_get_idx(list, i));
@@ -142,7 +142,7 @@
 	const struct cw_row *row;
 	GHashTableIter iter;
 	gpointer key, organisation;
-	size_t first = table->edit_count > EDITS_KEPT ? table->edit_count - EDITS_KEPT : 0;
+	size_t oldest = table->edit_count > EDIT_IDS_MAX ? table->edit_count - EDIT_IDS_MAX : 0;
 	char *text;
 
 	TAILQ_FOREACH(row, &table->rows, link) {
@@ -174,14 +174,14 @@
 		json_object_object_add(out, "key_sha256", json_object_new_string(key));
 		json_object_array_add(keys, out);
 	}
-	for (size_t i = first; i < table->edit_count; i++)
+	for (size_t i = oldest; i < table->edit_count; i++)
 		json_object_array_add(
-			edits, json_object_new_int64((int64_t)table->edit_order[i % EDITS_KEPT]));
+			edits, json_object_new_int64((int64_t)table->edit_ids[i % EDIT_IDS_MAX]));
 	json_object_object_add(snapshot, "offset", json_object_new_int64((int64_t)table->offset));
 	json_object_object_add(snapshot, "rows", rows);
 	json_object_object_add(snapshot, "keys", keys);
 	json_object_object_add(snapshot, "edits", edits);
-	json_object_object_add(snapshot, "drains", print_drains(table));
+	json_object_object_add(snapshot, "drains", format_drains(table));
 	json_object_object_add(record, "snapshot", snapshot);
 	text = g_strdup(json_object_to_json_string_ext(record, JSON_C_TO_STRING_PLAIN));
 	json_object_put(record);
@@ -195,8 +195,8 @@
 
 uint64_t cw_table_changed(const struct cw_table *table, const char *organisation, const char *model)
 {
-	uint64_t id = row_id(organisation, model, "");
-	uint64_t *offset = g_hash_table_lookup(table->routed, &id);
+	uint64_t id = hash_row_names(organisation, model, "");
+	uint64_t *offset = g_hash_table_lookup(table->routing_offsets, &id);
 
 	return offset ? *offset : 0;
 }
@@ -209,7 +209,7 @@
 const struct cw_row *cw_table_row(const struct cw_table *table, const char *organisation,
 				  const char *model, const char *version)
 {
-	uint64_t id = row_id(organisation, model, version);
+	uint64_t id = hash_row_names(organisation, model, version);
 
 	return g_hash_table_lookup(table->by_id, &id);
 }
@@ -253,62 +253,63 @@
 	       g_hash_table_size(table->keys) * 160;
 }
 
-static enum cw_fold fold_record(struct cw_table *table, uint64_t offset, struct json_object *record,
-				struct cw_error *error)
+static enum cw_fold apply_record(struct cw_table *table, uint64_t offset,
+				 struct json_object *record, struct cw_error *error)
 {
 	struct json_object *cells;
 
 	if (json_object_object_get_ex(record, "snapshot", NULL))
 		return CW_FOLD_SNAPSHOT;
 	if (json_object_object_get_ex(record, "key_sha256", NULL))
-		return fold_key(table, record, error);
+		return apply_key(table, record, error);
 	if (json_object_object_get_ex(record, "cells", &cells))
-		return fold_edit(table, offset, record, cells, error);
+		return apply_edit(table, offset, record, cells, error);
 	if (json_object_object_get_ex(record, "failure_domain", NULL))
-		return fold_drain(table, offset, record, error);
+		return apply_drain(table, offset, record, error);
 	cw_error_set(error, CW_INVALID, STEP, "",
 		     "neither cells, a key, a failure domain nor a snapshot");
 	return CW_FOLD_MALFORMED;
 }
 
-static enum cw_fold fold_edit(struct cw_table *table, uint64_t offset, struct json_object *record,
-			      struct json_object *cells, struct cw_error *error)
+static enum cw_fold apply_edit(struct cw_table *table, uint64_t offset, struct json_object *record,
+			       struct json_object *cells, struct cw_error *error)
 {
-	const char *id = text_of(record, "edit");
+	const char *id = get_string(record, "edit");
 	size_t count =
 		json_object_is_type(cells, json_type_array) ? json_object_array_length(cells) : 0;
 	uint64_t id_hash = cw_hash_text(id, 0);
 	struct cell_edit *edits;
-	enum cw_fold fold = CW_FOLD_APPLIED;
+	enum cw_fold result = CW_FOLD_APPLIED;
 
 	/*
-	 * An append whose answer was lost is appended again. Applied twice, the second would undo
-	 * what another operator set between the two; it shows as a cell that reverts.
+	 * An append whose answer was lost is retried, so the log may contain an edit twice. If the
+	 * second record were applied, it would undo what another operator set in between: the cell
+	 * would revert without an order.
 	 */
-	if (*id && g_hash_table_contains(table->edits, &id_hash))
+	if (*id && g_hash_table_contains(table->applied_edits, &id_hash))
 		return CW_FOLD_DUPLICATE;
 	if (!*id || count == 0) {
 		cw_error_set(error, CW_INVALID, STEP, "", "an edit needs an id and cells");
 		return CW_FOLD_MALFORMED;
 	}
 	edits = g_new0(struct cell_edit, count);
-	for (size_t i = 0; fold == CW_FOLD_APPLIED && i < count; i++)
-		fold = check_cell(table, json_object_array_get_idx(cells, i), &edits[i], error);
-	for (size_t i = 0; fold == CW_FOLD_APPLIED && i < count; i++)
+	for (size_t i = 0; result == CW_FOLD_APPLIED && i < count; i++)
+		result = check_cell(table, json_object_array_get_idx(cells, i), &edits[i], error);
+	for (size_t i = 0; result == CW_FOLD_APPLIED && i < count; i++)
 		apply_cell(table, offset, &edits[i]);
-	if (fold == CW_FOLD_APPLIED)
-		remember_edit(table, id_hash);
+	if (result == CW_FOLD_APPLIED)
+		remember_edit_id(table, id_hash);
 	g_free(edits);
-	return fold;
+	return result;
 }
 
-static enum cw_fold fold_key(struct cw_table *table, struct json_object *record,
-			     struct cw_error *error)
+static enum cw_fold apply_key(struct cw_table *table, struct json_object *record,
+			      struct cw_error *error)
 {
-	const char *organisation = text_of(record, "organisation");
-	const char *key = text_of(record, "key_sha256");
+	const char *organisation = get_string(record, "organisation");
+	const char *key = get_string(record, "key_sha256");
 	GHashTableIter iter;
-	gpointer held;
+	gpointer owner;
 
 	if (!*organisation || strlen(organisation) >= CW_NAME_MAX ||
 	    strlen(key) != CW_SHA256_HEX - 1) {
@@ -317,35 +318,35 @@
 		return CW_FOLD_MALFORMED;
 	}
 	g_hash_table_iter_init(&iter, table->keys);
-	while (g_hash_table_iter_next(&iter, NULL, &held))
-		if (!strcmp(held, organisation))
+	while (g_hash_table_iter_next(&iter, NULL, &owner))
+		if (!strcmp(owner, organisation))
 			g_hash_table_iter_remove(&iter);
 	g_hash_table_insert(table->keys, g_ascii_strdown(key, -1), g_strdup(organisation));
 	return CW_FOLD_APPLIED;
 }
 
-static enum cw_fold fold_drain(struct cw_table *table, uint64_t offset, struct json_object *record,
-			       struct cw_error *error)
+static enum cw_fold apply_drain(struct cw_table *table, uint64_t offset, struct json_object *record,
+				struct cw_error *error)
 {
-	const char *id = text_of(record, "edit");
+	const char *id = get_string(record, "edit");
 	uint64_t id_hash = cw_hash_text(id, 0);
 	struct cw_drain_order order;
 
-	if (*id && g_hash_table_contains(table->edits, &id_hash))
+	if (*id && g_hash_table_contains(table->applied_edits, &id_hash))
 		return CW_FOLD_DUPLICATE;
-	if (!*id || !read_drain(record, offset, &order)) {
+	if (!*id || !parse_drain(record, offset, &order)) {
 		cw_error_set(error, CW_INVALID, STEP, "",
 			     "a drain needs an id, a failure domain and whether it is drained");
 		return CW_FOLD_MALFORMED;
 	}
 	cw_drains_apply(table->drains, &order);
-	remember_edit(table, id_hash);
+	remember_edit_id(table, id_hash);
 	return CW_FOLD_APPLIED;
 }
 
-static int read_drain(struct json_object *source, uint64_t offset, struct cw_drain_order *order)
+static int parse_drain(struct json_object *source, uint64_t offset, struct cw_drain_order *order)
 {
-	const char *name = text_of(source, "failure_domain");
+	const char *name = get_string(source, "failure_domain");
 	struct json_object *drained;
 
 	if (!json_object_object_get_ex(source, "drained", &drained) ||
@@ -356,7 +357,7 @@
 	return g_strlcpy(order->failure_domain, name, CW_NAME_MAX) < CW_NAME_MAX;
 }
 
-static struct json_object *print_drains(const struct cw_table *table)
+static struct json_object *format_drains(const struct cw_table *table)
 {
 	struct json_object *list = json_object_new_array();
 	struct cw_drain_order orders[CW_DRAINS_MAX];
@@ -380,26 +381,26 @@
 			       struct cell_edit *edit, struct cw_error *error)
 {
 	const struct cw_row *row;
-	struct json_object *seen;
+	struct json_object *expected;
 	uint64_t revision;
 
-	edit->organisation = text_of(cell, "organisation");
-	edit->model = text_of(cell, "model");
-	edit->version = text_of(cell, "version");
+	edit->organisation = get_string(cell, "organisation");
+	edit->model = get_string(cell, "model");
+	edit->version = get_string(cell, "version");
 	if (!*edit->organisation || !*edit->model || strlen(edit->organisation) >= CW_NAME_MAX ||
 	    strlen(edit->model) >= CW_NAME_MAX || strlen(edit->version) >= CW_NAME_MAX ||
-	    cw_column_find(text_of(cell, "column"), &edit->column) != CW_OK ||
-	    cw_cell_parse(edit->column, text_of(cell, "value"), &edit->value) != CW_OK) {
+	    cw_column_find(get_string(cell, "column"), &edit->column) != CW_OK ||
+	    cw_cell_parse(edit->column, get_string(cell, "value"), &edit->value) != CW_OK) {
 		cw_error_set(error, CW_INVALID, STEP, "", "%s/%s/%s: %s cannot be '%s'",
 			     edit->organisation, edit->model, edit->version,
-			     text_of(cell, "column"), text_of(cell, "value"));
+			     get_string(cell, "column"), get_string(cell, "value"));
 		return CW_FOLD_MALFORMED;
 	}
-	if (!json_object_object_get_ex(cell, "if_revision", &seen))
+	if (!json_object_object_get_ex(cell, "if_revision", &expected))
 		return CW_FOLD_APPLIED;
 	row = cw_table_row(table, edit->organisation, edit->model, edit->version);
 	revision = row ? row->revision[edit->column] : 0;
-	if (revision == (uint64_t)json_object_get_int64(seen))
+	if (revision == (uint64_t)json_object_get_int64(expected))
 		return CW_FOLD_APPLIED;
 	cw_error_set(error, CW_REFUSED, STEP, "", "%s/%s/%s %s is at revision %" G_GUINT64_FORMAT,
 		     edit->organisation, edit->model, edit->version, cw_column_name(edit->column),
@@ -409,46 +410,49 @@
 
 static void apply_cell(struct cw_table *table, uint64_t offset, const struct cell_edit *edit)
 {
-	uint64_t id = row_id(edit->organisation, edit->model, edit->version);
+	uint64_t id = hash_row_names(edit->organisation, edit->model, edit->version);
 	struct cw_row *row = g_hash_table_lookup(table->by_id, &id);
 	uint64_t route;
 
 	if (!row)
-		row = row_create(table, edit->organisation, edit->model, edit->version);
+		row = create_row(table, edit->organisation, edit->model, edit->version);
 	if (edit->column == CW_COLUMN_STATE && row->cell[CW_COLUMN_STATE] == 1 && edit->value != 1)
 		row->withdrawn_at = offset;
 	row->cell[edit->column] = edit->value;
 	row->revision[edit->column] = offset;
 	if (edit->column == CW_COLUMN_STATE || edit->column == CW_COLUMN_WEIGHT) {
-		route = row_id(edit->organisation, edit->model, "");
-		g_hash_table_replace(table->routed, new_u64(route), new_u64(offset));
+		route = hash_row_names(edit->organisation, edit->model, "");
+		g_hash_table_replace(table->routing_offsets, copy_uint64(route),
+				     copy_uint64(offset));
 	}
 }
 
-static struct cw_row *row_create(struct cw_table *table, const char *organisation,
+static struct cw_row *create_row(struct cw_table *table, const char *organisation,
 				 const char *model, const char *version)
 {
-	struct cw_row_list *siblings = g_hash_table_lookup(table->by_organisation, organisation);
+	struct cw_row_list *organisation_rows =
+		g_hash_table_lookup(table->by_organisation, organisation);
 	struct cw_row *row = g_new0(struct cw_row, 1);
 
-	if (!siblings) {
-		siblings = g_new0(struct cw_row_list, 1);
-		TAILQ_INIT(siblings);
-		g_hash_table_insert(table->by_organisation, g_strdup(organisation), siblings);
+	if (!organisation_rows) {
+		organisation_rows = g_new0(struct cw_row_list, 1);
+		TAILQ_INIT(organisation_rows);
+		g_hash_table_insert(table->by_organisation, g_strdup(organisation),
+				    organisation_rows);
 	}
-	TAILQ_INSERT_TAIL(siblings, row, organisation_link);
+	TAILQ_INSERT_TAIL(organisation_rows, row, organisation_link);
 	g_strlcpy(row->organisation, organisation, CW_NAME_MAX);
 	g_strlcpy(row->model, model, CW_NAME_MAX);
 	g_strlcpy(row->version, version, CW_NAME_MAX);
 	for (int column = CW_COLUMN_REQUESTS_PER_S; column < CW_COLUMN_STATE; column++)
 		row->cell[column] = NAN;
-	row->id = row_id(organisation, model, version);
+	row->id = hash_row_names(organisation, model, version);
 	TAILQ_INSERT_TAIL(&table->rows, row, link);
 	g_hash_table_insert(table->by_id, &row->id, row);
 	return row;
 }
 
-static uint64_t row_id(const char *organisation, const char *model, const char *version)
+static uint64_t hash_row_names(const char *organisation, const char *model, const char *version)
 {
 	uint64_t id = cw_hash_text(organisation, 1);
 
@@ -456,27 +460,27 @@
 	return cw_hash_text(version, id);
 }
 
-static void remember_edit(struct cw_table *table, uint64_t id)
+static void remember_edit_id(struct cw_table *table, uint64_t id)
 {
-	size_t slot = table->edit_count % EDITS_KEPT;
+	size_t slot = table->edit_count % EDIT_IDS_MAX;
 
-	if (table->edit_count >= EDITS_KEPT)
-		g_hash_table_remove(table->edits, &table->edit_order[slot]);
-	table->edit_order[slot] = id;
+	if (table->edit_count >= EDIT_IDS_MAX)
+		g_hash_table_remove(table->applied_edits, &table->edit_ids[slot]);
+	table->edit_ids[slot] = id;
 	table->edit_count++;
-	g_hash_table_add(table->edits, new_u64(id));
+	g_hash_table_add(table->applied_edits, copy_uint64(id));
 }
 
 static void load_row(struct cw_table *table, struct json_object *source)
 {
-	struct cw_row *row = row_create(table, text_of(source, "organisation"),
-					text_of(source, "model"), text_of(source, "version"));
-	uint64_t route = row_id(row->organisation, row->model, "");
-	uint64_t *routed = g_hash_table_lookup(table->routed, &route);
-	uint64_t changed = routed ? *routed : 0;
+	struct cw_row *row = create_row(table, get_string(source, "organisation"),
+					get_string(source, "model"), get_string(source, "version"));
+	uint64_t route = hash_row_names(row->organisation, row->model, "");
+	uint64_t *offset = g_hash_table_lookup(table->routing_offsets, &route);
+	uint64_t changed = offset ? *offset : 0;
 	struct json_object *cells;
 
-	row->withdrawn_at = number_of(source, "withdrawn_at");
+	row->withdrawn_at = get_uint64(source, "withdrawn_at");
 	json_object_object_get_ex(source, "cells", &cells);
 	for (int column = 0; column < CW_COLUMNS; column++) {
 		struct json_object *value = json_object_array_get_idx(cells, (size_t)column * 2);
@@ -490,18 +494,18 @@
 	}
 	changed = MAX(changed, row->revision[CW_COLUMN_STATE]);
 	changed = MAX(changed, row->revision[CW_COLUMN_WEIGHT]);
-	g_hash_table_replace(table->routed, new_u64(route), new_u64(changed));
+	g_hash_table_replace(table->routing_offsets, copy_uint64(route), copy_uint64(changed));
 }
 
 static void load_drain(struct cw_table *table, struct json_object *source)
 {
 	struct cw_drain_order order;
 
-	if (read_drain(source, number_of(source, "offset"), &order))
+	if (parse_drain(source, get_uint64(source, "offset"), &order))
 		cw_drains_apply(table->drains, &order);
 }
 
-static void clear(struct cw_table *table)
+static void clear_table(struct cw_table *table)
 {
 	struct cw_row *row;
 
@@ -512,14 +516,14 @@
 	g_hash_table_remove_all(table->by_id);
 	g_hash_table_remove_all(table->by_organisation);
 	g_hash_table_remove_all(table->keys);
-	g_hash_table_remove_all(table->routed);
-	g_hash_table_remove_all(table->edits);
+	g_hash_table_remove_all(table->routing_offsets);
+	g_hash_table_remove_all(table->applied_edits);
 	table->edit_count = 0;
 	cw_drains_destroy(table->drains);
 	table->drains = cw_drains_create();
 }
 
-static const char *text_of(struct json_object *object, const char *key)
+static const char *get_string(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
@@ -528,7 +532,7 @@
 	return json_object_get_string(value);
 }
 
-static uint64_t number_of(struct json_object *object, const char *key)
+static uint64_t get_uint64(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
@@ -537,7 +541,7 @@
 		       : 0;
 }
 
-static uint64_t *new_u64(uint64_t value)
+static uint64_t *copy_uint64(uint64_t value)
 {
 	uint64_t *copy = g_new(uint64_t, 1);
 
