--- a/packages/settings/include/cw_settings.h
+++ b/packages/settings/include/cw_settings.h
@@ -1,5 +1,7 @@
-/* Settings of one entry instance: JSON with comments, checked whole, every fault named by key and
- * line. */
+/*
+ * Settings of one instance: JSON with comments. The whole text is checked, and each error is
+ * reported with its key and line.
+ */
 #ifndef CW_SETTINGS_H
 #define CW_SETTINGS_H
 
@@ -29,7 +31,7 @@
 	char listen[CW_ADDRESS_MAX];
 	char operator_listen[CW_ADDRESS_MAX];
 	char peer_listen[CW_ADDRESS_MAX];
-	char peer_address[CW_ADDRESS_MAX]; /* as peers reach it; empty: peer_listen */
+	char peer_address[CW_ADDRESS_MAX]; /* address that peers connect to; default: peer_listen */
 	uint8_t peer_key[CW_KEY_BYTES];
 	char platform[CW_ADDRESS_MAX];
 	char log_level[16];
@@ -44,36 +46,35 @@
 	size_t server_count;
 	int64_t max_body_bytes;
 	int64_t max_answer_bytes;
-	int64_t max_requests;
-	int64_t idle_s;
+	int64_t max_requests; /* processed at the same time */
+	int64_t idle_s;	      /* a connection without traffic is closed after this time */
 	int64_t connect_ms;
-	int64_t first_chunk_ms;
-	int64_t idle_chunk_ms;
+	int64_t first_chunk_ms; /* time-out of a stream's first chunk */
+	int64_t idle_chunk_ms;	/* time-out between two chunks of a stream */
 	int64_t request_timeout_ms;
-	int64_t first_wait_ms;
+	int64_t first_wait_ms; /* predicted wait above which a request is rejected */
 	int64_t heartbeat_ms;
 	int64_t gossip_bytes_per_s;
-	int64_t silent_ms;
+	int64_t silent_ms; /* a peer without a message for this time is not live */
 	int64_t claim_timeout_ms;
-	int64_t claim_window_ms;
-	int64_t bill_flush_ms;
-	int64_t bill_hold_ms;
+	int64_t claim_window_ms; /* how long idempotency keys are remembered */
+	int64_t bill_flush_ms;	 /* delay before bills are appended to the log */
+	int64_t bill_hold_ms;	 /* how long the end of an answer waits for a bill's replica */
 	int64_t session_idle_ms;
-	int64_t session_ask_ms;
+	int64_t session_ask_ms; /* how long a session's first request waits for peers */
 	int64_t log_retention_ms;
-	int64_t lease_ms;
-	int64_t load_poll_ms;
+	int64_t lease_ms;     /* term of the roll-out lease of a failure domain */
+	int64_t load_poll_ms; /* interval at which each server's load is polled */
 	int64_t list_poll_ms;
 	int64_t stop_grace_ms;
-	int64_t stop_limit_ms;
+	int64_t stop_limit_ms; /* longest time that a graceful stop may take */
 	int64_t seed;
 };
 
-struct cw_settings *
-cw_settings_load(const char *file,
-		 char **faults); /* NULL: faults has a line each; g_free(faults) */
-struct cw_settings *cw_settings_parse(const char *text, const char *name, char **faults);
+struct cw_settings *cw_settings_load(const char *file,
+				     char **errors); /* NULL: one error a line; g_free(errors) */
+struct cw_settings *cw_settings_parse(const char *text, const char *name, char **errors);
 void cw_settings_destroy(struct cw_settings *settings);
-char *cw_settings_describe(void); /* every key, its default and bounds, for the docs; g_free */
+char *cw_settings_describe(void); /* table of keys, defaults and bounds; g_free() it */
 
 #endif
--- a/packages/settings/src/lines.h
+++ b/packages/settings/src/lines.h
@@ -1,4 +1,7 @@
-/* Where a key stands: the line of every path of a JSON text with comments. */
+/*
+ * Line numbers of all keys and array items of a JSON text with comments, by their path, such as
+ * "peers[0].address".
+ */
 #ifndef CW_LINES_H
 #define CW_LINES_H
 
@@ -6,8 +9,7 @@
 
 struct lines *lines_create(const char *text);
 void lines_destroy(struct lines *lines);
-int lines_of(const struct lines *lines, const char *path); /* "peers[0].address"; 1 when unknown */
-const char *
-lines_repeated(const struct lines *lines); /* a key that stands twice in one object, NULL: none */
+int lines_find_line(const struct lines *lines, const char *path); /* 1: the path is unknown */
+const char *lines_duplicate_key(const struct lines *lines);	  /* path; NULL: no duplicate */
 
 #endif
