--- a/tests/unit/test_table.c
+++ b/tests/unit/test_table.c
@@ -6,11 +6,11 @@
 #include <math.h>
 #include <string.h>
 
-#define DRAIN(id, domain, drained)                                                                 \
+#define DRAIN_ORDER(id, domain, drained)                                                           \
 	"{\"edit\":\"" id "\",\"by\":\"t\",\"failure_domain\":\"" domain "\",\"drained\":" drained \
 	"}"
 
-static enum cw_fold fold(struct cw_table *table, const char *record)
+static enum cw_fold apply_next(struct cw_table *table, const char *record)
 {
 	struct cw_error error = {0};
 	enum cw_fold result = CW_FOLD_MALFORMED;
@@ -24,10 +24,11 @@
 {
 	struct cw_table *table = cw_table_create();
 
-	assert_int_equal(fold(table, EDIT("1", CELL("a", "1", "weight", "10"))), CW_FOLD_APPLIED);
-	assert_int_equal(fold(table, EDIT("2", CELL_IF("a", "1", "weight", "20", "1"))),
+	assert_int_equal(apply_next(table, EDIT("1", CELL("a", "1", "weight", "10"))),
 			 CW_FOLD_APPLIED);
-	assert_int_equal(fold(table, EDIT("3", CELL_IF("a", "1", "weight", "30", "1"))),
+	assert_int_equal(apply_next(table, EDIT("2", CELL_IF("a", "1", "weight", "20", "1"))),
+			 CW_FOLD_APPLIED);
+	assert_int_equal(apply_next(table, EDIT("3", CELL_IF("a", "1", "weight", "30", "1"))),
 			 CW_FOLD_CONFLICT);
 	assert_true(cw_table_row(table, "a", "m", "1")->cell[CW_COLUMN_WEIGHT] == 20);
 	cw_table_destroy(table);
@@ -37,12 +38,12 @@
 {
 	struct cw_table *table = cw_table_create();
 
-	fold(table, EDIT("1", CELL("a", "1", "weight", "10")));
-	assert_int_equal(fold(table, EDIT("2", CELL("a", "1", "weight", "20") "," CELL(
-						       "a", "1", "quality_target", "7"))),
+	apply_next(table, EDIT("1", CELL("a", "1", "weight", "10")));
+	assert_int_equal(apply_next(table, EDIT("2", CELL("a", "1", "weight", "20") "," CELL(
+							     "a", "1", "quality_target", "7"))),
 			 CW_FOLD_MALFORMED);
-	assert_int_equal(fold(table, EDIT("3", CELL("a", "1", "weight", "20") "," CELL_IF(
-						       "a", "2", "weight", "5", "9"))),
+	assert_int_equal(apply_next(table, EDIT("3", CELL("a", "1", "weight", "20") "," CELL_IF(
+							     "a", "2", "weight", "5", "9"))),
 			 CW_FOLD_CONFLICT);
 	assert_true(cw_table_row(table, "a", "m", "1")->cell[CW_COLUMN_WEIGHT] == 10);
 	assert_null(cw_table_row(table, "a", "m", "2"));
@@ -50,17 +51,17 @@
 }
 
 /*
- * Symptom: an operator's accepted edit was undone without anyone's order.
- * Sequence: edit 1 is kept, its answer lost; edit 2 sets the same cell; edit 1 is sent again.
- * Cause: the repeat was applied a second time.
+ * Guards against an operator's accepted edit being undone. Edit 1 is appended, but the answer is
+ * lost; edit 2 sets the same cell; then edit 1 is retried, and was applied a second time.
  */
 static void a_repeated_edit_undoes_nothing(void **state)
 {
 	struct cw_table *table = cw_table_create();
 
-	fold(table, EDIT("1", CELL("a", "1", "weight", "10")));
-	fold(table, EDIT("2", CELL("a", "1", "weight", "20")));
-	assert_int_equal(fold(table, EDIT("1", CELL("a", "1", "weight", "10"))), CW_FOLD_DUPLICATE);
+	apply_next(table, EDIT("1", CELL("a", "1", "weight", "10")));
+	apply_next(table, EDIT("2", CELL("a", "1", "weight", "20")));
+	assert_int_equal(apply_next(table, EDIT("1", CELL("a", "1", "weight", "10"))),
+			 CW_FOLD_DUPLICATE);
 	assert_true(cw_table_row(table, "a", "m", "1")->cell[CW_COLUMN_WEIGHT] == 20);
 	cw_table_destroy(table);
 }
@@ -70,7 +71,7 @@
 	struct cw_table *table = cw_table_create();
 	enum cw_fold result;
 
-	fold(table, EDIT("1", CELL("a", "1", "weight", "10")));
+	apply_next(table, EDIT("1", CELL("a", "1", "weight", "10")));
 	assert_int_equal(
 		cw_table_fold(table, 3, EDIT("3", CELL("a", "1", "weight", "30")), &result, NULL),
 		CW_INVALID);
@@ -83,26 +84,26 @@
 
 static void rubbish_moves_the_offset_only(void **state)
 {
-	static const char *const rubbish[] = {"",
-					      "7",
-					      "[]",
-					      "{}",
-					      "null",
-					      "{\"cells\":7,\"edit\":\"x\"}",
-					      "{\"edit\":\"x\",\"cells\":[7]}",
-					      "{\"organisation\":\"a\",\"key_sha256\":\"z\"}",
-					      EDIT("1", CELL("", "1", "weight", "1")),
-					      EDIT("1", CELL("a", "1", "none", "1")),
-					      EDIT("1", CELL("a", "1", "weight", "-1")),
-					      EDIT("1", CELL("a", "1", "weight", "nan")),
-					      EDIT("1", CELL("a", "1", "weight", "1e99")),
-					      EDIT("1", CELL("a", "1", "state", "maybe"))};
+	static const char *const malformed[] = {"",
+						"7",
+						"[]",
+						"{}",
+						"null",
+						"{\"cells\":7,\"edit\":\"x\"}",
+						"{\"edit\":\"x\",\"cells\":[7]}",
+						"{\"organisation\":\"a\",\"key_sha256\":\"z\"}",
+						EDIT("1", CELL("", "1", "weight", "1")),
+						EDIT("1", CELL("a", "1", "none", "1")),
+						EDIT("1", CELL("a", "1", "weight", "-1")),
+						EDIT("1", CELL("a", "1", "weight", "nan")),
+						EDIT("1", CELL("a", "1", "weight", "1e99")),
+						EDIT("1", CELL("a", "1", "state", "maybe"))};
 	struct cw_table *table = cw_table_create();
 
-	for (size_t i = 0; i < G_N_ELEMENTS(rubbish); i++)
-		assert_int_equal(fold(table, rubbish[i]), CW_FOLD_MALFORMED);
+	for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++)
+		assert_int_equal(apply_next(table, malformed[i]), CW_FOLD_MALFORMED);
 	assert_true(TAILQ_EMPTY(cw_table_rows(table)));
-	assert_int_equal(cw_table_offset(table), G_N_ELEMENTS(rubbish));
+	assert_int_equal(cw_table_offset(table), G_N_ELEMENTS(malformed));
 	cw_table_destroy(table);
 }
 
@@ -111,12 +112,12 @@
 	struct cw_table *table = cw_table_create();
 	const struct cw_row *row;
 
-	fold(table, EDIT("1", CELL("a", "1", "state", "allowed")));
+	apply_next(table, EDIT("1", CELL("a", "1", "state", "allowed")));
 	row = cw_table_row(table, "a", "m", "1");
 	assert_true(cw_table_binding_holds(row, 1));
-	fold(table, EDIT("2", CELL("a", "1", "state", "withdrawn")));
+	apply_next(table, EDIT("2", CELL("a", "1", "state", "withdrawn")));
 	assert_false(cw_table_allows(row));
-	fold(table, EDIT("3", CELL("a", "1", "state", "allowed")));
+	apply_next(table, EDIT("3", CELL("a", "1", "state", "allowed")));
 	assert_true(cw_table_allows(row));
 	assert_false(cw_table_binding_holds(row, 1));
 	assert_true(cw_table_binding_holds(row, 3));
@@ -130,11 +131,11 @@
 	char *first;
 	char *second;
 
-	fold(table,
-	     EDIT("1", CELL("a", "1", "weight", "10") "," CELL("a", "1", "state", "allowed")));
-	fold(table, EDIT("2", CELL("a", "1", "state", "withdrawn")));
-	fold(table, "{\"organisation\":\"a\",\"key_sha256\":"
-		    "\"aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\"}");
+	apply_next(table, EDIT("1", CELL("a", "1", "weight", "10") "," CELL("a", "1", "state",
+									    "allowed")));
+	apply_next(table, EDIT("2", CELL("a", "1", "state", "withdrawn")));
+	apply_next(table, "{\"organisation\":\"a\",\"key_sha256\":"
+			  "\"aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\"}");
 	first = cw_table_snapshot(table);
 	assert_int_equal(cw_table_load(copy, first, NULL), CW_OK);
 	second = cw_table_snapshot(copy);
@@ -143,9 +144,10 @@
 		cw_table_organisation(
 			copy, "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"),
 		"a");
-	/* It carries the edits' ids too: a repeat behind the snapshot is still known. */
-	assert_int_equal(fold(copy, EDIT("1", CELL("a", "1", "weight", "99"))), CW_FOLD_DUPLICATE);
-	/* A table never goes back to an older snapshot. */
+	/* The snapshot contains the edits' ids, so a repeat after it is still recognised. */
+	assert_int_equal(apply_next(copy, EDIT("1", CELL("a", "1", "weight", "99"))),
+			 CW_FOLD_DUPLICATE);
+	/* A snapshot that is not newer than the table is rejected. */
 	assert_int_equal(cw_table_load(copy, first, NULL), CW_REFUSED);
 	g_free(first);
 	g_free(second);
@@ -166,7 +168,7 @@
 	char *out;
 
 	assert_int_equal(cw_table_edit_from_csv(csv, "1", "t", &record, &error), CW_OK);
-	assert_int_equal(fold(table, record), CW_FOLD_APPLIED);
+	assert_int_equal(apply_next(table, record), CW_FOLD_APPLIED);
 	out = cw_table_to_csv(table);
 	assert_string_equal(
 		out, "organisation,model,version,weight,requests_per_s,tokens_per_s,concurrent,"
@@ -188,22 +190,21 @@
 	cw_table_destroy(table);
 }
 
-/* A repeated append must not drain a domain again that was taken back meanwhile; snapshots keep it.
- */
+/* A repeated append must not drain a domain again that was restored in the meantime. */
 static void drains_follow_the_log_and_outlive_a_snapshot(void **state)
 {
 	struct cw_table *table = cw_table_create();
 	struct cw_table *copy = cw_table_create();
 	char *snapshot;
 
-	assert_int_equal(fold(table, DRAIN("1", "d1", "true")), CW_FOLD_APPLIED);
+	assert_int_equal(apply_next(table, DRAIN_ORDER("1", "d1", "true")), CW_FOLD_APPLIED);
 	assert_true(cw_drains_is_drained(cw_table_drains(table), "d1"));
-	assert_int_equal(fold(table, DRAIN("2", "d2", "true")), CW_FOLD_APPLIED);
-	assert_int_equal(fold(table, DRAIN("3", "d1", "false")), CW_FOLD_APPLIED);
-	assert_int_equal(fold(table, DRAIN("1", "d1", "true")), CW_FOLD_DUPLICATE);
+	assert_int_equal(apply_next(table, DRAIN_ORDER("2", "d2", "true")), CW_FOLD_APPLIED);
+	assert_int_equal(apply_next(table, DRAIN_ORDER("3", "d1", "false")), CW_FOLD_APPLIED);
+	assert_int_equal(apply_next(table, DRAIN_ORDER("1", "d1", "true")), CW_FOLD_DUPLICATE);
 	assert_false(cw_drains_is_drained(cw_table_drains(table), "d1"));
-	assert_int_equal(fold(table, DRAIN("4", "", "true")), CW_FOLD_MALFORMED);
-	assert_int_equal(fold(table, DRAIN("5", "d1", "1")), CW_FOLD_MALFORMED);
+	assert_int_equal(apply_next(table, DRAIN_ORDER("4", "", "true")), CW_FOLD_MALFORMED);
+	assert_int_equal(apply_next(table, DRAIN_ORDER("5", "d1", "1")), CW_FOLD_MALFORMED);
 	snapshot = cw_table_snapshot(table);
 	assert_int_equal(cw_table_load(copy, snapshot, NULL), CW_OK);
 	assert_true(cw_drains_is_drained(cw_table_drains(copy), "d2"));
--- a/tests/unit/test_up_store.c
+++ b/tests/unit/test_up_store.c
@@ -1,169 +1,172 @@
-/* What the store's records hold: entries of backend servers, and entries that name none. */
+/* Records of the shared store: server list entries, valid and invalid, and drain orders. */
 #include "cw_up.h"
 #include "unit.h"
 
 #include <stdio.h>
 #include <string.h>
 
-#define REST "\"zone\":\"z1\",\"version\":\"v1\",\"slots\":64,\"cold_left_ms\":0,\"stage\":\"x\","
-#define WHOLE                                                                                      \
-	"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST                                   \
+#define OTHER_MEMBERS                                                                              \
+	"\"zone\":\"z1\",\"version\":\"v1\",\"slots\":64,\"cold_left_ms\":0,\"stage\":\"x\","
+#define VALID_ENTRY                                                                                \
+	"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS                          \
 	"\"state\":\"ready\",\"seq\":1,\"born\":1790651616045}"
 
-static void put_number(GString *out, uint64_t number, int bytes)
+static void append_number(GString *out, uint64_t number, int bytes)
 {
 	for (int shift = (bytes - 1) * 8; shift >= 0; shift -= 8)
 		g_string_append_c(out, (char)(number >> shift & 0xff));
 }
 
-static void put_record(GString *out, const char *key, const char *value, size_t size)
+static void append_record(GString *out, const char *key, const char *value, size_t size)
 {
-	put_number(out, 1 + strlen(key) + size, 4);
-	put_number(out, strlen(key), 1);
+	append_number(out, 1 + strlen(key) + size, 4);
+	append_number(out, strlen(key), 1);
 	g_string_append(out, key);
 	g_string_append_len(out, value, (gssize)size);
 }
 
-/* One record as it is followed; the page is to be cleared. */
-static const struct cw_up_news *follow(struct cw_up_page *page, const char *key, const char *value,
-				       size_t size)
+/* Parses a page of a log-read answer with one record. The caller clears the page. */
+static const struct cw_up_news *parse_as_log_read(struct cw_up_page *page, const char *key,
+						  const char *value, size_t size)
 {
 	GString *body = g_string_new(NULL);
 	struct cw_error error = {0};
 
-	put_number(body, 8, 8);
-	put_number(body, 0, 8);
-	put_record(body, key, value, size);
+	append_number(body, 8, 8);
+	append_number(body, 0, 8);
+	append_record(body, key, value, size);
 	assert_int_equal(cw_up_read_answer(CW_UP_SERVERS, 200, body, 7, page, &error), CW_OK);
 	assert_int_equal(page->count, 1);
 	g_string_free(body, TRUE);
 	return &page->news[0];
 }
 
-/* The same record as it is collected. */
-static const struct cw_up_news *collect(struct cw_up_page *page, const char *key, const char *value,
-					size_t size)
+/* The same for an answer of log-newest. */
+static const struct cw_up_news *parse_as_log_newest(struct cw_up_page *page, const char *key,
+						    const char *value, size_t size)
 {
-	gchar *coded = g_base64_encode((const guchar *)value, size);
+	gchar *encoded = g_base64_encode((const guchar *)value, size);
 	GString *body = g_string_new(NULL);
 	struct cw_error error = {0};
 
 	g_string_printf(body,
 			"{\"items\":[{\"key\":\"%s\",\"value\":\"%s\",\"offset\":7}],"
 			"\"has_more\":false,\"end_offset\":8}",
-			key, coded);
+			key, encoded);
 	assert_int_equal(cw_up_newest_answer(CW_UP_SERVERS, 200, body, page, &error), CW_OK);
 	assert_int_equal(page->count, 1);
 	g_string_free(body, TRUE);
-	g_free(coded);
+	g_free(encoded);
 	return &page->news[0];
 }
 
 static void a_whole_entry_names_a_server(void **state)
 {
 	struct cw_up_page page;
-	const struct cw_up_news *news = follow(&page, "s1", WHOLE, strlen(WHOLE));
+	const struct cw_up_news *record =
+		parse_as_log_read(&page, "s1", VALID_ENTRY, strlen(VALID_ENTRY));
 
-	assert_int_equal(news->kind, CW_UP_SERVER);
-	assert_int_equal(news->offset, 7);
-	assert_string_equal(news->server.name, "s1");
-	assert_string_equal(news->server.service, "llm");
-	assert_string_equal(news->server.address, "10.0.0.1:80");
-	assert_string_equal(news->server.failure_domain, "z1");
-	assert_string_equal(news->server.software, "v1");
-	assert_int_equal(news->server.slots, 64);
-	assert_int_equal(news->server.leaving, 0);
-	assert_true(news->server.process_start_ms == 1790651616045);
+	assert_int_equal(record->kind, CW_UP_SERVER);
+	assert_int_equal(record->offset, 7);
+	assert_string_equal(record->server.name, "s1");
+	assert_string_equal(record->server.service, "llm");
+	assert_string_equal(record->server.address, "10.0.0.1:80");
+	assert_string_equal(record->server.failure_domain, "z1");
+	assert_string_equal(record->server.software, "v1");
+	assert_int_equal(record->server.slots, 64);
+	assert_int_equal(record->server.leaving, 0);
+	assert_true(record->server.process_start_ms == 1790651616045);
 	cw_up_page_clear(&page);
-	news = collect(&page, "s1", WHOLE, strlen(WHOLE));
-	assert_int_equal(news->kind, CW_UP_SERVER);
-	assert_true(news->server.process_start_ms == 1790651616045);
+	record = parse_as_log_newest(&page, "s1", VALID_ENTRY, strlen(VALID_ENTRY));
+	assert_int_equal(record->kind, CW_UP_SERVER);
+	assert_true(record->server.process_start_ms == 1790651616045);
 	cw_up_page_clear(&page);
 }
 
-/* How long a server says that it stays cold, whole or not; a record is no news of a wild one. */
+/* A fractional time is truncated; a time out of range is clamped to 0 and 600 s. */
 static void an_entry_tells_how_long_its_server_stays_cold(void **state)
 {
 	static const struct {
-		const char *told;
+		const char *reported;
 		int64_t cold_ms;
 	} cases[] = {{"2400", 2400}, {"2400.5", 2400}, {"-3", 0}, {"1e300", 600000}};
 
 	for (size_t i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		struct cw_up_page page;
-		const struct cw_up_news *news;
+		const struct cw_up_news *record;
 		char entry[256];
 
 		snprintf(entry, sizeof(entry),
 			 "{\"service\":\"llm\",\"address\":\"10.0.0.1:80\",\"zone\":\"z1\","
 			 "\"version\":\"v1\",\"slots\":64,\"cold_left_ms\":%s,\"state\":\"ready\","
 			 "\"seq\":1}",
-			 cases[i].told);
-		news = follow(&page, "s1", entry, strlen(entry));
-		assert_int_equal(news->kind, CW_UP_SERVER);
-		assert_true(news->server.cold_ms == cases[i].cold_ms);
+			 cases[i].reported);
+		record = parse_as_log_read(&page, "s1", entry, strlen(entry));
+		assert_int_equal(record->kind, CW_UP_SERVER);
+		assert_true(record->server.cold_ms == cases[i].cold_ms);
 		cw_up_page_clear(&page);
 	}
 }
 
-/* One operator's record as it is followed; the page is to be cleared. */
-static const struct cw_up_news *follow_order(struct cw_up_page *page, const char *key,
-					     const char *value)
+/* Parses a page of the operators' topic with one record. The caller clears the page. */
+static const struct cw_up_news *parse_operator_record(struct cw_up_page *page, const char *key,
+						      const char *value)
 {
 	GString *body = g_string_new(NULL);
 	struct cw_error error = {0};
 
-	put_number(body, 8, 8);
-	put_number(body, 0, 8);
-	put_record(body, key, value, strlen(value));
+	append_number(body, 8, 8);
+	append_number(body, 0, 8);
+	append_record(body, key, value, strlen(value));
 	assert_int_equal(cw_up_read_answer(CW_UP_OPERATOR, 200, body, 7, page, &error), CW_OK);
 	g_string_free(body, TRUE);
 	return &page->news[0];
 }
 
-/* That the key has a value is the order, whatever it holds; without one it is taken back. */
+/* Any value orders the drain, even one that is not JSON; a record without a value revokes it. */
 static void a_drain_is_ordered_and_taken_back_by_its_key(void **state)
 {
 	static const char *const values[] = {"{}", "null", "no JSON"};
 	struct cw_up_page page;
-	const struct cw_up_news *news;
+	const struct cw_up_news *record;
 
 	for (size_t i = 0; i < sizeof(values) / sizeof(values[0]); i++) {
-		news = follow_order(&page, "evacuate/z1", values[i]);
-		assert_int_equal(news->kind, CW_UP_DRAIN);
-		assert_string_equal(news->drain.failure_domain, "z1");
-		assert_int_equal(news->drain.is_drained, 1);
-		assert_int_equal(news->drain.offset, 7);
+		record = parse_operator_record(&page, "evacuate/z1", values[i]);
+		assert_int_equal(record->kind, CW_UP_DRAIN);
+		assert_string_equal(record->drain.failure_domain, "z1");
+		assert_int_equal(record->drain.is_drained, 1);
+		assert_int_equal(record->drain.offset, 7);
 		cw_up_page_clear(&page);
 	}
-	news = follow_order(&page, "evacuate/z1", "");
-	assert_int_equal(news->kind, CW_UP_DRAIN);
-	assert_int_equal(news->drain.is_drained, 0);
+	record = parse_operator_record(&page, "evacuate/z1", "");
+	assert_int_equal(record->kind, CW_UP_DRAIN);
+	assert_int_equal(record->drain.is_drained, 0);
 	cw_up_page_clear(&page);
-	news = follow_order(&page, "evacuate/", "{}");
-	assert_int_equal(news->kind, CW_UP_OTHER);
+	record = parse_operator_record(&page, "evacuate/", "{}");
+	assert_int_equal(record->kind, CW_UP_OTHER);
 	cw_up_page_clear(&page);
 }
 
-/* A server that doesn't tell when it started is one all the same. */
+/* The start time of the server's process is optional. */
 static void an_entry_may_leave_out_its_birth(void **state)
 {
-	static const char entry[] = "{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST
-				    "\"state\":\"draining\",\"seq\":1}";
+	static const char entry[] =
+		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
+		"\"state\":\"draining\",\"seq\":1}";
 	struct cw_up_page page;
-	const struct cw_up_news *news = follow(&page, "s1", entry, strlen(entry));
+	const struct cw_up_news *record = parse_as_log_read(&page, "s1", entry, strlen(entry));
 
-	assert_int_equal(news->kind, CW_UP_SERVER);
-	assert_int_equal(news->server.leaving, 1);
-	assert_true(news->server.process_start_ms == 0);
+	assert_int_equal(record->kind, CW_UP_SERVER);
+	assert_int_equal(record->server.leaving, 1);
+	assert_true(record->server.process_start_ms == 0);
 	cw_up_page_clear(&page);
 }
 
 /*
- * Symptom: requests went to addresses where no server of the service was.
- * Sequence: someone else writes under a server's key, or under a key of their own: fields missing
- * or of another type, a state nobody knows, bytes that are no JSON.
- * Cause: what could be read of an entry was taken, and the rest filled with defaults.
+ * Guards against requests that are sent to addresses where no server of the service listens.
+ * Another client of the store writes an entry, under a server's key or a new one: with members
+ * missing or of another type, with an unknown state, or not JSON at all. Once, the readable members
+ * of such an entry were used, and the others set to defaults.
  */
 static void an_entry_that_cannot_be_read_names_no_server(void **state)
 {
@@ -173,32 +176,35 @@
 		"[1,2]",
 		"\"text\"",
 		"{}",
-		WHOLE " and more",
-		"{\"address\":\"10.0.0.1:80\"," REST "\"state\":\"ready\",\"seq\":1}",
-		"{\"service\":\"llm\"," REST "\"state\":\"ready\",\"seq\":1}",
-		"{\"service\":7,\"address\":\"10.0.0.1:80\"," REST "\"state\":\"ready\",\"seq\":1}",
-		"{\"service\":\"\",\"address\":\"10.0.0.1:80\"," REST
+		VALID_ENTRY " and more",
+		"{\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS "\"state\":\"ready\",\"seq\":1}",
+		"{\"service\":\"llm\"," OTHER_MEMBERS "\"state\":\"ready\",\"seq\":1}",
+		"{\"service\":7,\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
 		"\"state\":\"ready\",\"seq\":1}",
-		"{\"service\":\"l lm\",\"address\":\"10.0.0.1:80\"," REST
+		"{\"service\":\"\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
 		"\"state\":\"ready\",\"seq\":1}",
-		"{\"service\":\"llm\\u0000x\",\"address\":\"10.0.0.1:80\"," REST
+		"{\"service\":\"l lm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
 		"\"state\":\"ready\",\"seq\":1}",
-		"{\"service\":\"llm\",\"address\":\"somewhere\"," REST
+		"{\"service\":\"llm\\u0000x\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
 		"\"state\":\"ready\",\"seq\":1}",
-		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST "\"seq\":1}",
-		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST
+		"{\"service\":\"llm\",\"address\":\"somewhere\"," OTHER_MEMBERS
+		"\"state\":\"ready\",\"seq\":1}",
+		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS "\"seq\":1}",
+		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
 		"\"state\":\"resting\",\"seq\":1}",
-		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST "\"state\":1,\"seq\":1}",
-		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST "\"state\":\"ready\"}",
-		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST
+		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
+		"\"state\":1,\"seq\":1}",
+		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
+		"\"state\":\"ready\"}",
+		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
 		"\"state\":\"ready\",\"seq\":\"1\"}",
-		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST
+		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
 		"\"state\":\"ready\",\"seq\":1,\"born\":\"1790651616045\"}",
-		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST
+		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
 		"\"state\":\"ready\",\"seq\":1,\"born\":1790651616045.5}",
-		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST
+		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
 		"\"state\":\"ready\",\"seq\":1,\"born\":-1}",
-		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," REST
+		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\"," OTHER_MEMBERS
 		"\"state\":\"ready\",\"seq\":1,\"born\":null}",
 		"{\"service\":\"llm\",\"address\":\"10.0.0.1:80\",\"zone\":\"z1\",\"version\":"
 		"\"v1\","
@@ -208,22 +214,22 @@
 		"\"slots\":64,\"state\":\"ready\",\"seq\":1}",
 	};
 	struct cw_up_page page;
-	const struct cw_up_news *news;
+	const struct cw_up_news *record;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(entries); i++) {
-		news = follow(&page, "s1", entries[i], strlen(entries[i]));
-		assert_int_equal(news->kind, CW_UP_SERVER_GONE);
-		assert_string_equal(news->server.name, "s1");
-		assert_int_not_equal(news->error.status, CW_OK);
+		record = parse_as_log_read(&page, "s1", entries[i], strlen(entries[i]));
+		assert_int_equal(record->kind, CW_UP_SERVER_GONE);
+		assert_string_equal(record->server.name, "s1");
+		assert_int_not_equal(record->error.status, CW_OK);
 		cw_up_page_clear(&page);
-		news = collect(&page, "s1", entries[i], strlen(entries[i]));
-		assert_int_equal(news->kind, CW_UP_SERVER_GONE);
-		assert_int_not_equal(news->error.status, CW_OK);
+		record = parse_as_log_newest(&page, "s1", entries[i], strlen(entries[i]));
+		assert_int_equal(record->kind, CW_UP_SERVER_GONE);
+		assert_int_not_equal(record->error.status, CW_OK);
 		cw_up_page_clear(&page);
 	}
 }
 
-/* The others hold: records after one that can't be read are read as usual. */
+/* An invalid record must not affect the decoding of the records before and after it. */
 static void records_beside_one_that_cannot_be_read_hold(void **state)
 {
 	char long_key[200];
@@ -233,14 +239,14 @@
 
 	memset(long_key, 'k', sizeof(long_key) - 1);
 	long_key[sizeof(long_key) - 1] = '\0';
-	put_number(body, 12, 8);
-	put_number(body, 0, 8);
-	put_record(body, "s1", WHOLE, strlen(WHOLE));
-	put_record(body, "s2", "\x80", 1);
-	put_record(body, long_key, WHOLE, strlen(WHOLE));
-	put_record(body, "a key", WHOLE, strlen(WHOLE));
-	put_number(body, 0, 4);
-	put_record(body, "s3", WHOLE, strlen(WHOLE));
+	append_number(body, 12, 8);
+	append_number(body, 0, 8);
+	append_record(body, "s1", VALID_ENTRY, strlen(VALID_ENTRY));
+	append_record(body, "s2", "\x80", 1);
+	append_record(body, long_key, VALID_ENTRY, strlen(VALID_ENTRY));
+	append_record(body, "a key", VALID_ENTRY, strlen(VALID_ENTRY));
+	append_number(body, 0, 4);
+	append_record(body, "s3", VALID_ENTRY, strlen(VALID_ENTRY));
 	assert_int_equal(cw_up_read_answer(CW_UP_SERVERS, 200, body, 6, &page, &error), CW_OK);
 	assert_int_equal(page.count, 6);
 	assert_int_equal(page.end, 12);
@@ -255,7 +261,7 @@
 	g_string_free(body, TRUE);
 }
 
-/* Pages are asked for by the last key of the one before, whatever that key is. */
+/* The next page is requested by the last key of a page, so the key must be complete. */
 static void a_long_key_is_carried_on_whole(void **state)
 {
 	char key[256];
@@ -263,7 +269,7 @@
 
 	memset(key, 'k', 255);
 	key[255] = '\0';
-	collect(&page, key, WHOLE, strlen(WHOLE));
+	parse_as_log_newest(&page, key, VALID_ENTRY, strlen(VALID_ENTRY));
 	assert_string_equal(page.after, key);
 	assert_int_equal(page.news[0].kind, CW_UP_OTHER);
 	cw_up_page_clear(&page);
