--- a/packages/platform/include/cw_platform.h
+++ b/packages/platform/include/cw_platform.h
@@ -12,7 +12,7 @@
 
 struct cw_platform_record {
 	uint64_t offset;
-	int64_t time_ms; /* as reported by the platform */
+	int64_t time_ms; /* by the log's clock */
 	char *data;	 /* JSON text */
 };
 
@@ -60,7 +60,7 @@
 
 struct cw_rating_ops {
 	enum cw_status (*rate)(const char *platform, const struct cw_rating_request *request,
-			       double *score, struct cw_error *error);
+			       double *score, struct cw_error *error); /* score: 0 to 1 */
 };
 
 extern const struct cw_log_ops cw_log_http;
--- a/packages/settings/src/settings.c
+++ b/packages/settings/src/settings.c
@@ -145,7 +145,7 @@
 static void set_default(const struct key *key, void *target);
 static const struct key *find_key(const struct key *keys, size_t count, const char *name);
 static int is_valid_address(const char *text);
-static struct json_object *parse(struct reader *reader, const char *text);
+static struct json_object *parse_json(struct reader *reader, const char *text);
 static void check_consistency(struct reader *reader, const struct cw_settings *settings);
 static void add_error(struct reader *reader, const char *path, const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
@@ -171,7 +171,7 @@
 	struct json_object *root;
 
 	reader.lines = lines_create(text);
-	root = parse(&reader, text);
+	root = parse_json(&reader, text);
 	if (root)
 		read_root(&reader, root, settings);
 	json_object_put(root);
@@ -392,7 +392,7 @@
 	return valid;
 }
 
-static struct json_object *parse(struct reader *reader, const char *text)
+static struct json_object *parse_json(struct reader *reader, const char *text)
 {
 	struct json_tokener *tokener = json_tokener_new();
 	struct json_object *root = json_tokener_parse_ex(tokener, text, (int)strlen(text) + 1);
