--- a/tests/unit/test_table.c
+++ b/tests/unit/test_table.c
@@ -52,7 +52,7 @@
 
 /*
  * Guards against an operator's accepted edit being undone. Edit 1 is appended, but the answer is
- * lost; edit 2 sets the same cell; then edit 1 is retried, and was applied a second time.
+ * lost; edit 2 sets the same cell; then edit 1 is retried. The repeat used to be applied again.
  */
 static void a_repeated_edit_undoes_nothing(void **state)
 {
@@ -190,7 +190,7 @@
 	cw_table_destroy(table);
 }
 
-/* A repeated append must not drain a domain again that was restored in the meantime. */
+/* A repeated append must not drain a restored domain again. A snapshot contains the drains. */
 static void drains_follow_the_log_and_outlive_a_snapshot(void **state)
 {
 	struct cw_table *table = cw_table_create();
--- a/tests/unit/test_up_store.c
+++ b/tests/unit/test_up_store.c
@@ -165,8 +165,8 @@
 /*
  * Guards against requests that are sent to addresses where no server of the service listens.
  * Another client of the store writes an entry, under a server's key or a new one: with members
- * missing or of another type, with an unknown state, or not JSON at all. Once, the readable members
- * of such an entry were used, and the others set to defaults.
+ * missing or of another type, with an unknown state, or not JSON at all. The readable members of
+ * such an entry used to be taken, and the others set to defaults.
  */
 static void an_entry_that_cannot_be_read_names_no_server(void **state)
 {
