--- a/apps/corianderwalk/core.c
+++ b/apps/corianderwalk/core.c
@@ -49,7 +49,7 @@
 
 void message_destroy(struct message *message)
 {
-	cw_platform_read_clear(&message->read);
+	cw_platform_read_result_clear(&message->read);
 	g_free(message->record_list);
 	g_free(message->listed);
 	g_strfreev(message->versions);
--- a/apps/corianderwalk/daemon.h
+++ b/apps/corianderwalk/daemon.h
@@ -24,7 +24,7 @@
 	struct cw_request_in request;
 	struct cw_attempt_end attempt;
 	struct cw_records records;
-	struct cw_platform_read read; /* owns the records' data */
+	struct cw_platform_read_result read; /* owns the records' data */
 	struct cw_log_record *record_list;
 	struct cw_appended appended;
 	struct cw_listed *listed;
--- a/apps/corianderwalk/duties.c
+++ b/apps/corianderwalk/duties.c
@@ -184,7 +184,7 @@
 static void do_read(struct daemon *daemon, const struct cw_effect *effect)
 {
 	struct message *message = message_create(CW_EVENT_RECORDS);
-	struct cw_platform_read *read = &message->read;
+	struct cw_platform_read_result *read = &message->read;
 	struct cw_error error = {0};
 
 	message->records.stream = effect->read.stream;
@@ -346,7 +346,7 @@
 	struct message *message;
 	size_t count;
 
-	if (cw_list_http.list(daemon->settings->platform, &members, &count, NULL) != CW_OK)
+	if (cw_member_list_http.list(daemon->settings->platform, &members, &count, NULL) != CW_OK)
 		return;
 	message = message_create(CW_EVENT_LIST);
 	message->listed = g_new0(struct cw_listed, count + 1);
--- a/apps/corianderwalk/entry.c
+++ b/apps/corianderwalk/entry.c
@@ -61,7 +61,7 @@
 
 		cw_event("entry", "started", "domain=%s store=%s first=%d version=%s",
 			 entry.settings.failure_domain, entry.settings.store,
-			 entry.settings.is_first_start, CW_VERSION);
+			 entry.settings.is_bootstrap, CW_VERSION);
 		log_policy(policy);
 		uv_run(&entry.loop, UV_RUN_DEFAULT);
 	}
@@ -133,8 +133,9 @@
 	};
 
 	entry->gate = cw_gate_create(&options);
-	for (guint i = 0; i < settings->places->len; i++) {
-		const struct cw_up_place *place = g_ptr_array_index(settings->places, i);
+	for (guint i = 0; i < settings->domain_regions->len; i++) {
+		const struct cw_up_domain_region *place =
+			g_ptr_array_index(settings->domain_regions, i);
 
 		cw_pool_set_region(cw_gate_pool(entry->gate), place->failure_domain, place->region);
 	}
@@ -183,7 +184,7 @@
 	struct entry *entry = context;
 	unsigned int status = HTTP_STATUS_NOT_FOUND;
 
-	if (cw_up_is_ready_call(request))
+	if (cw_up_is_readiness_probe(request))
 		status = entry_is_ready(entry) ? HTTP_STATUS_OK : HTTP_STATUS_SERVICE_UNAVAILABLE;
 	cw_caller_head(caller, status, "", 0);
 	cw_caller_end(caller);
@@ -229,7 +230,7 @@
 static void on_reload(uv_signal_t *handle, int number)
 {
 	struct entry *entry = handle->data;
-	const char *file = cw_up_settings_file();
+	const char *file = cw_up_settings_path();
 	struct cw_up_settings settings;
 	struct cw_error error = {0};
 
--- a/apps/corianderwalk/entry_feed.c
+++ b/apps/corianderwalk/entry_feed.c
@@ -23,10 +23,10 @@
 	feed->client = cw_client_create(&entry->loop);
 	feed->tail = cw_tail_create();
 	verdict_open(&feed->verdict, feed);
-	topic_open(feed, &feed->operator, CW_UP_OPERATOR, "operator");
-	topic_open(feed, &feed->servers, CW_UP_SERVERS, "servers");
-	topic_open(feed, &feed->status, CW_UP_STATUS, "status");
-	topic_open(feed, &feed->quarantine, CW_UP_QUARANTINE, "quarantine");
+	topic_open(feed, &feed->operator, CW_UP_TOPIC_OPERATOR, "operator");
+	topic_open(feed, &feed->servers, CW_UP_TOPIC_SERVERS, "servers");
+	topic_open(feed, &feed->status, CW_UP_TOPIC_STATUS, "status");
+	topic_open(feed, &feed->quarantine, CW_UP_TOPIC_QUARANTINE, "quarantine");
 	holding_open(&feed->holding, feed);
 	ask_first(feed);
 	return feed;
@@ -35,7 +35,7 @@
 static void ask_first(struct feed *feed)
 {
 	const struct cw_up_settings *settings = &feed->entry->settings;
-	struct cw_readers_start start = {.is_first = settings->is_first_start};
+	struct cw_readers_start start = {.is_first = settings->is_bootstrap};
 	struct cw_readers_first_call first;
 
 	for (size_t i = 0; i < settings->seed_count; i++)
--- a/apps/corianderwalk/entry_feed.h
+++ b/apps/corianderwalk/entry_feed.h
@@ -108,7 +108,7 @@
 /* entry_hear.c: feed_tell and feed_hear of entry.h */
 
 /* entry_news.c: what a record changes */
-void news_take(struct topic *topic, struct cw_up_news *news);
+void news_take(struct topic *topic, struct cw_up_record *news);
 void news_take_change(void *feed, const struct cw_change *change);
 void news_take_followed(void *feed, const struct cw_change *change); /* the list's next record */
 
--- a/apps/corianderwalk/entry_news.c
+++ b/apps/corianderwalk/entry_news.c
@@ -6,47 +6,47 @@
 
 #include <string.h>
 
-static void take_config(struct feed *feed, const struct cw_up_news *news);
+static void take_config(struct feed *feed, const struct cw_up_record *news);
 static void take_server(struct feed *feed, const struct cw_server_entry *entry, int64_t now_ms);
 static void ask_for_order(struct feed *feed, const struct cw_server_entry *entry, int64_t now_ms);
 static void server_gone(struct feed *feed, const char *name, int64_t now_ms);
 
-void news_take(struct topic *topic, struct cw_up_news *news)
+void news_take(struct topic *topic, struct cw_up_record *news)
 {
 	struct feed *feed = topic->feed;
 	struct cw_rollouts *rollouts = cw_gate_rollouts(feed->entry->gate);
 	int64_t now_ms = entry_now_ms(feed->entry);
 
 	switch (news->kind) {
-	case CW_UP_CONFIG:
+	case CW_UP_RECORD_CONFIG:
 		take_config(feed, news);
 		break;
-	case CW_UP_ROLLOUT_ORDER:
+	case CW_UP_RECORD_ROLLOUT_ORDER:
 		if (cw_rollouts_apply_order(rollouts, &news->order, news->offset, now_ms))
 			cw_event("feed", "rollout_ordered",
 				 "service=%s target=%s duration_ms=%ld offset=%lu",
 				 news->order.service, news->order.target,
 				 (long)news->order.duration_ms, (unsigned long)news->offset);
 		break;
-	case CW_UP_ROLLOUT_STATUS:
+	case CW_UP_RECORD_ROLLOUT_STATUS:
 		if (cw_rollouts_apply_status(rollouts, &news->status))
 			cw_event("feed", "rollout_told", "service=%s target=%s state=%d",
 				 news->status.service, news->status.target, news->status.state);
 		break;
-	case CW_UP_DRAIN:
+	case CW_UP_RECORD_DRAIN_ORDER:
 		feed_drain(feed, &news->drain, "store");
 		break;
-	case CW_UP_SERVER:
+	case CW_UP_RECORD_SERVER:
 		take_server(feed, &news->server, now_ms);
 		break;
-	case CW_UP_SERVER_GONE:
+	case CW_UP_RECORD_SERVER_REMOVED:
 		server_gone(feed, news->server.name, now_ms);
 		break;
-	case CW_UP_HELD:
-		cw_quarantine_merge_record(cw_gate_quarantine(feed->entry->gate), &news->held,
+	case CW_UP_RECORD_QUARANTINE:
+		cw_quarantine_merge_record(cw_gate_quarantine(feed->entry->gate), &news->quarantine,
 					   CW_QUARANTINE_STORE, now_ms);
 		break;
-	case CW_UP_OTHER:
+	case CW_UP_RECORD_OTHER:
 		break;
 	}
 }
@@ -84,7 +84,7 @@
 	peers_tell(entry->peers);
 }
 
-static void take_config(struct feed *feed, const struct cw_up_news *news)
+static void take_config(struct feed *feed, const struct cw_up_record *news)
 {
 	struct entry *entry = feed->entry;
 
--- a/apps/corianderwalk/entry_quarantine.c
+++ b/apps/corianderwalk/entry_quarantine.c
@@ -86,7 +86,7 @@
 	if (record.age_ms < STEP_MS * rank)
 		return;
 	bytes = g_string_sized_new(256);
-	cw_up_held_call(&record, entry->settings.store, bytes);
+	cw_up_format_quarantine_append(&record, entry->settings.store, bytes);
 	holding->fingerprint = record.fingerprint;
 	holding->is_released = record.is_released;
 	append_begin(&holding->append, holding->feed, bytes);
--- a/apps/corianderwalk/entry_relay.c
+++ b/apps/corianderwalk/entry_relay.c
@@ -66,7 +66,7 @@
 
 	entry->last_request_ms = entry_now_ms(entry);
 	cw_count("requests", "", 1);
-	if (cw_up_request_read(request, &facts, &error) != CW_OK) {
+	if (cw_up_parse_request(request, &facts, &error) != CW_OK) {
 		answer_bad_request(caller, &error);
 		return;
 	}
@@ -249,13 +249,13 @@
 		.reuse_idle_ms = step->reuse_idle_ms,
 		.connect_ms = step->connect_ms,
 		.silence_ms = step->silence_ms,
-		.echo_name = cw_up_echo_name(),
+		.echo_name = cw_up_echoed_field_name(),
 		.echo_value = relay->facts.id,
 	};
 
 	drop_exchange(relay);
 	relay->sent_ms = entry_now_ms(relay->entry);
-	cw_up_request_write(relay->request, &step->dispatch, step->server->address, bytes);
+	cw_up_format_request(relay->request, &step->dispatch, step->server->address, bytes);
 	cw_count("attempts", "", 1);
 	cw_event("gate", "dispatch",
 		 "request=%s attempt=%u server=%s address=%s software=%s route=%s model=%s "
@@ -287,7 +287,7 @@
 	int64_t now_ms = entry_now_ms(relay->entry);
 
 	heard(relay);
-	cw_up_answer_read(answer, &facts);
+	cw_up_parse_answer_head(answer, &facts);
 	cw_call_handle_head(relay->call, &facts, now_ms, &step);
 	log_head(relay, &facts, &step, predicted_ms, now_ms - relay->sent_ms);
 	if (step.kind == CW_STEP_FORWARD && !relay->is_started) {
@@ -296,7 +296,7 @@
 		if (relay->is_stream && !relay->events)
 			relay->events = cw_events_create();
 		g_string_truncate(relay->fields, 0);
-		cw_up_answer_write(answer, relay->facts.id, relay->fields);
+		cw_up_format_answer_fields(answer, relay->facts.id, relay->fields);
 	}
 	take_step(relay, &step);
 }
@@ -468,7 +468,7 @@
 	GString *fields = g_string_sized_new(64);
 
 	drop_exchange(relay);
-	cw_up_refusal_write(relay->facts.id, step->retry_after_ms, fields);
+	cw_up_format_rejection_fields(relay->facts.id, step->retry_after_ms, fields);
 	relay->status = step->status;
 	cw_event("gate", "refused",
 		 "request=%s status=%u run=%s retry_after_ms=%ld config=%lu reason=\"%s\"",
--- a/apps/corianderwalk/entry_share.c
+++ b/apps/corianderwalk/entry_share.c
@@ -359,11 +359,11 @@
 static void config_done(struct fetch *fetch)
 {
 	struct feed *feed = fetch->share->feed;
-	struct cw_up_news news = {.kind = CW_UP_CONFIG, .offset = fetch->offset};
+	struct cw_up_record news = {.kind = CW_UP_RECORD_CONFIG, .offset = fetch->offset};
 
 	news.text = cw_unpack(fetch->body->str, fetch->body->len, CONFIG_MAX, &news.text_size);
 	if (news.text)
-		news.config = cw_up_config_decode(news.text, news.text_size, &news.error);
+		news.config = cw_up_parse_config(news.text, news.text_size, &news.error);
 	if (!news.config) {
 		cw_warn("share", "not_understood", "what=config message=\"%s\"",
 			news.text ? news.error.message : "not packed");
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -39,8 +39,8 @@
 static void take_newest(struct topic *topic, struct cw_up_page *page);
 static void read_on(struct topic *topic, const char *after);
 static void take_followed(struct topic *topic, struct cw_up_page *page);
-static void take_record(struct topic *topic, struct cw_up_news *news);
-static void note_unreadable(struct topic *topic, const struct cw_up_news *news);
+static void take_record(struct topic *topic, struct cw_up_record *log_record);
+static void note_unreadable(struct topic *topic, const struct cw_up_record *log_record);
 static void collected(struct topic *topic);
 static void restore_unseen(struct topic *topic);
 static void failed(struct topic *topic, const char *why);
@@ -119,15 +119,16 @@
 	if (topic->phase == PHASE_NEWEST) {
 		if (!*topic->after)
 			begin_collection(topic);
-		cw_up_newest_call(topic->topic, topic->after, store, bytes);
+		cw_up_format_log_newest(topic->topic, topic->after, store, bytes);
 	} else {
 		int64_t wait_ms = poll_wait_ms(topic);
 
-		cw_up_read_call(topic->topic, topic_next_offset(topic), wait_ms, store, bytes);
+		cw_up_format_log_read(topic->topic, topic_next_offset(topic), wait_ms, store,
+				      bytes);
 		request.silence_ms += wait_ms;
 	}
 	topic->read_from = topic->from;
-	if (topic->topic == CW_UP_SERVERS)
+	if (topic->topic == CW_UP_TOPIC_SERVERS)
 		cw_follow_begin_read(&feed->list);
 	g_string_truncate(topic->body, 0);
 	topic->status = 0;
@@ -138,7 +139,7 @@
 static void begin_collection(struct topic *topic)
 {
 	topic->sweep_ms = topic->asked_ms;
-	if (topic->topic == CW_UP_OPERATOR)
+	if (topic->topic == CW_UP_TOPIC_OPERATOR)
 		cw_drains_begin_scan(cw_pool_drains(cw_gate_pool(topic->feed->entry->gate)));
 }
 
@@ -149,7 +150,7 @@
 
 uint64_t topic_next_offset(const struct topic *topic)
 {
-	return topic->topic == CW_UP_SERVERS ? topic->feed->list.from : topic->from;
+	return topic->topic == CW_UP_TOPIC_SERVERS ? topic->feed->list.from : topic->from;
 }
 
 /*
@@ -186,11 +187,11 @@
 {
 	if (topic->is_down || topic->is_doubted)
 		return 0;
-	if (topic->topic == CW_UP_SERVERS)
+	if (topic->topic == CW_UP_TOPIC_SERVERS)
 		return topic_is_reader(topic) ? SERVERS_WAIT_MS : 0;
 	if (!topic_is_reader(topic))
 		return 0;
-	if (topic->topic == CW_UP_QUARANTINE)
+	if (topic->topic == CW_UP_TOPIC_QUARANTINE)
 		return HELD_WAIT_MS;
 	return POLL_WAIT_MS - (int64_t)rank_of(topic) * POLL_STAGGER_MS;
 }
@@ -200,11 +201,11 @@
 	struct topic *topic = timer->data;
 	struct feed *feed = topic->feed;
 
-	if (topic->phase == PHASE_NEWEST && topic->topic != CW_UP_QUARANTINE)
+	if (topic->phase == PHASE_NEWEST && topic->topic != CW_UP_TOPIC_QUARANTINE)
 		ask_newest(topic);
 	else if (topic_is_reader(topic))
 		ask(topic);
-	else if (topic->topic == CW_UP_SERVERS && is_settled(feed) &&
+	else if (topic->topic == CW_UP_TOPIC_SERVERS && is_settled(feed) &&
 		 cw_follow_is_reader(&feed->list, rank_of(topic), entry_now_ms(feed->entry)))
 		ask(topic);
 	else
@@ -299,7 +300,7 @@
  */
 static void start_over(struct topic *topic)
 {
-	if (topic->topic != CW_UP_SERVERS && topic->topic != CW_UP_OPERATOR) {
+	if (topic->topic != CW_UP_TOPIC_SERVERS && topic->topic != CW_UP_TOPIC_OPERATOR) {
 		topic_start_over(topic);
 		return;
 	}
@@ -312,12 +313,14 @@
 static enum cw_status read_answer(struct topic *topic, struct cw_up_page *page,
 				  struct cw_error *error)
 {
-	uint64_t read_from =
-		topic->topic == CW_UP_SERVERS ? topic->feed->list.read_from : topic->read_from;
+	uint64_t read_from = topic->topic == CW_UP_TOPIC_SERVERS ? topic->feed->list.read_from
+								 : topic->read_from;
 
 	if (topic->phase == PHASE_NEWEST)
-		return cw_up_newest_answer(topic->topic, topic->status, topic->body, page, error);
-	return cw_up_read_answer(topic->topic, topic->status, topic->body, read_from, page, error);
+		return cw_up_parse_log_newest(topic->topic, topic->status, topic->body, page,
+					      error);
+	return cw_up_parse_log_read(topic->topic, topic->status, topic->body, read_from, page,
+				    error);
 }
 
 static void on_failed(void *context, enum cw_flow_failure failure)
@@ -332,8 +335,8 @@
 static void take_newest(struct topic *topic, struct cw_up_page *page)
 {
 	for (size_t i = 0; i < page->count; i++) {
-		note_unreadable(topic, &page->news[i]);
-		news_take(topic, &page->news[i]);
+		note_unreadable(topic, &page->log_record[i]);
+		news_take(topic, &page->log_record[i]);
 	}
 	if (!*topic->after)
 		topic->from = page->end;
@@ -359,9 +362,10 @@
 static void take_followed(struct topic *topic, struct cw_up_page *page)
 {
 	for (size_t i = 0; i < page->count; i++)
-		if (topic->topic == CW_UP_SERVERS || page->news[i].offset >= topic->from)
-			take_record(topic, &page->news[i]);
-	if (topic->topic != CW_UP_SERVERS) {
+		if (topic->topic == CW_UP_TOPIC_SERVERS ||
+		    page->log_record[i].offset >= topic->from)
+			take_record(topic, &page->log_record[i]);
+	if (topic->topic != CW_UP_TOPIC_SERVERS) {
 		topic->from = MAX(topic->from, page->end);
 		topic_ask_in(topic, topic_is_reader(topic) ? 0 : STALE_CHECK_MS);
 		return;
@@ -375,36 +379,36 @@
 				    : STALE_CHECK_MS);
 }
 
-static void take_record(struct topic *topic, struct cw_up_news *news)
+static void take_record(struct topic *topic, struct cw_up_record *log_record)
 {
-	struct cw_change change = {.offset = news->offset,
-				   .is_removed = news->kind == CW_UP_SERVER_GONE,
-				   .entry = news->server};
+	struct cw_change change = {.offset = log_record->offset,
+				   .is_removed = log_record->kind == CW_UP_RECORD_SERVER_REMOVED,
+				   .entry = log_record->server};
 
-	note_unreadable(topic, news);
-	if (topic->topic != CW_UP_SERVERS)
-		news_take(topic, news);
-	else if (news->kind == CW_UP_OTHER)
-		cw_follow_skip(&topic->feed->list, news->offset);
+	note_unreadable(topic, log_record);
+	if (topic->topic != CW_UP_TOPIC_SERVERS)
+		news_take(topic, log_record);
+	else if (log_record->kind == CW_UP_RECORD_OTHER)
+		cw_follow_skip(&topic->feed->list, log_record->offset);
 	else if (cw_follow_apply_record(&topic->feed->list, &change, topic->read_ms))
 		news_take_followed(topic->feed, &change);
 }
 
 /* Anyone may write what can't be read, and as much as they like: the log isn't theirs to fill. */
-static void note_unreadable(struct topic *topic, const struct cw_up_news *news)
+static void note_unreadable(struct topic *topic, const struct cw_up_record *log_record)
 {
 	int64_t now_ms = entry_now_ms(topic->feed->entry);
 
-	if (news->error.status == CW_OK)
+	if (log_record->error.status == CW_OK)
 		return;
 	cw_count("store_records_unreadable", "", 1);
 	topic->unreadable++;
 	if (topic->warned_ms && now_ms - topic->warned_ms < UNREADABLE_MS)
 		return;
 	cw_warn("feed", "not_understood", "topic=%s offset=%lu key=%s records=%u message=\"%s\"",
-		topic->name, (unsigned long)news->offset,
-		*news->server.name ? news->server.name : "-", topic->unreadable,
-		news->error.message);
+		topic->name, (unsigned long)log_record->offset,
+		*log_record->server.name ? log_record->server.name : "-", topic->unreadable,
+		log_record->error.message);
 	topic->warned_ms = now_ms;
 	topic->unreadable = 0;
 }
@@ -418,19 +422,19 @@
 	topic->phase = PHASE_FOLLOW;
 	*topic->after = '\0';
 	cw_event("feed", "collected", "topic=%s end=%lu", topic->name, (unsigned long)topic->from);
-	if (topic->topic == CW_UP_SERVERS) {
+	if (topic->topic == CW_UP_TOPIC_SERVERS) {
 		cw_pool_delist_unlisted(cw_gate_pool(entry->gate), topic->sweep_ms,
 					feed_lapse_until_ms(feed), topic->read_ms);
 		cw_follow_reset(&feed->list, topic->from);
 		cw_follow_end_read(&feed->list, topic->sweep_ms);
 		topic_ask_in(topic, CW_READERS_DISCOVERY_MS);
-	} else if (topic->topic == CW_UP_OPERATOR) {
+	} else if (topic->topic == CW_UP_TOPIC_OPERATOR) {
 		restore_unseen(topic);
 		topic_ask_in(topic, CW_READERS_DISCOVERY_MS);
 		/* What became of an order is written down; without one there is nothing to read. */
 		if (cw_rollouts_has_any(cw_gate_rollouts(entry->gate)) && !feed->status.is_complete)
 			ask(&feed->status);
-	} else if (topic->topic == CW_UP_STATUS) {
+	} else if (topic->topic == CW_UP_TOPIC_STATUS) {
 		feed->verdict.is_status_fresh = 1;
 	} else {
 		topic_ask_in(topic, 0);
@@ -463,9 +467,9 @@
 	cw_count("store_failures", "", 1);
 	cw_random_bytes(&random, sizeof(random));
 	/* Who writes a roll-out's end reads its topic alone, whatever its rank as a reader. */
-	rank = topic->topic == CW_UP_STATUS ? 0 : rank_of(topic);
+	rank = topic->topic == CW_UP_TOPIC_STATUS ? 0 : rank_of(topic);
 	topic_ask_in(topic, cw_readers_retry_ms(rank, topic->failures, random));
-	if (topic->topic != CW_UP_QUARANTINE)
+	if (topic->topic != CW_UP_TOPIC_QUARANTINE)
 		doubt_others(topic);
 }
 
@@ -479,7 +483,7 @@
 	topic->restored_ms = entry_now_ms(topic->feed->entry);
 	cw_event("feed", "store_regained", "topic=%s from=%lu", topic->name,
 		 (unsigned long)topic_next_offset(topic));
-	if (topic->topic != CW_UP_QUARANTINE)
+	if (topic->topic != CW_UP_TOPIC_QUARANTINE)
 		doubt_others(topic);
 }
 
--- a/apps/corianderwalk/entry_verdict.c
+++ b/apps/corianderwalk/entry_verdict.c
@@ -93,7 +93,7 @@
 	GString *bytes = g_string_sized_new(256);
 
 	verdict->status = *status;
-	cw_up_status_call(status, feed->status.from, store, bytes);
+	cw_up_format_status_append(status, feed->status.from, store, bytes);
 	cw_event("feed", "rollout_writing", "service=%s target=%s state=%d at=%lu", status->service,
 		 status->target, status->state, (unsigned long)feed->status.from);
 	append_begin(&verdict->append, feed, bytes);
--- a/apps/corianderwalk/main.c
+++ b/apps/corianderwalk/main.c
@@ -88,7 +88,7 @@
 
 static int run_on_platform(const char *policy_file, int metrics_port)
 {
-	const char *file = cw_up_settings_file();
+	const char *file = cw_up_settings_path();
 	struct cw_policy policy;
 
 	if (load_policy(policy_file, &policy) != 0)
--- a/apps/cwctl/log.c
+++ b/apps/cwctl/log.c
@@ -14,7 +14,7 @@
 	struct cw_table *table;
 	const char *edit_id;
 	uint64_t offset;
-	enum cw_fold fold;
+	enum cw_table_result fold;
 	struct cw_error error;
 	uint64_t next;	  /* offset the table folds next; 0: looking for a snapshot */
 	uint64_t restart; /* to fold on from, behind a snapshot; 0 none */
@@ -30,7 +30,7 @@
 	uint64_t next = from;
 
 	for (;;) {
-		struct cw_platform_read read;
+		struct cw_platform_read_result read;
 		enum cw_status status =
 			cw_log_http.read(platform, stream, next, READ_MAX, 0, &read, error);
 		size_t count = read.count;
@@ -45,7 +45,7 @@
 			visit->record(visit->context, read.list[i].offset, read.list[i].data);
 			next = read.list[i].offset + 1;
 		}
-		cw_platform_read_clear(&read);
+		cw_platform_read_result_clear(&read);
 		if (count == 0)
 			return CW_OK;
 	}
@@ -82,7 +82,7 @@
 		cw_table_destroy(own.table);
 		if (own.offset) {
 			*offset = own.offset;
-			if (own.fold == CW_FOLD_APPLIED || own.fold == CW_FOLD_DUPLICATE)
+			if (own.fold == CW_TABLE_APPLIED || own.fold == CW_TABLE_DUPLICATE)
 				return EXIT_DONE;
 			fprintf(stderr, "cwctl: refused at offset %" G_GUINT64_FORMAT ": %s\n",
 				own.offset, own.error.message);
@@ -120,17 +120,17 @@
 	struct edit_search *found = context;
 	struct json_object *parsed;
 	struct json_object *id;
-	enum cw_fold fold = CW_FOLD_SNAPSHOT;
+	enum cw_table_result fold = CW_TABLE_SNAPSHOT;
 
 	if (offset != found->next) {
-		if (cw_table_load(found->table, data, NULL) == CW_OK) {
+		if (cw_table_load_snapshot(found->table, data, NULL) == CW_OK) {
 			found->restart = cw_table_offset(found->table) + 1;
 			found->next = 0;
 		}
 		return;
 	}
 	found->next = offset + 1;
-	cw_table_fold(found->table, offset, data, &fold, &found->error);
+	cw_table_apply_record(found->table, offset, data, &fold, &found->error);
 	parsed = json_tokener_parse(data);
 	if (*found->edit_id && !found->offset &&
 	    (json_object_object_get_ex(parsed, "edit", &id) ||
--- a/apps/cwctl/tables.c
+++ b/apps/cwctl/tables.c
@@ -103,7 +103,7 @@
 	}
 	grid = options->json ? NULL : grid_create(titles, G_N_ELEMENTS(titles));
 	TAILQ_FOREACH(row, cw_table_rows(table), link) {
-		char text[CW_COLUMNS][64];
+		char text[CW_COLUMN_COUNT][64];
 		char revision[32];
 		const char *cells[] = {row->organisation, row->model, row->version, text[0],
 				       text[1],		  text[2],    text[3],	    text[4],
@@ -111,9 +111,9 @@
 		struct json_object *line = options->json ? json_object_new_object() : NULL;
 		uint64_t newest = 0;
 
-		for (int column = 0; column < CW_COLUMNS; column++) {
-			cw_cell_print(column, row->cell[column], text[column],
-				      sizeof(text[column]));
+		for (int column = 0; column < CW_COLUMN_COUNT; column++) {
+			cw_cell_format(column, row->cell[column], text[column],
+				       sizeof(text[column]));
 			newest = MAX(newest, row->revision[column]);
 			if (line)
 				json_object_object_add(line, cw_column_name(column),
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -217,8 +217,9 @@
 
 size_t cw_node_bytes(const struct cw_node *node)
 {
-	return sizeof(*node) + cw_table_bytes(node->table) + cw_claims_count(node->claims) * 160 +
-	       cw_session_count(node->sessions) * 220 + cw_ledger_count(node->ledger, NULL) * 900 +
+	return sizeof(*node) + cw_table_memory_bytes(node->table) +
+	       cw_claims_count(node->claims) * 160 + cw_session_count(node->sessions) * 220 +
+	       cw_ledger_count(node->ledger, NULL) * 900 +
 	       cw_membership_size(node->membership) * (sizeof(struct cw_member) + 32) +
 	       node->running * sizeof(struct request);
 }
@@ -423,7 +424,7 @@
 		effect->replay.answer = status_answer(node);
 		break;
 	case CW_QUERY_MODELS:
-		organisation = text ? cw_table_organisation(node->table, text) : NULL;
+		organisation = text ? cw_table_find_organisation(node->table, text) : NULL;
 		if (organisation)
 			effect->replay.answer = models_answer(node, organisation);
 		else
@@ -454,7 +455,7 @@
 		TAILQ_FOREACH(row, rows, organisation_link) {
 			struct json_object *item;
 
-			if (!cw_table_allows(row))
+			if (!cw_table_is_allowed(row))
 				continue;
 			item = json_object_new_object();
 			json_object_object_add(item, "id", json_object_new_string(row->model));
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -426,7 +426,7 @@
 
 	for (u_int i = 0; i < beat->wants.wants_len && count < WANTS_MAX; i++) {
 		const struct peer_want *want = &beat->wants.wants_val[i];
-		const struct cw_row *row = cw_table_row_by_id(node->table, want->row);
+		const struct cw_row *row = cw_table_find_row_by_id(node->table, want->row);
 		struct cw_limit limit;
 		uint32_t parts;
 
@@ -463,7 +463,7 @@
 
 	if (!kept || kept->offset > offset + 1) {
 		message.body.kind = PEER_SNAPSHOT;
-		message.body.peer_body_u.snapshot = cw_table_snapshot(node->table);
+		message.body.peer_body_u.snapshot = cw_table_create_snapshot(node->table);
 		gossip_send(node, member, &message);
 		g_free(message.body.peer_body_u.snapshot);
 		return;
--- a/packages/node/src/node_log.c
+++ b/packages/node/src/node_log.c
@@ -142,23 +142,23 @@
 {
 	uint64_t offset = record->offset;
 	struct cw_error error = {0};
-	enum cw_fold fold;
+	enum cw_table_result fold;
 
 	if (offset != cw_table_offset(node->table) + 1)
 		return;
-	cw_table_fold(node->table, offset, record->data, &fold, &error);
+	cw_table_apply_record(node->table, offset, record->data, &fold, &error);
 	note_age(node, record);
 	keep_table_record(node, record);
 	rejoin_table(node);
 	switch (fold) {
-	case CW_FOLD_APPLIED:
+	case CW_TABLE_APPLIED:
 		table_changed(node, offset);
 		break;
-	case CW_FOLD_SNAPSHOT:
+	case CW_TABLE_SNAPSHOT:
 		break;
 	default:
 		node_event(node, "table",
-			   fold == CW_FOLD_DUPLICATE ? "edit_repeated" : "edit_rejected",
+			   fold == CW_TABLE_DUPLICATE ? "edit_repeated" : "edit_rejected",
 			   "offset=%" G_GUINT64_FORMAT " why=\"%s\"", offset, error.message);
 		break;
 	}
@@ -168,7 +168,7 @@
 {
 	struct kept_record *record;
 
-	enum cw_status status = cw_table_load(node->table, snapshot, NULL);
+	enum cw_status status = cw_table_load_snapshot(node->table, snapshot, NULL);
 
 	/* Peers may have been quicker: then the table is at the snapshot's offset or past it
 	 * already. */
@@ -371,7 +371,8 @@
 	}
 	if (node->now_ms < node->snapshot_due_ms)
 		return;
-	node->snapshot_ticket = log_append(node, CW_STREAM_TABLE, cw_table_snapshot(node->table));
+	node->snapshot_ticket =
+		log_append(node, CW_STREAM_TABLE, cw_table_create_snapshot(node->table));
 	node_event(node, "table", "snapshot_written", "offset=%" G_GUINT64_FORMAT,
 		   cw_table_offset(node->table));
 }
--- a/packages/node/src/node_request.c
+++ b/packages/node/src/node_request.c
@@ -39,7 +39,7 @@
 			       "no table was learned yet");
 		return;
 	}
-	organisation = cw_table_organisation(node->table, in->key_sha256);
+	organisation = cw_table_find_organisation(node->table, in->key_sha256);
 	if (!organisation) {
 		request_refuse(node, request, CW_CODE_UNAUTHORISED, 0,
 			       "no organisation has this key");
@@ -225,8 +225,8 @@
 	const struct cw_row *row;
 
 	g_snprintf(request->model, CW_NAME_MAX, CW_SERVICE_PREFIX "%s", request->in.target);
-	row = cw_table_row(node->table, request->organisation, request->model, "");
-	if (!cw_table_allows(row)) {
+	row = cw_table_find_row(node->table, request->organisation, request->model, "");
+	if (!cw_table_is_allowed(row)) {
 		request_refuse(node, request, CW_CODE_NOT_ALLOWED, 0, "service %s is not allowed",
 			       request->in.target);
 		return 0;
@@ -354,8 +354,8 @@
 
 static int take_limit(struct cw_node *node, struct request *request, int64_t *retry_after_ms)
 {
-	const struct cw_row *row =
-		cw_table_row(node->table, request->organisation, request->model, request->version);
+	const struct cw_row *row = cw_table_find_row(node->table, request->organisation,
+						     request->model, request->version);
 	struct cw_limit limit = {
 		.row = request->row,
 		.requests_per_s = row->cell[CW_COLUMN_REQUESTS_PER_S],
--- a/packages/node/src/node_rollout.c
+++ b/packages/node/src/node_rollout.c
@@ -151,7 +151,8 @@
 		int loaded = 0;
 		int engines = 0;
 
-		if (!*row->version || !cw_table_allows(row) || !(row->cell[CW_COLUMN_WEIGHT] > 0))
+		if (!*row->version || !cw_table_is_allowed(row) ||
+		    !(row->cell[CW_COLUMN_WEIGHT] > 0))
 			continue;
 		TAILQ_FOREACH(server, cw_pool_servers(node->pool), link) {
 			if (strcmp(server->service, "llm") != 0 ||
--- a/packages/node/src/request_choice.c
+++ b/packages/node/src/request_choice.c
@@ -21,9 +21,9 @@
 	const struct cw_row *row;
 
 	if (request->binding.key && *request->binding.model) {
-		row = cw_table_row(node->table, request->organisation, request->binding.model,
-				   request->binding.version);
-		if (cw_table_binding_holds(row, request->binding.bound_at)) {
+		row = cw_table_find_row(node->table, request->organisation, request->binding.model,
+					request->binding.version);
+		if (cw_table_is_binding_valid(row, request->binding.bound_at)) {
 			take_row(request, row);
 			return CHOICE_OK;
 		}
@@ -31,7 +31,7 @@
 		 * Bound by an instance that knows a later table: what it allows is not known here.
 		 * Choosing anew would move the session; another instance can serve it.
 		 */
-		if (!cw_table_allows(row) &&
+		if (!cw_table_is_allowed(row) &&
 		    request->binding.bound_at > cw_table_offset(node->table))
 			return CHOICE_BEHIND;
 		/* The version was withdrawn: the session goes on, on another version, and the
@@ -53,14 +53,14 @@
 void choice_merge_binding(struct cw_node *node, const struct cw_binding *binding)
 {
 	const struct cw_binding *held = cw_session_find(node->sessions, binding->key, node->now_ms);
-	const struct cw_row *row = cw_table_row_by_id(node->table, binding->row);
+	const struct cw_row *row = cw_table_find_row_by_id(node->table, binding->row);
 	int is_newer = binding->bound_at > cw_table_offset(node->table);
 
-	if (!is_newer && !cw_table_binding_holds(row, binding->bound_at))
+	if (!is_newer && !cw_table_is_binding_valid(row, binding->bound_at))
 		return;
 	if (held && held->bound_at < binding->bound_at &&
-	    (is_newer ||
-	     !cw_table_binding_holds(cw_table_row_by_id(node->table, held->row), held->bound_at)))
+	    (is_newer || !cw_table_is_binding_valid(cw_table_find_row_by_id(node->table, held->row),
+						    held->bound_at)))
 		cw_session_remove(node->sessions, binding->key);
 	cw_session_merge(node->sessions, binding, node->now_ms);
 }
@@ -75,14 +75,14 @@
 
 int choice_holds(struct cw_node *node, const struct request *request)
 {
-	const struct cw_row *row =
-		cw_table_row(node->table, request->organisation, request->model, request->version);
+	const struct cw_row *row = cw_table_find_row(node->table, request->organisation,
+						     request->model, request->version);
 
 	if (request->binding.key && *request->binding.model &&
 	    !strcmp(request->binding.model, request->model) &&
 	    !strcmp(request->binding.version, request->version))
-		return cw_table_binding_holds(row, request->binding.bound_at);
-	return cw_table_allows(row);
+		return cw_table_is_binding_valid(row, request->binding.bound_at);
+	return cw_table_is_allowed(row);
 }
 
 static enum choice_result choose_of_model(struct cw_node *node, struct request *request,
@@ -115,7 +115,7 @@
 		if (!strncmp(row->model, CW_SERVICE_PREFIX, strlen(CW_SERVICE_PREFIX)) ||
 		    has_option(request, row->model))
 			continue;
-		if (!cw_table_allows(row) || request->choice.count == CW_MAX_VERSIONS)
+		if (!cw_table_is_allowed(row) || request->choice.count == CW_MAX_VERSIONS)
 			continue;
 		picked = pick_by_weight(node, request, row->model, &allowed);
 		if (picked)
@@ -133,7 +133,8 @@
 	cw_cascade_plan(node->cascade, &request->choice, &request->plan);
 	request->planned = 1;
 	choice_take_option(request, request->plan.first);
-	row = cw_table_row(node->table, request->organisation, request->model, request->version);
+	row = cw_table_find_row(node->table, request->organisation, request->model,
+				request->version);
 	request->row = row->id;
 	return CHOICE_OK;
 }
@@ -162,7 +163,7 @@
 		double factor = cw_health_weight_factor(node->health, id, node->now_ms);
 		double score;
 
-		if (strcmp(row->model, model) != 0 || !cw_table_allows(row))
+		if (strcmp(row->model, model) != 0 || !cw_table_is_allowed(row))
 			continue;
 		*allowed = 1;
 		if (isnan(weight) || weight <= 0)
--- a/packages/platform/include/cw_platform.h
+++ b/packages/platform/include/cw_platform.h
@@ -16,7 +16,7 @@
 	char *data;	 /* JSON text */
 };
 
-struct cw_platform_read {
+struct cw_platform_read_result {
 	uint64_t first; /* oldest offset kept by the log; 0: not reported */
 	struct cw_platform_record *list;
 	size_t count;
@@ -50,10 +50,11 @@
 				 uint64_t *offset, struct cw_error *error);
 	/* CW_EXPIRED: from is older than read->first. */
 	enum cw_status (*read)(const char *platform, const char *stream, uint64_t from, size_t max,
-			       int wait_ms, struct cw_platform_read *read, struct cw_error *error);
+			       int wait_ms, struct cw_platform_read_result *read,
+			       struct cw_error *error);
 };
 
-struct cw_list_ops {
+struct cw_member_list_ops {
 	enum cw_status (*list)(const char *platform, struct cw_platform_member **members,
 			       size_t *count, struct cw_error *error); /* g_free(members) */
 };
@@ -64,9 +65,9 @@
 };
 
 extern const struct cw_log_ops cw_log_http;
-extern const struct cw_list_ops cw_list_http;
+extern const struct cw_member_list_ops cw_member_list_http;
 extern const struct cw_rating_ops cw_rating_http;
 
-void cw_platform_read_clear(struct cw_platform_read *read);
+void cw_platform_read_result_clear(struct cw_platform_read_result *read);
 
 #endif
--- a/packages/platform/src/platform_http.c
+++ b/packages/platform/src/platform_http.c
@@ -14,7 +14,8 @@
 static enum cw_status http_append(const char *platform, const char *stream, const char *data,
 				  uint64_t *offset, struct cw_error *error);
 static enum cw_status http_read(const char *platform, const char *stream, uint64_t from, size_t max,
-				int wait_ms, struct cw_platform_read *read, struct cw_error *error);
+				int wait_ms, struct cw_platform_read_result *read,
+				struct cw_error *error);
 static enum cw_status http_list(const char *platform, struct cw_platform_member **members,
 				size_t *count, struct cw_error *error);
 static enum cw_status http_rate(const char *platform, const struct cw_rating_request *request,
@@ -23,16 +24,16 @@
 				const char *body, int total_ms, int once,
 				struct json_object **answer, int *http_status,
 				struct cw_error *error);
-static void parse_records(struct json_object *answer, struct cw_platform_read *read);
+static void parse_records(struct json_object *answer, struct cw_platform_read_result *read);
 static int parse_member(struct json_object *source, struct cw_platform_member *member);
 static void copy_string(struct json_object *object, const char *key, char *text, size_t size);
 static uint64_t get_uint64(struct json_object *object, const char *key);
 
 const struct cw_log_ops cw_log_http = {http_append, http_read};
-const struct cw_list_ops cw_list_http = {http_list};
+const struct cw_member_list_ops cw_member_list_http = {http_list};
 const struct cw_rating_ops cw_rating_http = {http_rate};
 
-void cw_platform_read_clear(struct cw_platform_read *read)
+void cw_platform_read_result_clear(struct cw_platform_read_result *read)
 {
 	for (size_t i = 0; i < read->count; i++)
 		g_free(read->list[i].data);
@@ -64,7 +65,8 @@
 }
 
 static enum cw_status http_read(const char *platform, const char *stream, uint64_t from, size_t max,
-				int wait_ms, struct cw_platform_read *read, struct cw_error *error)
+				int wait_ms, struct cw_platform_read_result *read,
+				struct cw_error *error)
 {
 	char *path = g_strdup_printf("/log/%s?from=%" G_GUINT64_FORMAT "&max=%zu&wait_ms=%d",
 				     stream, from, max, wait_ms);
@@ -171,7 +173,7 @@
 	return status;
 }
 
-static void parse_records(struct json_object *answer, struct cw_platform_read *read)
+static void parse_records(struct json_object *answer, struct cw_platform_read_result *read)
 {
 	struct json_object *records;
 
--- a/packages/table/include/cw_table.h
+++ b/packages/table/include/cw_table.h
@@ -25,7 +25,7 @@
 	CW_COLUMN_COST,
 	CW_COLUMN_QUALITY,
 	CW_COLUMN_STATE, /* 1 allowed, 0 withdrawn */
-	CW_COLUMNS,
+	CW_COLUMN_COUNT,
 };
 
 struct cw_row {
@@ -33,58 +33,60 @@
 	TAILQ_ENTRY(cw_row) organisation_link;
 	char organisation[CW_NAME_MAX];
 	char model[CW_NAME_MAX];
-	char version[CW_NAME_MAX];     /* "" for a plain service */
-	double cell[CW_COLUMNS];       /* NAN: empty, no limit */
-	uint64_t revision[CW_COLUMNS]; /* offset that last set the cell; 0: never set */
-	uint64_t withdrawn_at;	       /* offset of the last withdrawal; 0: never withdrawn */
-	uint64_t id;		       /* hash of the three names; equal on all instances */
+	char version[CW_NAME_MAX];	    /* "" for a plain service */
+	double cell[CW_COLUMN_COUNT];	    /* NAN: empty, no limit */
+	uint64_t revision[CW_COLUMN_COUNT]; /* offset that last set the cell; 0: never set */
+	uint64_t withdrawn_at;		    /* offset of the last withdrawal; 0: never withdrawn */
+	uint64_t id;			    /* hash of the three names; equal on all instances */
 };
 
 TAILQ_HEAD(cw_row_list, cw_row);
 
 /* What became of a record of the log. */
-enum cw_fold {
-	CW_FOLD_APPLIED,
-	CW_FOLD_DUPLICATE, /* ignored: an edit with the same id was applied before */
-	CW_FOLD_CONFLICT,  /* rejected: a cell's revision differs from if_revision */
-	CW_FOLD_MALFORMED, /* rejected: not a valid record */
-	CW_FOLD_SNAPSHOT,  /* ignored: a snapshot record; the table is up to date already */
+enum cw_table_result {
+	CW_TABLE_APPLIED,
+	CW_TABLE_DUPLICATE, /* ignored: an edit with the same id was applied before */
+	CW_TABLE_CONFLICT,  /* rejected: a cell's revision differs from if_revision */
+	CW_TABLE_MALFORMED, /* rejected: not a valid record */
+	CW_TABLE_SNAPSHOT,  /* ignored: a snapshot record; the table is up to date already */
 };
 
 struct cw_table;
 
 struct cw_table *cw_table_create(void);	       /* empty, at offset 0 */
 void cw_table_destroy(struct cw_table *table); /* frees its rows */
-enum cw_status cw_table_fold(struct cw_table *table, uint64_t offset, const char *record,
-			     enum cw_fold *result,
-			     struct cw_error *error); /* CW_INVALID: not the next offset */
-enum cw_status cw_table_load(struct cw_table *table, const char *record,
-			     struct cw_error *error);	/* CW_REFUSED: not newer than the table */
-char *cw_table_snapshot(const struct cw_table *table);	/* a log record; g_free() it */
-uint64_t cw_table_offset(const struct cw_table *table); /* last applied offset */
-uint64_t cw_table_changed(const struct cw_table *table, const char *organisation,
-			  const char *model); /* offset of the last change of routing; 0: none */
-const char *cw_table_organisation(const struct cw_table *table,
-				  const char *key_sha256); /* NULL: unknown key */
-const struct cw_row *cw_table_row(const struct cw_table *table, const char *organisation,
-				  const char *model, const char *version); /* NULL: missing */
-const struct cw_row *cw_table_row_by_id(const struct cw_table *table,
-					uint64_t id); /* NULL: missing */
-int cw_table_allows(const struct cw_row *row);	      /* 0 for NULL, withdrawn or never set */
-int cw_table_binding_holds(const struct cw_row *row,
-			   uint64_t bound_at); /* allowed, and not withdrawn since bound_at */
+enum cw_status cw_table_apply_record(struct cw_table *table, uint64_t offset, const char *record,
+				     enum cw_table_result *result,
+				     struct cw_error *error); /* CW_INVALID: not the next offset */
+enum cw_status
+cw_table_load_snapshot(struct cw_table *table, const char *record,
+		       struct cw_error *error); /* CW_REFUSED: not newer than the table */
+char *cw_table_create_snapshot(const struct cw_table *table); /* a log record; g_free() it */
+uint64_t cw_table_offset(const struct cw_table *table);	      /* last applied offset */
+uint64_t
+cw_table_routing_offset(const struct cw_table *table, const char *organisation,
+			const char *model); /* offset of the last change of routing; 0: none */
+const char *cw_table_find_organisation(const struct cw_table *table,
+				       const char *key_sha256); /* NULL: unknown key */
+const struct cw_row *cw_table_find_row(const struct cw_table *table, const char *organisation,
+				       const char *model, const char *version); /* NULL: missing */
+const struct cw_row *cw_table_find_row_by_id(const struct cw_table *table,
+					     uint64_t id); /* NULL: missing */
+int cw_table_is_allowed(const struct cw_row *row);	   /* 0 for NULL, withdrawn or never set */
+int cw_table_is_binding_valid(const struct cw_row *row,
+			      uint64_t bound_at); /* allowed, and not withdrawn since bound_at */
 const struct cw_row_list *cw_table_rows(const struct cw_table *table);
 const struct cw_drains *cw_table_drains(const struct cw_table *table); /* drained failure domains */
 const struct cw_row_list *
 cw_table_organisation_rows(const struct cw_table *table,
 			   const char *organisation); /* linked by organisation_link; NULL: none */
-size_t cw_table_bytes(const struct cw_table *table);  /* estimated memory use */
+size_t cw_table_memory_bytes(const struct cw_table *table); /* estimated memory use */
 
 const char *cw_column_name(enum cw_column column);
 enum cw_status cw_column_find(const char *name, enum cw_column *column); /* CW_NOT_FOUND */
 enum cw_status cw_cell_parse(enum cw_column column, const char *text,
 			     double *value); /* CW_INVALID */
-void cw_cell_print(enum cw_column column, double value, char *text, size_t size);
+void cw_cell_format(enum cw_column column, double value, char *text, size_t size);
 
 enum cw_status
 cw_table_edit_from_csv(const char *csv, const char *edit_id, const char *by, char **record,
--- a/packages/table/src/columns.c
+++ b/packages/table/src/columns.c
@@ -7,7 +7,7 @@
 
 #define CELL_MAX 1e12 /* larger values are taken for typing errors */
 
-static const char *const column_names[CW_COLUMNS] = {
+static const char *const column_names[CW_COLUMN_COUNT] = {
 	[CW_COLUMN_WEIGHT] = "weight",
 	[CW_COLUMN_REQUESTS_PER_S] = "requests_per_s",
 	[CW_COLUMN_TOKENS_PER_S] = "tokens_per_s",
@@ -24,7 +24,7 @@
 
 enum cw_status cw_column_find(const char *name, enum cw_column *column)
 {
-	for (int i = 0; i < CW_COLUMNS; i++) {
+	for (int i = 0; i < CW_COLUMN_COUNT; i++) {
 		if (strcmp(name, column_names[i]) != 0)
 			continue;
 		*column = i;
@@ -53,7 +53,7 @@
 	return CW_OK;
 }
 
-void cw_cell_print(enum cw_column column, double value, char *text, size_t size)
+void cw_cell_format(enum cw_column column, double value, char *text, size_t size)
 {
 	char number[G_ASCII_DTOSTR_BUF_SIZE];
 
--- a/packages/table/src/csv.c
+++ b/packages/table/src/csv.c
@@ -56,10 +56,10 @@
 	TAILQ_FOREACH(row, cw_table_rows(table), link) {
 		g_string_append_printf(csv, "%s,%s,%s", row->organisation, row->model,
 				       row->version);
-		for (int column = 0; column < CW_COLUMNS; column++) {
+		for (int column = 0; column < CW_COLUMN_COUNT; column++) {
 			char text[64];
 
-			cw_cell_print(column, row->cell[column], text, sizeof(text));
+			cw_cell_format(column, row->cell[column], text, sizeof(text));
 			g_string_append_printf(csv, ",%s", text);
 		}
 		g_string_append_c(csv, '\n');
@@ -70,13 +70,13 @@
 static enum cw_status add_cells(struct json_object *cells, char **fields, int line,
 				struct cw_error *error)
 {
-	if (g_strv_length(fields) != NAME_COLUMNS + CW_COLUMNS)
+	if (g_strv_length(fields) != NAME_COLUMNS + CW_COLUMN_COUNT)
 		return cw_error_set(error, CW_INVALID, STEP, "", "line %d: %u fields, not %d", line,
-				    g_strv_length(fields), NAME_COLUMNS + CW_COLUMNS);
+				    g_strv_length(fields), NAME_COLUMNS + CW_COLUMN_COUNT);
 	if (!name_is_valid(fields[0]) || !name_is_valid(fields[1]))
 		return cw_error_set(error, CW_INVALID, STEP, "",
 				    "line %d: bad organisation or model", line);
-	for (int column = 0; column < CW_COLUMNS; column++) {
+	for (int column = 0; column < CW_COLUMN_COUNT; column++) {
 		const char *text = g_strstrip(fields[NAME_COLUMNS + column]);
 		struct json_object *cell;
 		double value;
--- a/packages/table/src/table.c
+++ b/packages/table/src/table.c
@@ -29,18 +29,19 @@
 	double value;
 };
 
-static enum cw_fold apply_record(struct cw_table *table, uint64_t offset,
-				 struct json_object *record, struct cw_error *error);
-static enum cw_fold apply_edit(struct cw_table *table, uint64_t offset, struct json_object *record,
-			       struct json_object *cells, struct cw_error *error);
-static enum cw_fold apply_key(struct cw_table *table, struct json_object *record,
-			      struct cw_error *error);
-static enum cw_fold apply_drain(struct cw_table *table, uint64_t offset, struct json_object *record,
-				struct cw_error *error);
+static enum cw_table_result apply_record(struct cw_table *table, uint64_t offset,
+					 struct json_object *record, struct cw_error *error);
+static enum cw_table_result apply_edit(struct cw_table *table, uint64_t offset,
+				       struct json_object *record, struct json_object *cells,
+				       struct cw_error *error);
+static enum cw_table_result apply_key(struct cw_table *table, struct json_object *record,
+				      struct cw_error *error);
+static enum cw_table_result apply_drain(struct cw_table *table, uint64_t offset,
+					struct json_object *record, struct cw_error *error);
 static int parse_drain(struct json_object *source, uint64_t offset, struct cw_drain_order *order);
 static struct json_object *format_drains(const struct cw_table *table);
-static enum cw_fold check_cell(const struct cw_table *table, struct json_object *cell,
-			       struct cell_edit *edit, struct cw_error *error);
+static enum cw_table_result check_cell(const struct cw_table *table, struct json_object *cell,
+				       struct cell_edit *edit, struct cw_error *error);
 static void apply_cell(struct cw_table *table, uint64_t offset, const struct cell_edit *edit);
 static struct cw_row *create_row(struct cw_table *table, const char *organisation,
 				 const char *model, const char *version);
@@ -81,8 +82,8 @@
 	g_free(table);
 }
 
-enum cw_status cw_table_fold(struct cw_table *table, uint64_t offset, const char *record,
-			     enum cw_fold *result, struct cw_error *error)
+enum cw_status cw_table_apply_record(struct cw_table *table, uint64_t offset, const char *record,
+				     enum cw_table_result *result, struct cw_error *error)
 {
 	struct json_object *parsed;
 
@@ -99,7 +100,8 @@
 	return CW_OK;
 }
 
-enum cw_status cw_table_load(struct cw_table *table, const char *record, struct cw_error *error)
+enum cw_status cw_table_load_snapshot(struct cw_table *table, const char *record,
+				      struct cw_error *error)
 {
 	struct json_object *parsed = json_tokener_parse(record);
 	struct json_object *snapshot;
@@ -132,7 +134,7 @@
 	return status;
 }
 
-char *cw_table_snapshot(const struct cw_table *table)
+char *cw_table_create_snapshot(const struct cw_table *table)
 {
 	struct json_object *record = json_object_new_object();
 	struct json_object *snapshot = json_object_new_object();
@@ -155,10 +157,10 @@
 		json_object_object_add(out, "version", json_object_new_string(row->version));
 		json_object_object_add(out, "withdrawn_at",
 				       json_object_new_int64((int64_t)row->withdrawn_at));
-		for (int column = 0; column < CW_COLUMNS; column++) {
+		for (int column = 0; column < CW_COLUMN_COUNT; column++) {
 			char value[64];
 
-			cw_cell_print(column, row->cell[column], value, sizeof(value));
+			cw_cell_format(column, row->cell[column], value, sizeof(value));
 			json_object_array_add(cells, json_object_new_string(value));
 			json_object_array_add(
 				cells, json_object_new_int64((int64_t)row->revision[column]));
@@ -193,7 +195,8 @@
 	return table->offset;
 }
 
-uint64_t cw_table_changed(const struct cw_table *table, const char *organisation, const char *model)
+uint64_t cw_table_routing_offset(const struct cw_table *table, const char *organisation,
+				 const char *model)
 {
 	uint64_t id = hash_row_names(organisation, model, "");
 	uint64_t *offset = g_hash_table_lookup(table->routing_offsets, &id);
@@ -201,32 +204,32 @@
 	return offset ? *offset : 0;
 }
 
-const char *cw_table_organisation(const struct cw_table *table, const char *key_sha256)
+const char *cw_table_find_organisation(const struct cw_table *table, const char *key_sha256)
 {
 	return g_hash_table_lookup(table->keys, key_sha256);
 }
 
-const struct cw_row *cw_table_row(const struct cw_table *table, const char *organisation,
-				  const char *model, const char *version)
+const struct cw_row *cw_table_find_row(const struct cw_table *table, const char *organisation,
+				       const char *model, const char *version)
 {
 	uint64_t id = hash_row_names(organisation, model, version);
 
 	return g_hash_table_lookup(table->by_id, &id);
 }
 
-const struct cw_row *cw_table_row_by_id(const struct cw_table *table, uint64_t id)
+const struct cw_row *cw_table_find_row_by_id(const struct cw_table *table, uint64_t id)
 {
 	return g_hash_table_lookup(table->by_id, &id);
 }
 
-int cw_table_allows(const struct cw_row *row)
+int cw_table_is_allowed(const struct cw_row *row)
 {
 	return row && row->cell[CW_COLUMN_STATE] == 1;
 }
 
-int cw_table_binding_holds(const struct cw_row *row, uint64_t bound_at)
+int cw_table_is_binding_valid(const struct cw_row *row, uint64_t bound_at)
 {
-	return cw_table_allows(row) && row->withdrawn_at <= bound_at;
+	return cw_table_is_allowed(row) && row->withdrawn_at <= bound_at;
 }
 
 const struct cw_drains *cw_table_drains(const struct cw_table *table)
@@ -245,7 +248,7 @@
 	return g_hash_table_lookup(table->by_organisation, organisation);
 }
 
-size_t cw_table_bytes(const struct cw_table *table)
+size_t cw_table_memory_bytes(const struct cw_table *table)
 {
 	size_t rows = g_hash_table_size(table->by_id);
 
@@ -253,13 +256,13 @@
 	       g_hash_table_size(table->keys) * 160;
 }
 
-static enum cw_fold apply_record(struct cw_table *table, uint64_t offset,
-				 struct json_object *record, struct cw_error *error)
+static enum cw_table_result apply_record(struct cw_table *table, uint64_t offset,
+					 struct json_object *record, struct cw_error *error)
 {
 	struct json_object *cells;
 
 	if (json_object_object_get_ex(record, "snapshot", NULL))
-		return CW_FOLD_SNAPSHOT;
+		return CW_TABLE_SNAPSHOT;
 	if (json_object_object_get_ex(record, "key_sha256", NULL))
 		return apply_key(table, record, error);
 	if (json_object_object_get_ex(record, "cells", &cells))
@@ -268,18 +271,19 @@
 		return apply_drain(table, offset, record, error);
 	cw_error_set(error, CW_INVALID, STEP, "",
 		     "neither cells, a key, a failure domain nor a snapshot");
-	return CW_FOLD_MALFORMED;
+	return CW_TABLE_MALFORMED;
 }
 
-static enum cw_fold apply_edit(struct cw_table *table, uint64_t offset, struct json_object *record,
-			       struct json_object *cells, struct cw_error *error)
+static enum cw_table_result apply_edit(struct cw_table *table, uint64_t offset,
+				       struct json_object *record, struct json_object *cells,
+				       struct cw_error *error)
 {
 	const char *id = get_string(record, "edit");
 	size_t count =
 		json_object_is_type(cells, json_type_array) ? json_object_array_length(cells) : 0;
 	uint64_t id_hash = cw_hash_text(id, 0);
 	struct cell_edit *edits;
-	enum cw_fold result = CW_FOLD_APPLIED;
+	enum cw_table_result result = CW_TABLE_APPLIED;
 
 	/*
 	 * An append whose answer was lost is retried, so the log may contain an edit twice. If the
@@ -287,24 +291,24 @@
 	 * would revert without an order.
 	 */
 	if (*id && g_hash_table_contains(table->applied_edits, &id_hash))
-		return CW_FOLD_DUPLICATE;
+		return CW_TABLE_DUPLICATE;
 	if (!*id || count == 0) {
 		cw_error_set(error, CW_INVALID, STEP, "", "an edit needs an id and cells");
-		return CW_FOLD_MALFORMED;
+		return CW_TABLE_MALFORMED;
 	}
 	edits = g_new0(struct cell_edit, count);
-	for (size_t i = 0; result == CW_FOLD_APPLIED && i < count; i++)
+	for (size_t i = 0; result == CW_TABLE_APPLIED && i < count; i++)
 		result = check_cell(table, json_object_array_get_idx(cells, i), &edits[i], error);
-	for (size_t i = 0; result == CW_FOLD_APPLIED && i < count; i++)
+	for (size_t i = 0; result == CW_TABLE_APPLIED && i < count; i++)
 		apply_cell(table, offset, &edits[i]);
-	if (result == CW_FOLD_APPLIED)
+	if (result == CW_TABLE_APPLIED)
 		remember_edit_id(table, id_hash);
 	g_free(edits);
 	return result;
 }
 
-static enum cw_fold apply_key(struct cw_table *table, struct json_object *record,
-			      struct cw_error *error)
+static enum cw_table_result apply_key(struct cw_table *table, struct json_object *record,
+				      struct cw_error *error)
 {
 	const char *organisation = get_string(record, "organisation");
 	const char *key = get_string(record, "key_sha256");
@@ -315,33 +319,33 @@
 	    strlen(key) != CW_SHA256_HEX - 1) {
 		cw_error_set(error, CW_INVALID, STEP, "",
 			     "a key needs an organisation and 64 hex digits");
-		return CW_FOLD_MALFORMED;
+		return CW_TABLE_MALFORMED;
 	}
 	g_hash_table_iter_init(&iter, table->keys);
 	while (g_hash_table_iter_next(&iter, NULL, &owner))
 		if (!strcmp(owner, organisation))
 			g_hash_table_iter_remove(&iter);
 	g_hash_table_insert(table->keys, g_ascii_strdown(key, -1), g_strdup(organisation));
-	return CW_FOLD_APPLIED;
+	return CW_TABLE_APPLIED;
 }
 
-static enum cw_fold apply_drain(struct cw_table *table, uint64_t offset, struct json_object *record,
-				struct cw_error *error)
+static enum cw_table_result apply_drain(struct cw_table *table, uint64_t offset,
+					struct json_object *record, struct cw_error *error)
 {
 	const char *id = get_string(record, "edit");
 	uint64_t id_hash = cw_hash_text(id, 0);
 	struct cw_drain_order order;
 
 	if (*id && g_hash_table_contains(table->applied_edits, &id_hash))
-		return CW_FOLD_DUPLICATE;
+		return CW_TABLE_DUPLICATE;
 	if (!*id || !parse_drain(record, offset, &order)) {
 		cw_error_set(error, CW_INVALID, STEP, "",
 			     "a drain needs an id, a failure domain and whether it is drained");
-		return CW_FOLD_MALFORMED;
+		return CW_TABLE_MALFORMED;
 	}
 	cw_drains_apply(table->drains, &order);
 	remember_edit_id(table, id_hash);
-	return CW_FOLD_APPLIED;
+	return CW_TABLE_APPLIED;
 }
 
 static int parse_drain(struct json_object *source, uint64_t offset, struct cw_drain_order *order)
@@ -377,8 +381,8 @@
 	return list;
 }
 
-static enum cw_fold check_cell(const struct cw_table *table, struct json_object *cell,
-			       struct cell_edit *edit, struct cw_error *error)
+static enum cw_table_result check_cell(const struct cw_table *table, struct json_object *cell,
+				       struct cell_edit *edit, struct cw_error *error)
 {
 	const struct cw_row *row;
 	struct json_object *expected;
@@ -394,18 +398,18 @@
 		cw_error_set(error, CW_INVALID, STEP, "", "%s/%s/%s: %s cannot be '%s'",
 			     edit->organisation, edit->model, edit->version,
 			     get_string(cell, "column"), get_string(cell, "value"));
-		return CW_FOLD_MALFORMED;
+		return CW_TABLE_MALFORMED;
 	}
 	if (!json_object_object_get_ex(cell, "if_revision", &expected))
-		return CW_FOLD_APPLIED;
-	row = cw_table_row(table, edit->organisation, edit->model, edit->version);
+		return CW_TABLE_APPLIED;
+	row = cw_table_find_row(table, edit->organisation, edit->model, edit->version);
 	revision = row ? row->revision[edit->column] : 0;
 	if (revision == (uint64_t)json_object_get_int64(expected))
-		return CW_FOLD_APPLIED;
+		return CW_TABLE_APPLIED;
 	cw_error_set(error, CW_REFUSED, STEP, "", "%s/%s/%s %s is at revision %" G_GUINT64_FORMAT,
 		     edit->organisation, edit->model, edit->version, cw_column_name(edit->column),
 		     revision);
-	return CW_FOLD_CONFLICT;
+	return CW_TABLE_CONFLICT;
 }
 
 static void apply_cell(struct cw_table *table, uint64_t offset, const struct cell_edit *edit)
@@ -482,7 +486,7 @@
 
 	row->withdrawn_at = get_uint64(source, "withdrawn_at");
 	json_object_object_get_ex(source, "cells", &cells);
-	for (int column = 0; column < CW_COLUMNS; column++) {
+	for (int column = 0; column < CW_COLUMN_COUNT; column++) {
 		struct json_object *value = json_object_array_get_idx(cells, (size_t)column * 2);
 		struct json_object *revision =
 			json_object_array_get_idx(cells, (size_t)column * 2 + 1);
--- a/tests/bench/capacity.c
+++ b/tests/bench/capacity.c
@@ -170,7 +170,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		double heap = heap_bytes();
 		struct cw_table *table = cw_table_create();
-		enum cw_fold result;
+		enum cw_table_result result;
 		double began;
 		char *text;
 		char *record;
@@ -181,7 +181,8 @@
 				"\"organisation-%d\",\"model\":\"model-%d\","
 				"\"version\":\"1\",\"column\":\"weight\",\"value\":\"10\"}]}",
 				row, row / 27, row % 27);
-			cw_table_fold(table, cw_table_offset(table) + 1, record, &result, NULL);
+			cw_table_apply_record(table, cw_table_offset(table) + 1, record, &result,
+					      NULL);
 			g_free(record);
 		}
 		heap = heap_bytes() - heap;
@@ -192,11 +193,12 @@
 				"\"organisation-1\",\"model\":\"model-%d\","
 				"\"version\":\"1\",\"column\":\"weight\",\"value\":\"11\"}]}",
 				edit, edit % 27);
-			cw_table_fold(table, cw_table_offset(table) + 1, record, &result, NULL);
+			cw_table_apply_record(table, cw_table_offset(table) + 1, record, &result,
+					      NULL);
 			g_free(record);
 		}
 		began = (cpu_ms() - began) / 2000 * 1000;
-		text = cw_table_snapshot(table);
+		text = cw_table_create_snapshot(table);
 		printf("  rows %4d: %.0f kB, %.1f us an edit, snapshot %.0f kB\n", sizes[i],
 		       heap / 1024, began, (double)strlen(text) / 1024);
 		add(&memory, sizes[i], heap / 1024);
--- a/tests/fuzz/oracle_checks.c
+++ b/tests/fuzz/oracle_checks.c
@@ -46,7 +46,7 @@
 			char name[8];
 
 			g_snprintf(name, sizeof(name), "%d", version);
-			if (cw_table_allows(cw_table_row(table, "a", "m", name)) !=
+			if (cw_table_is_allowed(cw_table_find_row(table, "a", "m", name)) !=
 			    oracle_allowed_at(version, UINT64_MAX))
 				oracle_broke("convergence", "e%d has version %d the wrong way", i,
 					     version);
--- a/tests/fuzz/users_input.c
+++ b/tests/fuzz/users_input.c
@@ -71,14 +71,14 @@
 
 	switch (bytes[0] % 7) {
 	case 0:
-		cw_config_unref(cw_up_config_decode(text, length, &error));
+		cw_config_unref(cw_up_parse_config(text, length, &error));
 		break;
 	case 1:
-		cw_up_read_answer(bytes[0] / 7 % 4, 200, body, 7, &page, &error);
+		cw_up_parse_log_read(bytes[0] / 7 % 4, 200, body, 7, &page, &error);
 		cw_up_page_clear(&page);
 		break;
 	case 2:
-		cw_up_newest_answer(bytes[0] / 7 % 4, 200, body, &page, &error);
+		cw_up_parse_log_newest(bytes[0] / 7 % 4, 200, body, &page, &error);
 		cw_up_page_clear(&page);
 		break;
 	case 3:
@@ -116,17 +116,18 @@
 		changed[bytes[i] % (sizeof(record) - 1)] = (char)bytes[i + 1];
 	g_string_append_c(body, (char)(sizeof(record) - 1));
 	g_string_append_len(body, changed, sizeof(record) - 1);
-	check(cw_up_read_answer(CW_UP_SERVERS, 200, body, 7, &page, &error) == CW_OK &&
+	check(cw_up_parse_log_read(CW_UP_TOPIC_SERVERS, 200, body, 7, &page, &error) == CW_OK &&
 		      page.count == 1,
 	      "a page with an entry was not read");
-	entry = &page.news[0].server;
-	if (page.news[0].kind == CW_UP_SERVER)
+	entry = &page.log_record[0].server;
+	if (page.log_record[0].kind == CW_UP_RECORD_SERVER)
 		check(*entry->service && *entry->address && *entry->failure_domain &&
 			      *entry->software && entry->process_start_ms >= 0 &&
 			      entry->slots <= 65536,
 		      "half an entry names a server");
 	else
-		check(page.news[0].kind == CW_UP_OTHER || page.news[0].error.status != CW_OK,
+		check(page.log_record[0].kind == CW_UP_RECORD_OTHER ||
+			      page.log_record[0].error.status != CW_OK,
 		      "an entry was dropped without a reason");
 	cw_up_page_clear(&page);
 	g_string_free(body, TRUE);
