--- a/apps/corianderwalk/callers.c
+++ b/apps/corianderwalk/callers.c
@@ -1,4 +1,4 @@
-/* What callers send: checked, turned into a job, answered. */
+/* The callers' HTTP interface: validates requests, runs a job for each and answers. */
 #include "daemon.h"
 #include "job.h"
 #include "cw_counters.h"
@@ -6,14 +6,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FULL_RETRY_MS	500
-#define SERVICES_PREFIX "/services/"
-#define BEARER		"Bearer "
-#define KEY_MAX		256
-#define PREFIX_BYTES	512 /* of the first message that make a prompt's prefix */
-#define BYTES_A_TOKEN	4
-#define MAX_TOKENS_MAX	10000000
-#define DEADLINE_MAX_MS 86400000LL
+#define OVERLOAD_RETRY_AFTER_MS 500
+#define SERVICES_PREFIX		"/services/"
+#define BEARER_PREFIX		"Bearer "
+#define AUTHORIZATION_MAX	256
+#define PROMPT_PREFIX_BYTES	512 /* of the first message's JSON, hashed as the prompt prefix */
+#define BYTES_PER_TOKEN		4   /* estimates the prompt tokens by the body's size */
+#define MAX_TOKENS_MAX		10000000
+#define DEADLINE_MS_MAX		86400000LL
 
 static void handle_chat(struct daemon *daemon, const struct cw_http_in *in,
 			struct cw_http_out *out);
@@ -25,34 +25,34 @@
 		    struct cw_http_out *out);
 static int read_headers(const struct cw_http_in *in, struct cw_request_in *request,
 			struct cw_http_out *out);
-static int read_header(const struct cw_http_in *in, const char *name, const char *extra, char *text,
-		       size_t size, struct cw_http_out *out);
+static int read_header(const struct cw_http_in *in, const char *name, const char *extra_characters,
+		       char *text, size_t size, struct cw_http_out *out);
 static int read_deadline(const struct cw_http_in *in, struct cw_request_in *request,
 			 struct cw_http_out *out);
 static int read_priority(const struct cw_http_in *in, struct cw_request_in *request,
 			 struct cw_http_out *out);
 static int read_completion(const struct cw_http_in *in, struct job_in *job,
 			   struct cw_http_out *out);
-static const char *check_completion(struct json_object *body, struct cw_request_in *request);
-static uint64_t prefix_of(struct json_object *messages);
-static void new_request_id(char *id, size_t size);
+static const char *validate_completion(struct json_object *body, struct cw_request_in *request);
+static uint64_t hash_prompt_prefix(struct json_object *messages);
+static void generate_request_id(char *id, size_t size);
 static int is_idempotent(const struct cw_http_in *in);
-static void bad_request(struct cw_http_out *out, const char *format, ...)
+static void write_bad_request(struct cw_http_out *out, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
 
-void callers_handle(void *context, const struct cw_http_in *in, struct cw_http_out *out)
+void callers_handle_request(void *context, const struct cw_http_in *in, struct cw_http_out *out)
 {
 	struct daemon *daemon = context;
 
 	cw_count("requests_total", "", 1);
-	if (operators_health(daemon, in->path, out))
+	if (operators_handle_health(daemon, in->path, out))
 		return;
-	/* Each request holds a thread or two: past this number more would only slow those in
-	 * progress. */
+	/* Each request takes one or two threads: beyond this number further requests would only
+	 * slow down those in progress. */
 	if (__atomic_load_n(&daemon->jobs_running, __ATOMIC_RELAXED) >=
 	    daemon->settings->max_requests) {
-		callers_refusal(out, CW_CODE_OVERLOADED, CW_RUN_NOT, FULL_RETRY_MS,
-				"this instance has all the requests it takes");
+		callers_write_error(out, CW_CODE_OVERLOADED, CW_RUN_NOT, OVERLOAD_RETRY_AFTER_MS,
+				    "this instance has all the requests it takes");
 		return;
 	}
 	if (g_str_has_prefix(in->path, SERVICES_PREFIX)) {
@@ -61,18 +61,18 @@
 		if (!strcmp(in->method, "POST"))
 			handle_chat(daemon, in, out);
 		else
-			callers_refusal(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0,
-					"only POST is understood here");
+			callers_write_error(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0,
+					    "only POST is understood here");
 	} else if (!strcmp(in->path, "/v1/models")) {
 		handle_models(daemon, in, out);
 	} else {
-		callers_refusal(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0, "no such path");
+		callers_write_error(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0, "no such path");
 		out->status = 404;
 	}
 }
 
-void callers_refusal(struct cw_http_out *out, enum cw_code code, enum cw_run run,
-		     int64_t retry_after_ms, const char *message)
+void callers_write_error(struct cw_http_out *out, enum cw_code code, enum cw_run run,
+			 int64_t retry_after_ms, const char *message)
 {
 	struct json_object *body = json_object_new_object();
 	struct json_object *error = json_object_new_object();
@@ -101,7 +101,7 @@
 		return;
 	job.request.flags |= CW_REQUEST_IDEMPOTENT;
 	job.request.body = cw_hash(in->body, in->body_size, 9);
-	job_answer(job_create(daemon, &job), out);
+	job_respond(job_create(daemon, &job), out);
 }
 
 static void handle_service(struct daemon *daemon, const struct cw_http_in *in,
@@ -113,7 +113,7 @@
 	struct job_in job = {0};
 
 	if (length == 0 || length >= CW_NAME_MAX - strlen(CW_SERVICE_PREFIX)) {
-		bad_request(out, "the path names no service");
+		write_bad_request(out, "the path names no service");
 		return;
 	}
 	if (!read_key(in, job.request.key_sha256, out) || !read_headers(in, &job.request, out))
@@ -129,7 +129,7 @@
 	job.body = g_malloc(in->body_size + 1);
 	memcpy(job.body, in->body, in->body_size);
 	job.body_size = in->body_size;
-	job_answer(job_create(daemon, &job), out);
+	job_respond(job_create(daemon, &job), out);
 }
 
 static void handle_models(struct daemon *daemon, const struct cw_http_in *in,
@@ -145,11 +145,11 @@
 	if (answer)
 		cw_http_out_json(out, status, answer);
 	else if (status == 401)
-		callers_refusal(out, CW_CODE_UNAUTHORISED, CW_RUN_NOT, 0,
-				"no organisation has this key");
+		callers_write_error(out, CW_CODE_UNAUTHORISED, CW_RUN_NOT, 0,
+				    "no organisation has this key");
 	else
-		callers_refusal(out, CW_CODE_OVERLOADED, CW_RUN_NOT, 1000,
-				"this instance is behind");
+		callers_write_error(out, CW_CODE_OVERLOADED, CW_RUN_NOT, 1000,
+				    "this instance is behind");
 }
 
 static int read_key(const struct cw_http_in *in, char key_sha256[CW_SHA256_HEX],
@@ -157,12 +157,13 @@
 {
 	const char *value = cw_http_header(in, "Authorization");
 
-	if (!value || !g_str_has_prefix(value, BEARER) || strlen(value) > KEY_MAX) {
-		callers_refusal(out, CW_CODE_UNAUTHORISED, CW_RUN_NOT, 0,
-				"Authorization: Bearer KEY is missing");
+	if (!value || !g_str_has_prefix(value, BEARER_PREFIX) ||
+	    strlen(value) > AUTHORIZATION_MAX) {
+		callers_write_error(out, CW_CODE_UNAUTHORISED, CW_RUN_NOT, 0,
+				    "Authorization: Bearer KEY is missing");
 		return 0;
 	}
-	value += strlen(BEARER);
+	value += strlen(BEARER_PREFIX);
 	cw_sha256_hex(value, strlen(value), key_sha256);
 	return 1;
 }
@@ -181,31 +182,32 @@
 	    !read_header(in, "X-Task", "-_.", request->task, sizeof(request->task), out) ||
 	    !read_deadline(in, request, out) || !read_priority(in, request, out))
 		return 0;
-	/* A token that is not ours, or no more since a key was changed, counts as none. */
+	/* An overlong session token is ignored, as the node ignores one with a bad signature: the
+	 * key may have changed since the token was issued. */
 	if (token && strlen(token) < sizeof(request->session_token))
 		g_strlcpy(request->session_token, token, sizeof(request->session_token));
 	if (!*request->request_id)
-		new_request_id(request->request_id, sizeof(request->request_id));
+		generate_request_id(request->request_id, sizeof(request->request_id));
 	return 1;
 }
 
-/* extra: what is allowed beside letters and digits; NULL: all that prints. */
-static int read_header(const struct cw_http_in *in, const char *name, const char *extra, char *text,
-		       size_t size, struct cw_http_out *out)
+/* extra_characters: allowed besides letters and digits; NULL: all printable ones but '"'. */
+static int read_header(const struct cw_http_in *in, const char *name, const char *extra_characters,
+		       char *text, size_t size, struct cw_http_out *out)
 {
 	const char *value = cw_http_header(in, name);
 
 	if (!value || !*value)
 		return 1;
 	if (strlen(value) >= size) {
-		bad_request(out, "%s is longer than %zu bytes", name, size - 1);
+		write_bad_request(out, "%s is longer than %zu bytes", name, size - 1);
 		return 0;
 	}
 	for (const char *at = value; *at; at++) {
-		if (extra ? g_ascii_isalnum(*at) || strchr(extra, *at)
-			  : g_ascii_isprint(*at) && *at != '"')
+		if (extra_characters ? g_ascii_isalnum(*at) || strchr(extra_characters, *at)
+				     : g_ascii_isprint(*at) && *at != '"')
 			continue;
-		bad_request(out, "%s has a character that is not allowed", name);
+		write_bad_request(out, "%s has a character that is not allowed", name);
 		return 0;
 	}
 	g_strlcpy(text, value, size);
@@ -217,16 +219,16 @@
 {
 	const char *value = cw_http_header(in, "X-Deadline-Ms");
 	char *end;
-	int64_t span_ms;
+	int64_t timeout_ms;
 
 	if (!value)
 		return 1;
-	span_ms = g_ascii_strtoll(value, &end, 10);
-	if (!*value || *end || span_ms < 1 || span_ms > DEADLINE_MAX_MS) {
-		bad_request(out, "X-Deadline-Ms must be 1 to %lld", DEADLINE_MAX_MS);
+	timeout_ms = g_ascii_strtoll(value, &end, 10);
+	if (!*value || *end || timeout_ms < 1 || timeout_ms > DEADLINE_MS_MAX) {
+		write_bad_request(out, "X-Deadline-Ms must be 1 to %lld", DEADLINE_MS_MAX);
 		return 0;
 	}
-	request->deadline_ms = g_get_monotonic_time() / 1000 + span_ms;
+	request->deadline_ms = g_get_monotonic_time() / 1000 + timeout_ms;
 	return 1;
 }
 
@@ -238,7 +240,7 @@
 	if (!value || !strcmp(value, "interactive"))
 		return 1;
 	if (strcmp(value, "batch") != 0) {
-		bad_request(out, "X-Priority must be interactive or batch");
+		write_bad_request(out, "X-Priority must be interactive or batch");
 		return 0;
 	}
 	request->flags |= CW_REQUEST_BATCH;
@@ -254,22 +256,22 @@
 	if (in->body_size > 0) {
 		body = json_tokener_parse_ex(tokener, in->body, (int)in->body_size);
 		fault = json_tokener_get_error(tokener) == json_tokener_success
-				? check_completion(body, &job->request)
+				? validate_completion(body, &job->request)
 				: "the body is not JSON";
 	}
 	json_tokener_free(tokener);
 	if (!fault) {
 		job->completion = body;
-		job->request.prompt_tokens = (unsigned int)(in->body_size / BYTES_A_TOKEN);
+		job->request.prompt_tokens = (unsigned int)(in->body_size / BYTES_PER_TOKEN);
 		return 1;
 	}
 	json_object_put(body);
-	bad_request(out, "%s", fault);
+	write_bad_request(out, "%s", fault);
 	return 0;
 }
 
-/* Returns what is wrong, NULL when nothing is. */
-static const char *check_completion(struct json_object *body, struct cw_request_in *request)
+/* Returns the message for the first fault of the body, or NULL for a valid body. */
+static const char *validate_completion(struct json_object *body, struct cw_request_in *request)
 {
 	struct json_object *value;
 	int64_t max_tokens;
@@ -300,20 +302,20 @@
 	for (size_t i = 0; i < json_object_array_length(value); i++)
 		if (!json_object_is_type(json_object_array_get_idx(value, i), json_type_object))
 			return "each of messages must be an object";
-	request->prefix = prefix_of(value);
+	request->prefix = hash_prompt_prefix(value);
 	return NULL;
 }
 
-/* Requests whose prompts begin alike share an engine's cache. */
-static uint64_t prefix_of(struct json_object *messages)
+/* Requests with the same prompt prefix can reuse an engine's KV cache. */
+static uint64_t hash_prompt_prefix(struct json_object *messages)
 {
 	const char *first = json_object_to_json_string_ext(json_object_array_get_idx(messages, 0),
 							   JSON_C_TO_STRING_PLAIN);
 
-	return cw_hash(first, MIN(strlen(first), PREFIX_BYTES), 10) | 1;
+	return cw_hash(first, MIN(strlen(first), PROMPT_PREFIX_BYTES), 10) | 1;
 }
 
-static void new_request_id(char *id, size_t size)
+static void generate_request_id(char *id, size_t size)
 {
 	uint64_t random[2];
 
@@ -332,7 +334,7 @@
 	return marked && !strcmp(marked, "true");
 }
 
-static void bad_request(struct cw_http_out *out, const char *format, ...)
+static void write_bad_request(struct cw_http_out *out, const char *format, ...)
 {
 	char message[CW_MESSAGE_MAX];
 	va_list args;
@@ -340,5 +342,5 @@
 	va_start(args, format);
 	g_vsnprintf(message, sizeof(message), format, args);
 	va_end(args);
-	callers_refusal(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0, message);
+	callers_write_error(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0, message);
 }
--- a/apps/corianderwalk/core.c
+++ b/apps/corianderwalk/core.c
@@ -7,11 +7,11 @@
 
 #define TICK_MS 20
 
-static void *core_run(void *data);
-static void step(struct daemon *daemon, struct cw_event *event);
-static void carry_out(struct daemon *daemon, struct cw_effect *effect);
-static void to_job(struct daemon *daemon, struct cw_effect *effect, int final);
-static void forget_job(struct daemon *daemon, uint64_t handle);
+static void *run_core(void *data);
+static void step_node(struct daemon *daemon, struct cw_event *event);
+static void execute_effect(struct daemon *daemon, struct cw_effect *effect);
+static void deliver_to_job(struct daemon *daemon, struct cw_effect *effect, int final);
+static void remove_job(struct daemon *daemon, uint64_t handle);
 static void count_effect(const struct cw_effect *effect);
 
 void core_start(struct daemon *daemon, const struct cw_node_config *config)
@@ -19,19 +19,19 @@
 	daemon->core_ring = cw_ring_create(CW_RING_CORE);
 	daemon->jobs = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	daemon->node = cw_node_create(config);
-	daemon->duties = duties_start(daemon);
-	pthread_create(&daemon->core_thread, NULL, core_run, daemon);
+	daemon->io_workers = io_workers_start(daemon);
+	pthread_create(&daemon->core_thread, NULL, run_core, daemon);
 }
 
 void core_stop(struct daemon *daemon)
 {
 	struct message *message;
 
-	__atomic_store_n(&daemon->core_stopping, 1, __ATOMIC_RELEASE);
+	__atomic_store_n(&daemon->is_core_stopping, 1, __ATOMIC_RELEASE);
 	pthread_join(daemon->core_thread, NULL);
-	/* Duties may still be posting: a closed ring turns them away. */
+	/* Workers may still be posting: a closed ring rejects their messages. */
 	cw_ring_close(daemon->core_ring);
-	duties_stop(daemon->duties);
+	io_workers_stop(daemon->io_workers);
 	while ((message = cw_ring_pop(daemon->core_ring, 0)))
 		message_destroy(message);
 	cw_node_destroy(daemon->node);
@@ -68,17 +68,17 @@
 	return cw_ring_push(daemon->core_ring, message, 0);
 }
 
-uint64_t core_handle(struct daemon *daemon)
+uint64_t core_create_handle(struct daemon *daemon)
 {
 	return __atomic_add_fetch(&daemon->next_handle, 1, __ATOMIC_RELAXED);
 }
 
-static void *core_run(void *data)
+static void *run_core(void *data)
 {
 	struct daemon *daemon = data;
 	int64_t tick_due_us = 0;
 
-	while (!__atomic_load_n(&daemon->core_stopping, __ATOMIC_ACQUIRE)) {
+	while (!__atomic_load_n(&daemon->is_core_stopping, __ATOMIC_ACQUIRE)) {
 		struct message *message = cw_ring_pop(daemon->core_ring, TICK_MS);
 
 		if (message) {
@@ -88,20 +88,20 @@
 				*handle = job_handle(message->job);
 				g_hash_table_insert(daemon->jobs, handle, message->job);
 			}
-			step(daemon, &message->event);
+			step_node(daemon, &message->event);
 			message_destroy(message);
 		}
 		if (g_get_monotonic_time() >= tick_due_us) {
 			struct cw_event tick = {.kind = CW_EVENT_TICK};
 
-			step(daemon, &tick);
+			step_node(daemon, &tick);
 			tick_due_us = g_get_monotonic_time() + TICK_MS * 1000;
 		}
 	}
 	return NULL;
 }
 
-static void step(struct daemon *daemon, struct cw_event *event)
+static void step_node(struct daemon *daemon, struct cw_event *event)
 {
 	struct cw_effects effects;
 	struct cw_effect *effect;
@@ -110,40 +110,40 @@
 	event->wall_ms = g_get_real_time() / 1000;
 	cw_effects_open(&effects);
 	cw_node_step(daemon->node, event, &effects);
-	__atomic_store_n(&daemon->ready, cw_node_is_ready(daemon->node), __ATOMIC_RELEASE);
+	__atomic_store_n(&daemon->is_ready, cw_node_is_ready(daemon->node), __ATOMIC_RELEASE);
 	while ((effect = cw_effects_pop(&effects)))
-		carry_out(daemon, effect);
+		execute_effect(daemon, effect);
 }
 
-static void carry_out(struct daemon *daemon, struct cw_effect *effect)
+static void execute_effect(struct daemon *daemon, struct cw_effect *effect)
 {
 	count_effect(effect);
 	switch (effect->kind) {
 	case CW_EFFECT_DISPATCH:
-		to_job(daemon, effect, 0);
+		deliver_to_job(daemon, effect, 0);
 		break;
 	case CW_EFFECT_REFUSE:
 	case CW_EFFECT_RELEASE:
 	case CW_EFFECT_REPLAY:
 	case CW_EFFECT_REPLY:
-		to_job(daemon, effect, 1);
+		deliver_to_job(daemon, effect, 1);
 		break;
 	case CW_EFFECT_EVENT:
 		cw_event(effect->event.module, effect->event.event, "%s", effect->event.detail);
 		cw_effect_destroy(effect);
 		break;
 	case CW_EFFECT_STOPPED:
-		__atomic_store_n(&daemon->stopped, 1, __ATOMIC_RELEASE);
+		__atomic_store_n(&daemon->is_stopped, 1, __ATOMIC_RELEASE);
 		cw_effect_destroy(effect);
 		break;
 	default:
-		duties_take(daemon->duties, effect);
+		io_workers_submit(daemon->io_workers, effect);
 		break;
 	}
 }
 
-/* A job's mailbox has room for all that one request can be told before it answers. */
-static void to_job(struct daemon *daemon, struct cw_effect *effect, int final)
+/* A job's mailbox has room for all effects that one request can get before it is answered. */
+static void deliver_to_job(struct daemon *daemon, struct cw_effect *effect, int final)
 {
 	struct job *job = g_hash_table_lookup(daemon->jobs, &effect->handle);
 
@@ -152,11 +152,11 @@
 		return;
 	}
 	if (final)
-		forget_job(daemon, effect->handle);
-	job_tell(job, effect);
+		remove_job(daemon, effect->handle);
+	job_deliver(job, effect);
 }
 
-static void forget_job(struct daemon *daemon, uint64_t handle)
+static void remove_job(struct daemon *daemon, uint64_t handle)
 {
 	g_hash_table_remove(daemon->jobs, &handle);
 }
--- a/apps/corianderwalk/duties.c
+++ b/apps/corianderwalk/duties.c
@@ -1,5 +1,7 @@
-/* The duties around the core: reading and appending the log, the list, loads, ratings, orders,
- * peers. */
+/*
+ * The I/O workers: threads that read and append the shared log, poll the server list and the loads
+ * of backend servers, and send rating requests, orders to backend servers and messages to peers.
+ */
 #include "daemon.h"
 #include "cw_http_client.h"
 #include "cw_timeline.h"
@@ -7,181 +9,183 @@
 #include <json-c/json.h>
 #include <string.h>
 
-#define READ_MAX	 256
-#define PEER_TIMEOUT_MS	 500
-#define PEER_SENDERS_MAX 16
-#define LOAD_THREADS	 4
-#define LOAD_TIMEOUT_MS	 400
-#define LOAD_SIZE_MAX	 65536
-#define RATING_THREADS	 4
-#define ORDER_CONNECT_MS 500
-#define WAIT_MS		 (-1) /* a closed ring ends every wait */
-
-enum duty_kind {
-	DUTY_READ_TABLE,
-	DUTY_READ_CLAIMS,
-	DUTY_READ_NOTICES,
-	DUTY_BILLS,
-	DUTY_APPEND_CLAIMS,
-	DUTY_APPEND_OTHER,
-	DUTY_LOAD,
-	DUTY_RATE,
-	DUTY_ORDER,
-	DUTY_LIST,
-	DUTY_KINDS,
+#define READ_RECORDS_MAX	 256
+#define PEER_TIMEOUT_MS		 500
+#define PEER_SENDERS_MAX	 16
+#define LOAD_THREADS		 4
+#define LOAD_TIMEOUT_MS		 400
+#define ANSWER_BYTES_MAX	 65536
+#define RATING_THREADS		 4
+#define ORDER_CONNECT_TIMEOUT_MS 500
+#define WAIT_FOREVER		 (-1) /* until an item comes or the ring is closed */
+
+enum worker_kind {
+	WORKER_READ_TABLE,
+	WORKER_READ_CLAIMS,
+	WORKER_READ_NOTICES,
+	WORKER_BILLS, /* reads and appends */
+	WORKER_APPEND_CLAIMS,
+	WORKER_APPEND_OTHER,
+	WORKER_LOAD,
+	WORKER_RATE,
+	WORKER_ORDER,
+	WORKER_LIST,
+	WORKER_KINDS,
 };
 
-struct sender { /* one peer's messages, or several peers' when there are many */
+struct sender { /* sends the messages to one peer, or to several beyond PEER_SENDERS_MAX peers */
 	struct cw_ring *ring;
 	pthread_t thread;
-	GHashTable *clients; /* address -> cw_peer_client; the thread's */
+	GHashTable *clients; /* address -> cw_peer_client; accessed by this thread only */
 };
 
-struct duties {
+struct io_workers {
 	struct daemon *daemon;
-	struct cw_ring *rings[DUTY_KINDS];
-	pthread_t threads[DUTY_KINDS + LOAD_THREADS + RATING_THREADS];
+	struct cw_ring *rings[WORKER_KINDS];
+	pthread_t threads[WORKER_KINDS + LOAD_THREADS + RATING_THREADS];
 	size_t thread_count;
-	int stopping;
-	GHashTable *sender_of; /* address -> sender; the core's */
+	int is_stopping;	       /* atomic */
+	GHashTable *sender_by_address; /* address -> sender; accessed by the core thread only */
 	struct sender *senders[PEER_SENDERS_MAX];
 	size_t sender_count;
-	size_t sender_turn;
+	size_t next_shared_sender;
 };
 
-struct duty_start {
-	struct duties *duties;
-	enum duty_kind kind;
+struct worker_arguments {
+	struct io_workers *io_workers;
+	enum worker_kind kind;
 };
 
-static void start_thread(struct duties *duties, enum duty_kind kind);
-static void *run_duty(void *data);
-static void *run_list(struct duties *duties);
-static void do_effect(struct duties *duties, struct cw_effect *effect);
-static void do_read(struct daemon *daemon, const struct cw_effect *effect);
-static void do_append(struct daemon *daemon, const struct cw_effect *effect);
-static void do_poll(struct daemon *daemon, const struct cw_effect *effect);
-static void do_rate(struct daemon *daemon, const struct cw_effect *effect);
-static void do_order(struct daemon *daemon, const struct cw_effect *effect);
-static void do_list(struct daemon *daemon);
+static void start_worker(struct io_workers *io_workers, enum worker_kind kind);
+static void *run_worker(void *data);
+static void *run_list_poller(struct io_workers *io_workers);
+static void perform_effect(struct io_workers *io_workers, struct cw_effect *effect);
+static void read_log(struct daemon *daemon, const struct cw_effect *effect);
+static void append_to_log(struct daemon *daemon, const struct cw_effect *effect);
+static void poll_load(struct daemon *daemon, const struct cw_effect *effect);
+static void request_rating(struct daemon *daemon, const struct cw_effect *effect);
+static void send_order(struct daemon *daemon, const struct cw_effect *effect);
+static void poll_list(struct daemon *daemon);
 static void fill_load(struct message *message, struct json_object *answer);
-static void send_peer(struct duties *duties, struct cw_effect *effect);
+static void queue_peer_message(struct io_workers *io_workers, struct cw_effect *effect);
 static struct sender *sender_create(void);
 static void sender_destroy(struct sender *sender);
 static void *run_sender(void *data);
-static enum duty_kind duty_of(const struct cw_effect *effect);
+static enum worker_kind worker_kind_of(const struct cw_effect *effect);
 
-struct duties *duties_start(struct daemon *daemon)
+struct io_workers *io_workers_start(struct daemon *daemon)
 {
-	struct duties *duties = g_new0(struct duties, 1);
-
-	duties->daemon = daemon;
-	duties->sender_of = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	for (int kind = 0; kind < DUTY_KINDS; kind++)
-		duties->rings[kind] = cw_ring_create(CW_RING_DUTY);
-	for (int kind = 0; kind < DUTY_KINDS; kind++)
-		start_thread(duties, kind);
+	struct io_workers *io_workers = g_new0(struct io_workers, 1);
+
+	io_workers->daemon = daemon;
+	io_workers->sender_by_address =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	for (int kind = 0; kind < WORKER_KINDS; kind++)
+		io_workers->rings[kind] = cw_ring_create(CW_RING_DUTY);
+	for (int kind = 0; kind < WORKER_KINDS; kind++)
+		start_worker(io_workers, kind);
 	for (int i = 1; i < LOAD_THREADS; i++)
-		start_thread(duties, DUTY_LOAD);
+		start_worker(io_workers, WORKER_LOAD);
 	for (int i = 1; i < RATING_THREADS; i++)
-		start_thread(duties, DUTY_RATE);
-	return duties;
+		start_worker(io_workers, WORKER_RATE);
+	return io_workers;
 }
 
-void duties_stop(struct duties *duties)
+void io_workers_stop(struct io_workers *io_workers)
 {
 	struct cw_effect *effect;
 
-	__atomic_store_n(&duties->stopping, 1, __ATOMIC_RELEASE);
-	for (int kind = 0; kind < DUTY_KINDS; kind++)
-		cw_ring_close(duties->rings[kind]);
-	for (size_t i = 0; i < duties->thread_count; i++)
-		pthread_join(duties->threads[i], NULL);
-	for (int kind = 0; kind < DUTY_KINDS; kind++) {
-		while ((effect = cw_ring_pop(duties->rings[kind], 0)))
+	__atomic_store_n(&io_workers->is_stopping, 1, __ATOMIC_RELEASE);
+	for (int kind = 0; kind < WORKER_KINDS; kind++)
+		cw_ring_close(io_workers->rings[kind]);
+	for (size_t i = 0; i < io_workers->thread_count; i++)
+		pthread_join(io_workers->threads[i], NULL);
+	for (int kind = 0; kind < WORKER_KINDS; kind++) {
+		while ((effect = cw_ring_pop(io_workers->rings[kind], 0)))
 			cw_effect_destroy(effect);
-		cw_ring_destroy(duties->rings[kind]);
+		cw_ring_destroy(io_workers->rings[kind]);
 	}
-	for (size_t i = 0; i < duties->sender_count; i++)
-		sender_destroy(duties->senders[i]);
-	g_hash_table_destroy(duties->sender_of);
-	g_free(duties);
+	for (size_t i = 0; i < io_workers->sender_count; i++)
+		sender_destroy(io_workers->senders[i]);
+	g_hash_table_destroy(io_workers->sender_by_address);
+	g_free(io_workers);
 }
 
-void duties_take(struct duties *duties, struct cw_effect *effect)
+void io_workers_submit(struct io_workers *io_workers, struct cw_effect *effect)
 {
 	if (effect->kind == CW_EFFECT_SEND) {
-		send_peer(duties, effect);
+		queue_peer_message(io_workers, effect);
 		return;
 	}
-	/* A full ring means a duty that hangs: the core must not wait for it, and retries by its
-	 * own time. */
-	if (cw_ring_push(duties->rings[duty_of(effect)], effect, 0) != CW_OK)
+	/* A full ring means that a worker hangs. The core must not block on the worker, so the
+	 * effect is dropped; the node retries when its own timer expires. */
+	if (cw_ring_push(io_workers->rings[worker_kind_of(effect)], effect, 0) != CW_OK)
 		cw_effect_destroy(effect);
 }
 
-static void start_thread(struct duties *duties, enum duty_kind kind)
+static void start_worker(struct io_workers *io_workers, enum worker_kind kind)
 {
-	struct duty_start *start = g_new(struct duty_start, 1);
+	struct worker_arguments *start = g_new(struct worker_arguments, 1);
 
-	start->duties = duties;
+	start->io_workers = io_workers;
 	start->kind = kind;
-	pthread_create(&duties->threads[duties->thread_count++], NULL, run_duty, start);
+	pthread_create(&io_workers->threads[io_workers->thread_count++], NULL, run_worker, start);
 }
 
-static void *run_duty(void *data)
+static void *run_worker(void *data)
 {
-	struct duty_start start = *(struct duty_start *)data;
-	struct cw_ring *ring = start.duties->rings[start.kind];
+	struct worker_arguments start = *(struct worker_arguments *)data;
+	struct cw_ring *ring = start.io_workers->rings[start.kind];
 
 	g_free(data);
-	if (start.kind == DUTY_LIST)
-		return run_list(start.duties);
-	while (!__atomic_load_n(&start.duties->stopping, __ATOMIC_ACQUIRE)) {
-		struct cw_effect *effect = cw_ring_pop(ring, WAIT_MS);
+	if (start.kind == WORKER_LIST)
+		return run_list_poller(start.io_workers);
+	while (!__atomic_load_n(&start.io_workers->is_stopping, __ATOMIC_ACQUIRE)) {
+		struct cw_effect *effect = cw_ring_pop(ring, WAIT_FOREVER);
 
 		if (!effect)
 			continue;
-		do_effect(start.duties, effect);
+		perform_effect(start.io_workers, effect);
 		cw_effect_destroy(effect);
 	}
 	return NULL;
 }
 
-static void *run_list(struct duties *duties)
+static void *run_list_poller(struct io_workers *io_workers)
 {
-	while (!__atomic_load_n(&duties->stopping, __ATOMIC_ACQUIRE)) {
-		do_list(duties->daemon);
-		/* Nothing is ever pushed here: the closed ring ends the wait. */
-		cw_ring_pop(duties->rings[DUTY_LIST], (int)duties->daemon->settings->list_poll_ms);
+	while (!__atomic_load_n(&io_workers->is_stopping, __ATOMIC_ACQUIRE)) {
+		poll_list(io_workers->daemon);
+		/* No effect is pushed to this ring: a sleep that ends when the ring is closed. */
+		cw_ring_pop(io_workers->rings[WORKER_LIST],
+			    (int)io_workers->daemon->settings->list_poll_ms);
 	}
 	return NULL;
 }
 
-static void do_effect(struct duties *duties, struct cw_effect *effect)
+static void perform_effect(struct io_workers *io_workers, struct cw_effect *effect)
 {
 	switch (effect->kind) {
 	case CW_EFFECT_READ:
-		do_read(duties->daemon, effect);
+		read_log(io_workers->daemon, effect);
 		break;
 	case CW_EFFECT_APPEND:
-		do_append(duties->daemon, effect);
+		append_to_log(io_workers->daemon, effect);
 		break;
 	case CW_EFFECT_POLL:
-		do_poll(duties->daemon, effect);
+		poll_load(io_workers->daemon, effect);
 		break;
 	case CW_EFFECT_RATE:
-		do_rate(duties->daemon, effect);
+		request_rating(io_workers->daemon, effect);
 		break;
 	case CW_EFFECT_ORDER:
-		do_order(duties->daemon, effect);
+		send_order(io_workers->daemon, effect);
 		break;
 	default:
 		break;
 	}
 }
 
-static void do_read(struct daemon *daemon, const struct cw_effect *effect)
+static void read_log(struct daemon *daemon, const struct cw_effect *effect)
 {
 	struct message *message = message_create(CW_EVENT_RECORDS);
 	struct cw_platform_read *read = &message->read;
@@ -189,9 +193,9 @@
 
 	message->records.stream = effect->read.stream;
 	message->records.ticket = effect->read.ticket;
-	message->records.status =
-		cw_log_http.read(daemon->settings->platform, cw_stream_name(effect->read.stream),
-				 effect->read.from, READ_MAX, effect->read.wait_ms, read, &error);
+	message->records.status = cw_log_http.read(
+		daemon->settings->platform, cw_stream_name(effect->read.stream), effect->read.from,
+		READ_RECORDS_MAX, effect->read.wait_ms, read, &error);
 	message->records.first = read->first;
 	message->records.count = read->count;
 	message->record_list = g_new0(struct cw_log_record, read->count + 1);
@@ -205,7 +209,7 @@
 	core_post(daemon, message);
 }
 
-static void do_append(struct daemon *daemon, const struct cw_effect *effect)
+static void append_to_log(struct daemon *daemon, const struct cw_effect *effect)
 {
 	struct message *message = message_create(CW_EVENT_APPENDED);
 	struct cw_error error = {0};
@@ -223,7 +227,7 @@
 	core_post(daemon, message);
 }
 
-static void do_poll(struct daemon *daemon, const struct cw_effect *effect)
+static void poll_load(struct daemon *daemon, const struct cw_effect *effect)
 {
 	struct cw_http_call call = {
 		.method = "GET",
@@ -231,7 +235,7 @@
 		.path = "/load",
 		.connect_ms = LOAD_TIMEOUT_MS,
 		.total_ms = LOAD_TIMEOUT_MS,
-		.max_size = LOAD_SIZE_MAX,
+		.max_size = ANSWER_BYTES_MAX,
 	};
 	struct cw_http_answer answer;
 	struct json_object *parsed = NULL;
@@ -281,7 +285,7 @@
 	message->load.versions = (const char *const *)message->versions;
 }
 
-static void do_rate(struct daemon *daemon, const struct cw_effect *effect)
+static void request_rating(struct daemon *daemon, const struct cw_effect *effect)
 {
 	struct message *message = message_create(CW_EVENT_RATED);
 	struct cw_rating_request request = {
@@ -305,7 +309,7 @@
 	core_post(daemon, message);
 }
 
-static void do_order(struct daemon *daemon, const struct cw_effect *effect)
+static void send_order(struct daemon *daemon, const struct cw_effect *effect)
 {
 	static const char *const headers[] = {"Content-Type: application/json", NULL};
 	struct message *message = message_create(CW_EVENT_ORDERED);
@@ -321,10 +325,10 @@
 		.headers = headers,
 		.body = body,
 		.body_size = strlen(body),
-		.connect_ms = ORDER_CONNECT_MS,
+		.connect_ms = ORDER_CONNECT_TIMEOUT_MS,
 		.total_ms = (int)effect->order.timeout_ms,
 		.once = 1,
-		.max_size = LOAD_SIZE_MAX,
+		.max_size = ANSWER_BYTES_MAX,
 	};
 	struct cw_http_answer answer;
 	enum cw_status status = cw_http_perform(&call, &answer, NULL);
@@ -340,7 +344,7 @@
 	core_post(daemon, message);
 }
 
-static void do_list(struct daemon *daemon)
+static void poll_list(struct daemon *daemon)
 {
 	struct cw_platform_member *members;
 	struct message *message;
@@ -368,19 +372,22 @@
 	core_post(daemon, message);
 }
 
-/* A peer that hangs holds only its own sender; while there are few peers each has one. */
-static void send_peer(struct duties *duties, struct cw_effect *effect)
+/* Up to PEER_SENDERS_MAX peers have a sender each, so that a peer that hangs delays no other. */
+static void queue_peer_message(struct io_workers *io_workers, struct cw_effect *effect)
 {
-	struct sender *sender = g_hash_table_lookup(duties->sender_of, effect->send.address);
+	struct sender *sender =
+		g_hash_table_lookup(io_workers->sender_by_address, effect->send.address);
 
 	if (!sender) {
-		if (duties->sender_count < PEER_SENDERS_MAX) {
+		if (io_workers->sender_count < PEER_SENDERS_MAX) {
 			sender = sender_create();
-			duties->senders[duties->sender_count++] = sender;
+			io_workers->senders[io_workers->sender_count++] = sender;
 		} else {
-			sender = duties->senders[duties->sender_turn++ % PEER_SENDERS_MAX];
+			sender = io_workers->senders[io_workers->next_shared_sender++ %
+						     PEER_SENDERS_MAX];
 		}
-		g_hash_table_insert(duties->sender_of, g_strdup(effect->send.address), sender);
+		g_hash_table_insert(io_workers->sender_by_address, g_strdup(effect->send.address),
+				    sender);
 	}
 	if (cw_ring_push(sender->ring, effect, 0) != CW_OK)
 		cw_effect_destroy(effect);
@@ -415,7 +422,7 @@
 	struct sender *sender = data;
 
 	while (!cw_ring_is_closed(sender->ring)) {
-		struct cw_effect *effect = cw_ring_pop(sender->ring, WAIT_MS);
+		struct cw_effect *effect = cw_ring_pop(sender->ring, WAIT_FOREVER);
 		struct cw_peer_client *client;
 
 		if (!effect)
@@ -432,24 +439,24 @@
 	return NULL;
 }
 
-static enum duty_kind duty_of(const struct cw_effect *effect)
+static enum worker_kind worker_kind_of(const struct cw_effect *effect)
 {
-	static const enum duty_kind readers[CW_STREAMS] = {DUTY_READ_TABLE, DUTY_READ_CLAIMS,
-							   DUTY_READ_NOTICES, DUTY_BILLS};
+	static const enum worker_kind read_kinds[CW_STREAMS] = {
+		WORKER_READ_TABLE, WORKER_READ_CLAIMS, WORKER_READ_NOTICES, WORKER_BILLS};
 
 	switch (effect->kind) {
 	case CW_EFFECT_READ:
-		return readers[effect->read.stream];
+		return read_kinds[effect->read.stream];
 	case CW_EFFECT_APPEND:
 		if (effect->append.stream == CW_STREAM_BILLS)
-			return DUTY_BILLS;
-		return effect->append.stream == CW_STREAM_CLAIMS ? DUTY_APPEND_CLAIMS
-								 : DUTY_APPEND_OTHER;
+			return WORKER_BILLS;
+		return effect->append.stream == CW_STREAM_CLAIMS ? WORKER_APPEND_CLAIMS
+								 : WORKER_APPEND_OTHER;
 	case CW_EFFECT_POLL:
-		return DUTY_LOAD;
+		return WORKER_LOAD;
 	case CW_EFFECT_RATE:
-		return DUTY_RATE;
+		return WORKER_RATE;
 	default:
-		return DUTY_ORDER;
+		return WORKER_ORDER;
 	}
 }
--- a/apps/corianderwalk/job.c
+++ b/apps/corianderwalk/job.c
@@ -3,21 +3,21 @@
 #include <stdio.h>
 #include <string.h>
 
-#define MAILBOX	      8
-#define STALL_STEP_MS 500
-#define STALL_MS      30000 /* a caller that takes nothing this long is gone */
-#define HEAD_WAIT_MS  1000
-#define END_EVENT     "data: [DONE]\n\n"
-#define BYTES_A_TOKEN 4 /* where an engine does not count its prompt */
+#define MAILBOX_EFFECTS	 8 /* capacity of a mailbox */
+#define STALL_CHECK_MS	 500
+#define STALL_TIMEOUT_MS 30000 /* a caller that reads nothing for this time has left */
+#define HEAD_WAIT_MS	 1000  /* between checks for the head; also the retry hint on overload */
+#define DONE_EVENT	 "data: [DONE]\n\n"
+#define BYTES_PER_TOKEN	 4 /* estimate for engines that report no prompt tokens */
 
-static void run(struct job *job);
-static void *run_stream(void *data);
-static void begin(struct job *job);
-static void refuse(struct job *job, const struct cw_effect *effect);
-static void replay(struct job *job, struct cw_effect *effect);
-static void finish(struct job *job);
+static void run_job(struct job *job);
+static void *run_stream_thread(void *data);
+static void submit_request(struct job *job);
+static void send_refusal(struct job *job, const struct cw_effect *effect);
+static void send_replay(struct job *job, struct cw_effect *effect);
+static void send_answer(struct job *job);
 static void add_headers(struct job *job);
-static void tell_head(struct job *job);
+static void publish_head(struct job *job);
 static void on_stream_end(void *context);
 
 struct job *job_create(struct daemon *daemon, struct job_in *in)
@@ -26,12 +26,12 @@
 
 	job->daemon = daemon;
 	job->in = *in;
-	job->in.request.handle = core_handle(daemon);
-	job->mailbox = cw_ring_create(MAILBOX);
+	job->in.request.handle = core_create_handle(daemon);
+	job->mailbox = cw_ring_create(MAILBOX_EFFECTS);
 	job->head_ready = cw_ring_create(1);
 	job->stream = cw_ring_create(CW_RING_STREAM);
 	job->answer = cw_answer_create((size_t)daemon->settings->max_answer_bytes);
-	job->holders = 1;
+	job->reference_count = 1;
 	__atomic_add_fetch(&daemon->jobs_running, 1, __ATOMIC_RELAXED);
 	return job;
 }
@@ -40,7 +40,7 @@
 {
 	struct cw_chunk *chunk;
 
-	if (__atomic_sub_fetch(&job->holders, 1, __ATOMIC_ACQ_REL) > 0)
+	if (__atomic_sub_fetch(&job->reference_count, 1, __ATOMIC_ACQ_REL) > 0)
 		return;
 	while ((chunk = cw_ring_pop(job->stream, 0)))
 		g_free(chunk);
@@ -48,7 +48,7 @@
 	cw_ring_destroy(job->head_ready);
 	cw_ring_destroy(job->stream);
 	cw_answer_destroy(job->answer);
-	cw_http_answer_clear(&job->whole);
+	cw_http_answer_clear(&job->upstream_answer);
 	json_object_put(job->in.completion);
 	g_free(job->in.method);
 	g_free(job->in.path);
@@ -63,33 +63,33 @@
 	return job->in.request.handle;
 }
 
-void job_tell(struct job *job, struct cw_effect *effect)
+void job_deliver(struct job *job, struct cw_effect *effect)
 {
 	if (effect->kind == CW_EFFECT_REFUSE)
-		__atomic_store_n(&job->given_up, 1, __ATOMIC_RELEASE);
+		__atomic_store_n(&job->is_refused, 1, __ATOMIC_RELEASE);
 	if (cw_ring_push(job->mailbox, effect, 0) != CW_OK)
 		cw_effect_destroy(effect);
 }
 
-void job_answer(struct job *job, struct cw_http_out *out)
+void job_respond(struct job *job, struct cw_http_out *out)
 {
 	pthread_attr_t attr;
 	pthread_t thread;
 
 	if (!job_is_stream(job)) {
-		run(job);
+		run_job(job);
 		*out = job->out;
 		job_release(job);
 		return;
 	}
-	/* Two threads hold a streamed job: the one that feeds it, and the caller's. */
-	job->holders = 2;
+	/* A streamed job has two references: its own thread and the caller's connection. */
+	job->reference_count = 2;
 	pthread_attr_init(&attr);
 	pthread_attr_setdetachstate(&attr, PTHREAD_CREATE_DETACHED);
-	if (pthread_create(&thread, &attr, run_stream, job)) {
-		job->holders = 1;
-		callers_refusal(out, CW_CODE_OVERLOADED, CW_RUN_NOT, HEAD_WAIT_MS,
-				"no thread can be started");
+	if (pthread_create(&thread, &attr, run_stream_thread, job)) {
+		job->reference_count = 1;
+		callers_write_error(out, CW_CODE_OVERLOADED, CW_RUN_NOT, HEAD_WAIT_MS,
+				    "no thread can be started");
 		job_release(job);
 		pthread_attr_destroy(&attr);
 		return;
@@ -130,28 +130,28 @@
 	return answer;
 }
 
-/* The request's whole life on this side: what the node decides is carried out until it is final. */
-static void run(struct job *job)
+/* Submits the request and executes the node's decisions until the final one. */
+static void run_job(struct job *job)
 {
 	struct cw_effect *effect;
 	int final = 0;
 
-	begin(job);
+	submit_request(job);
 	while (!final && (effect = cw_ring_pop(job->mailbox, -1))) {
 		switch (effect->kind) {
 		case CW_EFFECT_DISPATCH:
-			job_attempt(job, effect);
+			job_run_attempt(job, effect);
 			break;
 		case CW_EFFECT_REFUSE:
-			refuse(job, effect);
+			send_refusal(job, effect);
 			final = 1;
 			break;
 		case CW_EFFECT_REPLAY:
-			replay(job, effect);
+			send_replay(job, effect);
 			final = 1;
 			break;
 		default:
-			finish(job);
+			send_answer(job);
 			final = 1;
 			break;
 		}
@@ -159,17 +159,17 @@
 	}
 }
 
-static void *run_stream(void *data)
+static void *run_stream_thread(void *data)
 {
 	struct job *job = data;
 
-	run(job);
+	run_job(job);
 	cw_ring_close(job->stream);
 	job_release(job);
 	return NULL;
 }
 
-static void begin(struct job *job)
+static void submit_request(struct job *job)
 {
 	struct message *message = message_create(CW_EVENT_REQUEST);
 	struct cw_effect *effect;
@@ -179,7 +179,7 @@
 	message->event.request = &message->request;
 	if (core_try_post(job->daemon, message) == CW_OK)
 		return;
-	/* The core is behind: a request it has never seen did not run. */
+	/* The core's ring is full: the core did not get the request, so nothing ran. */
 	message_destroy(message);
 	effect = g_new0(struct cw_effect, 1);
 	effect->kind = CW_EFFECT_REFUSE;
@@ -187,15 +187,15 @@
 	effect->refuse.run = CW_RUN_NOT;
 	effect->refuse.retry_after_ms = HEAD_WAIT_MS;
 	g_strlcpy(effect->refuse.message, "this instance is behind", CW_MESSAGE_MAX);
-	job_tell(job, effect);
+	job_deliver(job, effect);
 }
 
-void job_show(struct job *job, const char *data, size_t size)
+void job_send_chunk(struct job *job, const char *data, size_t size)
 {
 	struct cw_chunk *chunk = cw_chunk_create(data, size);
 	enum cw_status status = CW_FULL;
 
-	if (!job->head_told) {
+	if (!job->is_head_sent) {
 		g_snprintf(job->model_version, sizeof(job->model_version), "%s/%s",
 			   job->dispatch->dispatch.model, job->dispatch->dispatch.version);
 		g_strlcpy(job->session_token, job->dispatch->dispatch.session_token, CW_TOKEN_MAX);
@@ -208,28 +208,29 @@
 		job->out.stream = job->stream;
 		job->out.on_end = on_stream_end;
 		job->out.context = job;
-		tell_head(job);
+		publish_head(job);
 	}
-	for (int waited = 0; status == CW_FULL && waited < STALL_MS; waited += STALL_STEP_MS)
-		status = cw_ring_push(job->stream, chunk, STALL_STEP_MS);
+	for (int waited_ms = 0; status == CW_FULL && waited_ms < STALL_TIMEOUT_MS;
+	     waited_ms += STALL_CHECK_MS)
+		status = cw_ring_push(job->stream, chunk, STALL_CHECK_MS);
 	if (status == CW_OK)
 		return;
 	g_free(chunk);
-	__atomic_store_n(&job->caller_gone, 1, __ATOMIC_RELEASE);
+	__atomic_store_n(&job->is_caller_unreachable, 1, __ATOMIC_RELEASE);
 }
 
-static void refuse(struct job *job, const struct cw_effect *effect)
+static void send_refusal(struct job *job, const struct cw_effect *effect)
 {
 	struct cw_http_out refusal = {0};
 	char *event;
 
-	callers_refusal(&refusal, effect->refuse.code, effect->refuse.run,
-			effect->refuse.retry_after_ms, effect->refuse.message);
-	if (job->head_told) {
-		/* The answer has begun: its end must be told, silence would pass for a whole
-		 * answer. */
+	callers_write_error(&refusal, effect->refuse.code, effect->refuse.run,
+			    effect->refuse.retry_after_ms, effect->refuse.message);
+	if (job->is_head_sent) {
+		/* The stream has begun: without an explicit error event its end would look like
+		 * the end of a complete answer. */
 		event = g_strdup_printf("event: error\ndata: %s\n\n", refusal.body);
-		job_show(job, event, strlen(event));
+		job_send_chunk(job, event, strlen(event));
 		g_free(event);
 		g_free(refusal.body);
 		for (size_t i = 0; i < refusal.header_count; i++)
@@ -240,36 +241,37 @@
 	job->out = refusal;
 	*job->model_version = '\0';
 	add_headers(job);
-	tell_head(job);
+	publish_head(job);
 }
 
-static void replay(struct job *job, struct cw_effect *effect)
+static void send_replay(struct job *job, struct cw_effect *effect)
 {
 	g_free(job->out.body);
 	cw_http_out_json(&job->out, effect->replay.status,
 			 g_strdup(effect->replay.answer ? effect->replay.answer : ""));
 	add_headers(job);
 	cw_http_out_header(&job->out, "X-Replayed", "true");
-	tell_head(job);
+	publish_head(job);
 }
 
-static void finish(struct job *job)
+static void send_answer(struct job *job)
 {
-	if (job->head_told) {
-		job_show(job, END_EVENT, strlen(END_EVENT));
+	if (job->is_head_sent) {
+		job_send_chunk(job, DONE_EVENT, strlen(DONE_EVENT));
 		return;
 	}
 	if (!job_is_stream(job)) {
 		g_free(job->out.body);
-		job->out.body = g_steal_pointer(&job->whole.body);
-		job->out.body_size = job->whole.size;
+		job->out.body = g_steal_pointer(&job->upstream_answer.body);
+		job->out.body_size = job->upstream_answer.size;
 	} else {
 		job->out.body_size = job->out.body ? strlen(job->out.body) : 0;
 	}
-	job->out.status = job->whole.status;
-	g_strlcpy(job->out.content_type, job->whole.content_type, sizeof(job->out.content_type));
+	job->out.status = job->upstream_answer.status;
+	g_strlcpy(job->out.content_type, job->upstream_answer.content_type,
+		  sizeof(job->out.content_type));
 	add_headers(job);
-	tell_head(job);
+	publish_head(job);
 }
 
 static void add_headers(struct job *job)
@@ -280,14 +282,14 @@
 		cw_http_out_header(&job->out, "X-Model-Version", job->model_version);
 	if (*job->session_token)
 		cw_http_out_header(&job->out, "X-Session-Token", job->session_token);
-	/* A kept connection would bring the next request to an instance that is leaving. */
-	if (!__atomic_load_n(&job->daemon->ready, __ATOMIC_ACQUIRE))
+	/* A keep-alive connection would bring the next request to an instance that is leaving. */
+	if (!__atomic_load_n(&job->daemon->is_ready, __ATOMIC_ACQUIRE))
 		cw_http_out_header(&job->out, "Connection", "close");
 }
 
-static void tell_head(struct job *job)
+static void publish_head(struct job *job)
 {
-	job->head_told = 1;
+	job->is_head_sent = 1;
 	cw_ring_push(job->head_ready, job, 0);
 }
 
--- a/apps/corianderwalk/job_attempt.c
+++ b/apps/corianderwalk/job_attempt.c
@@ -1,37 +1,37 @@
-/* One dispatch of a job: the call to the backend server, and what its answer is worth. */
+/* One attempt of a job: the call to the backend server and the classification of its answer. */
 #include "job_internal.h"
 #include "cw_counters.h"
 
 #include <string.h>
 
-#define CANCEL_MS 300
+#define CANCEL_TIMEOUT_MS 300
 
 static void attempt_engine(struct job *job, const struct cw_effect *effect);
 static void attempt_service(struct job *job, const struct cw_effect *effect);
-static void end_attempt(struct job *job, const struct cw_effect *effect,
-			const struct cw_http_answer *answer);
-static enum cw_attempt_result judge_stream(const struct job *job, enum cw_status status);
-static enum cw_attempt_result judge_whole(struct job *job, enum cw_status status,
-					  unsigned int *prompt, unsigned int *completion,
-					  char **text);
-static enum cw_attempt_result judge_service(const struct job *job, enum cw_status status);
-static enum cw_attempt_result judge_refusal(int status);
-static char *engine_body(struct job *job, const struct cw_effect *effect);
+static void report_attempt(struct job *job, const struct cw_effect *effect,
+			   const struct cw_http_answer *answer);
+static enum cw_attempt_result classify_stream(const struct job *job, enum cw_status status);
+static enum cw_attempt_result parse_completion(struct job *job, enum cw_status status,
+					       unsigned int *prompt, unsigned int *completion,
+					       char **text);
+static enum cw_attempt_result classify_response(const struct job *job, enum cw_status status);
+static enum cw_attempt_result classify_error_status(int status);
+static char *build_engine_body(struct job *job, const struct cw_effect *effect);
 static void cancel_upstream(struct job *job, const struct cw_effect *effect);
 static int on_head(void *context, int status, const char *request_id, const char *content_type);
 static int on_data(void *context, const char *data, size_t size);
 static int is_cancelled(void *context);
-static int caller_left(const struct job *job);
-static void show(void *context, const char *event, size_t size);
+static int has_caller_left(const struct job *job);
+static void forward_event(void *context, const char *event, size_t size);
 
-void job_attempt(struct job *job, const struct cw_effect *effect)
+void job_run_attempt(struct job *job, const struct cw_effect *effect)
 {
 	job->dispatch = effect;
 	job->upstream_status = 0;
-	job->foreign = 0;
-	job->done = 0;
+	job->has_foreign_id = 0;
+	job->is_complete = 0;
 	g_clear_pointer(&job->out.body, g_free);
-	cw_http_answer_clear(&job->whole);
+	cw_http_answer_clear(&job->upstream_answer);
 	if (job_is_service(job))
 		attempt_service(job, effect);
 	else
@@ -42,23 +42,24 @@
 static void attempt_engine(struct job *job, const struct cw_effect *effect)
 {
 	const struct cw_settings *settings = job->daemon->settings;
-	int resumed = effect->dispatch.mode == CW_DISPATCH_RESUME;
-	char *path = resumed ? g_strdup_printf("/v1/requests/%s/stream", job->in.request.request_id)
+	int is_resume = effect->dispatch.mode == CW_DISPATCH_RESUME;
+	char *path = is_resume
+			     ? g_strdup_printf("/v1/requests/%s/stream", job->in.request.request_id)
 			     : g_strdup("/v1/chat/completions");
-	char *body = resumed ? NULL : engine_body(job, effect);
+	char *body = is_resume ? NULL : build_engine_body(job, effect);
 	char *headers[6] = {
 		g_strdup("Content-Type: application/json"),
 		g_strdup_printf("X-Request-Id: %s", job->in.request.request_id),
 		g_strdup_printf("X-Attempt: %u", effect->dispatch.attempt),
 		g_strdup_printf("X-Priority: %s",
 				job->in.request.flags & CW_REQUEST_BATCH ? "batch" : "interactive"),
-		resumed ? g_strdup_printf("Last-Event-ID: %" G_GUINT64_FORMAT,
-					  cw_answer_sequence(job->answer))
-			: NULL,
+		is_resume ? g_strdup_printf("Last-Event-ID: %" G_GUINT64_FORMAT,
+					    cw_answer_sequence(job->answer))
+			  : NULL,
 		NULL,
 	};
 	struct cw_http_call call = {
-		.method = resumed ? "GET" : "POST",
+		.method = is_resume ? "GET" : "POST",
 		.address = effect->dispatch.address,
 		.path = path,
 		.headers = (const char *const *)headers,
@@ -77,18 +78,18 @@
 	struct cw_http_answer answer;
 	enum cw_status status;
 
-	cw_answer_begin(job->answer, resumed);
+	cw_answer_begin(job->answer, is_resume);
 	status = cw_http_perform(&call, &answer, NULL);
-	job->whole = answer;
+	job->upstream_answer = answer;
 	if (job_is_stream(job))
-		job->result = judge_stream(job, status);
+		job->result = classify_stream(job, status);
 	else
-		job->result = status == CW_OK && answer.status == 200 && !job->foreign
+		job->result = status == CW_OK && answer.status == 200 && !job->has_foreign_id
 				      ? CW_ATTEMPT_ANSWERED
-				      : judge_service(job, status);
+				      : classify_response(job, status);
 	if (job->result == CW_ATTEMPT_CANCELLED || job->result == CW_ATTEMPT_BROKEN)
 		cancel_upstream(job, effect);
-	end_attempt(job, effect, &answer);
+	report_attempt(job, effect, &answer);
 	for (size_t i = 0; headers[i]; i++)
 		g_free(headers[i]);
 	g_free(body);
@@ -124,15 +125,15 @@
 	struct cw_http_answer answer;
 	enum cw_status status = cw_http_perform(&call, &answer, NULL);
 
-	job->whole = answer;
-	job->result = judge_service(job, status);
-	end_attempt(job, effect, &answer);
+	job->upstream_answer = answer;
+	job->result = classify_response(job, status);
+	report_attempt(job, effect, &answer);
 	for (size_t i = 0; headers[i]; i++)
 		g_free(headers[i]);
 }
 
-static void end_attempt(struct job *job, const struct cw_effect *effect,
-			const struct cw_http_answer *answer)
+static void report_attempt(struct job *job, const struct cw_effect *effect,
+			   const struct cw_http_answer *answer)
 {
 	struct message *message = message_create(CW_EVENT_ATTEMPT_END);
 	unsigned int prompt = 0;
@@ -146,7 +147,7 @@
 	} else if (job_is_service(job)) {
 		text = g_strndup(answer->body ? answer->body : "", answer->size);
 	} else if (job->result == CW_ATTEMPT_ANSWERED) {
-		job->result = judge_whole(job, CW_OK, &prompt, &completion, &text);
+		job->result = parse_completion(job, CW_OK, &prompt, &completion, &text);
 	}
 	if (!job_is_service(job) && prompt == 0)
 		prompt = job->in.request.prompt_tokens;
@@ -165,69 +166,71 @@
 	message->event.attempt = &message->attempt;
 	if (cw_answer_dropped(job->answer) > 0)
 		cw_count("chunks_dropped_total", "", cw_answer_dropped(job->answer));
-	if (job->foreign)
+	if (job->has_foreign_id)
 		cw_count("foreign_answers_total", "", 1);
-	/* What the caller is shown of it, should this be the last attempt. */
+	/* For the headers of the caller's answer, should this be the last attempt. */
 	g_snprintf(job->model_version, sizeof(job->model_version), "%s%s%s", effect->dispatch.model,
 		   *effect->dispatch.version ? "/" : "", effect->dispatch.version);
 	g_strlcpy(job->session_token, effect->dispatch.session_token, CW_TOKEN_MAX);
 	core_post(job->daemon, message);
 }
 
-static enum cw_attempt_result judge_stream(const struct job *job, enum cw_status status)
+static enum cw_attempt_result classify_stream(const struct job *job, enum cw_status status)
 {
-	if (job->done)
+	if (job->is_complete)
 		return CW_ATTEMPT_ANSWERED;
-	if (caller_left(job))
+	if (has_caller_left(job))
 		return CW_ATTEMPT_CANCELLED;
 	if (status == CW_UNREACHABLE)
 		return CW_ATTEMPT_UNSENT;
-	if (job->foreign || status == CW_FULL || status == CW_CLOSED)
-		return job->upstream_status >= 400 ? judge_refusal(job->upstream_status)
+	if (job->has_foreign_id || status == CW_FULL || status == CW_CLOSED)
+		return job->upstream_status >= 400 ? classify_error_status(job->upstream_status)
 						   : CW_ATTEMPT_FAILED;
 	if (job->upstream_status >= 400)
-		return judge_refusal(job->upstream_status);
+		return classify_error_status(job->upstream_status);
 	return CW_ATTEMPT_BROKEN;
 }
 
-static enum cw_attempt_result judge_whole(struct job *job, enum cw_status status,
-					  unsigned int *prompt, unsigned int *completion,
-					  char **text)
+static enum cw_attempt_result parse_completion(struct job *job, enum cw_status status,
+					       unsigned int *prompt, unsigned int *completion,
+					       char **text)
 {
-	if (cw_answer_parse_whole(job->whole.body ? job->whole.body : "", job->whole.size, prompt,
-				  completion, text) != CW_OK)
+	if (cw_answer_parse_whole(job->upstream_answer.body ? job->upstream_answer.body : "",
+				  job->upstream_answer.size, prompt, completion, text) != CW_OK)
 		return CW_ATTEMPT_FAILED;
 	return CW_ATTEMPT_ANSWERED;
 }
 
-static enum cw_attempt_result judge_service(const struct job *job, enum cw_status status)
+static enum cw_attempt_result classify_response(const struct job *job, enum cw_status status)
 {
 	if (status == CW_UNREACHABLE)
 		return CW_ATTEMPT_UNSENT;
-	if (status == CW_FULL || job->foreign)
+	if (status == CW_FULL || job->has_foreign_id)
 		return CW_ATTEMPT_FAILED;
 	if (status == CW_CLOSED)
 		return CW_ATTEMPT_CANCELLED;
 	if (status != CW_OK)
 		return CW_ATTEMPT_BROKEN;
-	return job->whole.status < 400 ? CW_ATTEMPT_ANSWERED : judge_refusal(job->whole.status);
+	return job->upstream_answer.status < 400
+		       ? CW_ATTEMPT_ANSWERED
+		       : classify_error_status(job->upstream_answer.status);
 }
 
-/* 429 and 503 may be better elsewhere, and so may an engine that has not loaded the version (404).
- */
-static enum cw_attempt_result judge_refusal(int status)
+/* Another server may have room on 429 and 503, or work on 408 and 5xx. Other 4xx statuses, also the
+ * 404 of an engine that has not loaded the version, are passed on to the caller. */
+static enum cw_attempt_result classify_error_status(int status)
 {
 	if (status == 429 || status == 503)
 		return CW_ATTEMPT_BUSY;
 	return status >= 500 || status == 408 ? CW_ATTEMPT_FAILED : CW_ATTEMPT_PASSED;
 }
 
-/* The caller's body, unchanged but for the model; a continuation adds the text already shown. */
-static char *engine_body(struct job *job, const struct cw_effect *effect)
+/* The caller's body with the dispatched model; a continuation adds the text already shown. */
+static char *build_engine_body(struct job *job, const struct cw_effect *effect)
 {
 	char *target = g_strdup_printf("%s/%s", effect->dispatch.model, effect->dispatch.version);
 	struct json_object *messages;
-	struct json_object *said;
+	struct json_object *partial;
 	size_t count = 0;
 	char *body;
 
@@ -235,11 +238,11 @@
 	json_object_object_get_ex(job->in.completion, "messages", &messages);
 	if (effect->dispatch.mode == CW_DISPATCH_CONTINUE) {
 		count = json_object_array_length(messages);
-		said = json_object_new_object();
-		json_object_object_add(said, "role", json_object_new_string("assistant"));
-		json_object_object_add(said, "content",
+		partial = json_object_new_object();
+		json_object_object_add(partial, "role", json_object_new_string("assistant"));
+		json_object_object_add(partial, "content",
 				       json_object_new_string(cw_answer_text(job->answer)));
-		json_object_array_add(messages, said);
+		json_object_array_add(messages, partial);
 		json_object_object_add(job->in.completion, "continue_final_message",
 				       json_object_new_boolean(1));
 	}
@@ -253,15 +256,15 @@
 	return body;
 }
 
-/* Nobody reads it any more: the engine's slot is better used by another request. */
+/* Frees the engine's slot for another request once the caller has left. */
 static void cancel_upstream(struct job *job, const struct cw_effect *effect)
 {
 	char *path;
 	struct cw_http_call call = {
 		.method = "DELETE",
 		.address = effect->dispatch.address,
-		.connect_ms = CANCEL_MS,
-		.total_ms = CANCEL_MS,
+		.connect_ms = CANCEL_TIMEOUT_MS,
+		.total_ms = CANCEL_TIMEOUT_MS,
 		.max_size = CW_RECORD_MAX,
 	};
 	struct cw_http_answer answer;
@@ -276,8 +279,8 @@
 }
 
 /*
- * Answers may come late or crossed on a kept connection. One that carries another request's id is
- * somebody else's: showing it would be a wrong statement.
+ * Answers may arrive late or swapped on a keep-alive connection. An answer with another request's
+ * id must not be shown: it belongs to another caller.
  */
 static int on_head(void *context, int status, const char *request_id, const char *content_type)
 {
@@ -286,8 +289,8 @@
 	job->upstream_status = status;
 	if (status < 400 && (!job_is_service(job) || *request_id) &&
 	    strcmp(request_id, job->in.request.request_id) != 0)
-		job->foreign = 1;
-	if (job->foreign)
+		job->has_foreign_id = 1;
+	if (job->has_foreign_id)
 		return 1;
 	return job_is_stream(job) && status != 200 && status < 400;
 }
@@ -298,35 +301,36 @@
 	enum cw_answer_state state;
 
 	if (job->upstream_status != 200) {
-		/* A refusal's body, kept short: it may be passed on. */
+		/* The body of an error status, truncated: it may be passed on to the caller. */
 		if (!job->out.body)
 			job->out.body = g_strndup(data, MIN(size, CW_RECORD_MAX));
 		return 0;
 	}
-	state = cw_answer_feed(job->answer, data, size, show, job);
-	job->done = state == CW_ANSWER_DONE;
-	return state != CW_ANSWER_MORE || caller_left(job);
+	state = cw_answer_feed(job->answer, data, size, forward_event, job);
+	job->is_complete = state == CW_ANSWER_DONE;
+	return state != CW_ANSWER_MORE || has_caller_left(job);
 }
 
 static int is_cancelled(void *context)
 {
-	return caller_left(context);
+	return has_caller_left(context);
 }
 
 /*
- * A caller has left when its listener shut the stream, or when job_show() could not hand it an
- * event. What stops a call and what judges it ask the same question: a call stopped for the caller
- * but judged as broken would be tried on two more engines, and none of the three would be told.
+ * A caller has left when the HTTP server closed the stream's ring, when job_send_chunk() could not
+ * deliver a chunk, or when the core refused the request. The code that stops a call and the code
+ * that classifies its result use this same predicate: a call stopped for the caller but classified
+ * as broken would be retried on two more engines, and none of the three would get the cancellation.
  */
-static int caller_left(const struct job *job)
+static int has_caller_left(const struct job *job)
 {
-	if (__atomic_load_n(&job->caller_gone, __ATOMIC_ACQUIRE) ||
-	    __atomic_load_n(&job->given_up, __ATOMIC_ACQUIRE))
+	if (__atomic_load_n(&job->is_caller_unreachable, __ATOMIC_ACQUIRE) ||
+	    __atomic_load_n(&job->is_refused, __ATOMIC_ACQUIRE))
 		return 1;
-	return job_is_stream(job) && job->head_told && cw_ring_is_shut(job->stream);
+	return job_is_stream(job) && job->is_head_sent && cw_ring_is_shut(job->stream);
 }
 
-static void show(void *context, const char *event, size_t size)
+static void forward_event(void *context, const char *event, size_t size)
 {
-	job_show(context, event, size);
+	job_send_chunk(context, event, size);
 }
--- a/apps/corianderwalk/main.c
+++ b/apps/corianderwalk/main.c
@@ -1,4 +1,4 @@
-/* corianderwalk: the entry instance. */
+/* corianderwalk: the command line and the process of an instance. */
 #include "daemon.h"
 #include "entry.h"
 #include "cw_http_client.h"
@@ -10,40 +10,43 @@
 #include <string.h>
 #include <unistd.h>
 
-#define METRICS_PORT  9464
-#define EXIT_USAGE    2
-#define EXIT_LISTEN   3
-#define OPERATOR_BODY 4096
-#define POLL_US	      20000
-#define DRAIN_MS      2000 /* after the last answer, for connections to close */
-#define GUARD_MS      250  /* between the last request and the end, for one that is just arriving */
+#define METRICS_PORT_DEFAULT 9464
+#define EXIT_USAGE	     2
+#define EXIT_LISTEN	     3
+#define OPERATOR_BODY_MAX    4096
+#define POLL_US		     20000
+#define CLOSE_TIMEOUT_MS     2000 /* for connections to close after the last answer */
+#define LATE_REQUEST_WAIT_MS 250  /* for a request that arrives just as the last one ends */
 
-/* Any thread may be the one that takes the signal. */
-static int stop_asked;
+/* Atomic: the signal may be delivered to any thread. */
+static int is_stop_requested;
 
 static void on_signal(int number);
 static int run_on_platform(const char *policy_file, int metrics_port);
 static int load_policy(const char *file, struct cw_policy *policy);
 static int print_policy(const char *file);
-static int check_settings(const char *file, int only_check, struct cw_settings **settings);
+static int check_settings(const char *file, int is_check_only, struct cw_settings **settings);
 static void fill_config(const struct cw_settings *settings, struct cw_node_config *config,
 			struct cw_node_peer *peers, struct cw_node_server *servers);
 static int start_listeners(struct daemon *daemon);
 static void wait_for_stop(struct daemon *daemon);
-static void drain(struct daemon *daemon);
-static void on_peer(void *context, const void *data, size_t size);
-static int run(const struct cw_settings *settings);
+static void drain_requests(struct daemon *daemon);
+static void on_peer_message(void *context, const void *data, size_t size);
+static int run_daemon(const struct cw_settings *settings);
 
 int main(int argc, char **argv)
 {
 	struct arg_file *file =
 		arg_file0(NULL, "settings", "FILE", "the settings of this instance");
 	struct arg_lit *platform = arg_lit0(
-		NULL, "platform", "run on the users' platform, with the settings it names");
-	struct arg_int *metrics = arg_int0(NULL, "metrics-port", "PORT",
-					   "with --platform: counters are served there (9464)");
-	struct arg_file *policy = arg_file0(
-		NULL, "policy", "FILE", "with --platform: what differs from the default policy");
+		NULL, "platform",
+		"run on the users' platform, with the settings file named by the environment");
+	struct arg_int *metrics =
+		arg_int0(NULL, "metrics-port", "PORT",
+			 "with --platform: port that serves the metrics (default 9464)");
+	struct arg_file *policy =
+		arg_file0(NULL, "policy", "FILE",
+			  "with --platform: values that differ from the default policy");
 	struct arg_lit *print =
 		arg_lit0(NULL, "print-policy", "print the policy, with units and bounds, and exit");
 	struct arg_lit *check = arg_lit0(NULL, "check", "check the settings and exit");
@@ -55,8 +58,8 @@
 	int errors;
 	int code = 0;
 
-	/* A reload asked for while the process starts must not end it, as the signal does untaken.
-	 */
+	/* SIGHUP asks for a reload; its default action would terminate the process while it
+	 * starts. */
 	signal(SIGHUP, SIG_IGN);
 	errors = arg_parse(argc, argv, table);
 
@@ -71,7 +74,7 @@
 		code = print_policy(policy->count ? policy->filename[0] : NULL);
 	} else if (!errors && platform->count) {
 		code = run_on_platform(policy->count ? policy->filename[0] : NULL,
-				       metrics->count ? metrics->ival[0] : METRICS_PORT);
+				       metrics->count ? metrics->ival[0] : METRICS_PORT_DEFAULT);
 	} else if (errors || !file->count) {
 		arg_print_errors(stderr, end, "corianderwalk");
 		fprintf(stderr, "corianderwalk: --settings FILE is needed; --help tells more\n");
@@ -79,7 +82,7 @@
 	} else {
 		code = check_settings(file->filename[0], check->count, &settings);
 		if (settings && !check->count)
-			code = run(settings);
+			code = run_daemon(settings);
 		cw_settings_destroy(settings);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
@@ -99,7 +102,7 @@
 	return EXIT_USAGE;
 }
 
-/* NULL: the default. All faults of the file are named at once. */
+/* Without a file the default policy is used. All faults of the file are printed together. */
 static int load_policy(const char *file, struct cw_policy *policy)
 {
 	GString *faults;
@@ -127,7 +130,7 @@
 	return 0;
 }
 
-static int check_settings(const char *file, int only_check, struct cw_settings **settings)
+static int check_settings(const char *file, int is_check_only, struct cw_settings **settings)
 {
 	char *faults;
 
@@ -137,12 +140,12 @@
 		g_free(faults);
 		return EXIT_USAGE;
 	}
-	if (only_check)
+	if (is_check_only)
 		printf("%s: ok\n", file);
 	return 0;
 }
 
-static int run(const struct cw_settings *settings)
+static int run_daemon(const struct cw_settings *settings)
 {
 	struct daemon daemon = {.settings = settings};
 	struct cw_node_config config = {0};
@@ -161,7 +164,7 @@
 		cw_event("node", "started", "failure_domain=%s version=%s",
 			 settings->failure_domain, CW_VERSION);
 		wait_for_stop(&daemon);
-		drain(&daemon);
+		drain_requests(&daemon);
 	} else {
 		code = EXIT_LISTEN;
 	}
@@ -180,7 +183,7 @@
 
 static void on_signal(int number)
 {
-	__atomic_store_n(&stop_asked, 1, __ATOMIC_RELEASE);
+	__atomic_store_n(&is_stop_requested, 1, __ATOMIC_RELEASE);
 }
 
 static void fill_config(const struct cw_settings *settings, struct cw_node_config *config,
@@ -240,19 +243,19 @@
 		.idle_s = (unsigned int)settings->idle_s,
 		.tls_cert = *settings->tls_cert ? settings->tls_cert : NULL,
 		.tls_key = *settings->tls_cert ? settings->tls_key : NULL,
-		.handle = callers_handle,
+		.handle = callers_handle_request,
 		.context = daemon,
 	};
 	struct cw_http_server_options operators = {
 		.address = settings->operator_listen,
-		.max_body = OPERATOR_BODY,
+		.max_body = OPERATOR_BODY_MAX,
 		.idle_s = (unsigned int)settings->idle_s,
-		.handle = operators_handle,
+		.handle = operators_handle_request,
 		.context = daemon,
 	};
 	struct cw_error error = {0};
 
-	daemon->peers = cw_peer_serve(settings->peer_listen, on_peer, daemon, &error);
+	daemon->peers = cw_peer_serve(settings->peer_listen, on_peer_message, daemon, &error);
 	if (daemon->peers)
 		daemon->operators = cw_http_server_create(&operators, &error);
 	if (daemon->operators)
@@ -265,35 +268,36 @@
 
 static void wait_for_stop(struct daemon *daemon)
 {
-	while (!__atomic_load_n(&stop_asked, __ATOMIC_ACQUIRE))
+	while (!__atomic_load_n(&is_stop_requested, __ATOMIC_ACQUIRE))
 		usleep(POLL_US);
 	core_post(daemon, message_create(CW_EVENT_STOP));
 }
 
 /*
- * A planned stop cuts nothing off: the node says when its last request and bill are done. A request
- * that arrives on a kept connection at that very moment is still answered ("leaving"), so the
- * listener closes first and the connections get a moment to end.
+ * A planned stop breaks no request: the node reports when its last request and bill are done. A
+ * request that arrives on a keep-alive connection at that moment is still answered (with the code
+ * "leaving"), so the listener closes first and the connections get time to end.
  */
-static void drain(struct daemon *daemon)
+static void drain_requests(struct daemon *daemon)
 {
-	int64_t limit_us = g_get_monotonic_time() + daemon->settings->stop_limit_ms * 1000;
-	int64_t quiet_us;
+	int64_t stop_limit_us = g_get_monotonic_time() + daemon->settings->stop_limit_ms * 1000;
+	int64_t close_limit_us;
 
-	while (!__atomic_load_n(&daemon->stopped, __ATOMIC_ACQUIRE) &&
-	       g_get_monotonic_time() < limit_us)
+	while (!__atomic_load_n(&daemon->is_stopped, __ATOMIC_ACQUIRE) &&
+	       g_get_monotonic_time() < stop_limit_us)
 		usleep(POLL_US);
 	cw_http_server_quiet(daemon->callers);
-	quiet_us = g_get_monotonic_time() + DRAIN_MS * 1000;
-	while (cw_http_server_connections(daemon->callers) > 0 && g_get_monotonic_time() < quiet_us)
+	close_limit_us = g_get_monotonic_time() + CLOSE_TIMEOUT_MS * 1000;
+	while (cw_http_server_connections(daemon->callers) > 0 &&
+	       g_get_monotonic_time() < close_limit_us)
 		usleep(POLL_US);
-	usleep(GUARD_MS * 1000);
+	usleep(LATE_REQUEST_WAIT_MS * 1000);
 	while (__atomic_load_n(&daemon->jobs_running, __ATOMIC_RELAXED) > 0 &&
-	       g_get_monotonic_time() < limit_us)
+	       g_get_monotonic_time() < stop_limit_us)
 		usleep(POLL_US);
 }
 
-static void on_peer(void *context, const void *data, size_t size)
+static void on_peer_message(void *context, const void *data, size_t size)
 {
 	struct daemon *daemon = context;
 	struct message *message = message_create(CW_EVENT_PEER);
@@ -302,7 +306,8 @@
 	memcpy(message->text, data, size);
 	message->event.peer.data = message->text;
 	message->event.peer.size = size;
-	/* A core that is behind drops messages rather than hold every peer up: they come again. */
+	/* When the core's ring is full the message is dropped rather than block all peers: peers
+	 * send their messages again. */
 	if (core_try_post(daemon, message) != CW_OK)
 		message_destroy(message);
 }
--- a/apps/corianderwalk/operators.c
+++ b/apps/corianderwalk/operators.c
@@ -1,4 +1,4 @@
-/* What operators and the balancer ask: health, counters, events, status. */
+/* The operators' HTTP interface: health checks, counters, events, status, quarantine. */
 #include "daemon.h"
 #include "job.h"
 #include "cw_counters.h"
@@ -6,20 +6,20 @@
 
 #include <string.h>
 
-#define QUARANTINE "/quarantine/" /* before a fingerprint: DELETE takes it off the list */
+#define QUARANTINE_PREFIX "/quarantine/" /* then a fingerprint: DELETE releases the request */
 
-static void gauges(struct daemon *daemon);
+static void update_gauges(struct daemon *daemon);
 
-void operators_handle(void *context, const struct cw_http_in *in, struct cw_http_out *out)
+void operators_handle_request(void *context, const struct cw_http_in *in, struct cw_http_out *out)
 {
 	struct daemon *daemon = context;
 	const char *after;
 	int status;
 
-	if (operators_health(daemon, in->path, out))
+	if (operators_handle_health(daemon, in->path, out))
 		return;
 	if (!strcmp(in->path, "/counters")) {
-		gauges(daemon);
+		update_gauges(daemon);
 		out->status = 200;
 		out->body = cw_counters_text();
 		out->body_size = strlen(out->body);
@@ -38,19 +38,19 @@
 	} else if (!strcmp(in->path, "/quarantine")) {
 		out->body = job_query(daemon, CW_QUERY_QUARANTINE, NULL, &status);
 		cw_http_out_json(out, status, out->body);
-	} else if (g_str_has_prefix(in->path, QUARANTINE) && !strcmp(in->method, "DELETE")) {
-		out->body =
-			job_query(daemon, CW_QUERY_RELEASE, in->path + strlen(QUARANTINE), &status);
+	} else if (g_str_has_prefix(in->path, QUARANTINE_PREFIX) && !strcmp(in->method, "DELETE")) {
+		out->body = job_query(daemon, CW_QUERY_RELEASE,
+				      in->path + strlen(QUARANTINE_PREFIX), &status);
 		cw_http_out_json(out, status, out->body);
 	} else {
-		callers_refusal(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0, "no such path");
+		callers_write_error(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0, "no such path");
 		out->status = 404;
 	}
 }
 
-int operators_health(struct daemon *daemon, const char *path, struct cw_http_out *out)
+int operators_handle_health(struct daemon *daemon, const char *path, struct cw_http_out *out)
 {
-	int ready = __atomic_load_n(&daemon->ready, __ATOMIC_ACQUIRE);
+	int ready = __atomic_load_n(&daemon->is_ready, __ATOMIC_ACQUIRE);
 
 	if (!strcmp(path, "/live"))
 		cw_http_out_json(out, 200, g_strdup("{\"live\":true}"));
@@ -62,10 +62,10 @@
 	return 1;
 }
 
-static void gauges(struct daemon *daemon)
+static void update_gauges(struct daemon *daemon)
 {
 	cw_gauge("requests_running", "",
 		 (uint64_t)__atomic_load_n(&daemon->jobs_running, __ATOMIC_RELAXED));
 	cw_gauge("core_ring_length", "", cw_ring_length(daemon->core_ring));
-	cw_gauge("ready", "", (uint64_t)__atomic_load_n(&daemon->ready, __ATOMIC_ACQUIRE));
+	cw_gauge("ready", "", (uint64_t)__atomic_load_n(&daemon->is_ready, __ATOMIC_ACQUIRE));
 }
