--- a/apps/cwctl/log.c
+++ b/apps/cwctl/log.c
@@ -1,4 +1,4 @@
-/* The platform's log as an operator sees it. */
+/* Reading the platform's log, and appending edits of the table to it. */
 #include "cwctl.h"
 #include "cw_platform.h"
 
@@ -6,44 +6,44 @@
 #include <stdio.h>
 #include <string.h>
 
-#define READ_MAX     256
-#define APPEND_TRIES 5
-#define WAIT_MS	     300
+#define READ_RECORDS_MAX    256
+#define APPEND_ATTEMPTS_MAX 5
+#define RETRY_DELAY_MS	    300
 
 struct edit_search {
 	struct cw_table *table;
 	const char *edit_id;
 	uint64_t offset;
-	enum cw_fold fold;
+	enum cw_fold result;
 	struct cw_error error;
-	uint64_t next;	  /* offset the table folds next; 0: looking for a snapshot */
-	uint64_t restart; /* to fold on from, behind a snapshot; 0 none */
+	uint64_t next_offset;	/* of the record to apply next; 0: looking for a snapshot */
+	uint64_t resume_offset; /* first offset behind a snapshot that was found; 0: none */
 };
 
-static void fold_record(void *context, uint64_t offset, const char *data);
-static enum cw_status search(const char *platform, struct edit_search *search,
-			     struct cw_error *error);
+static void apply_record(void *context, uint64_t offset, const char *data);
+static enum cw_status search_table_log(const char *platform, struct edit_search *search,
+				       struct cw_error *error);
 
-enum cw_status log_walk(const char *platform, const char *stream, uint64_t from,
-			const struct log_visit *visit, struct cw_error *error)
+enum cw_status log_read_all(const char *platform, const char *stream, uint64_t from,
+			    const struct log_visitor *visitor, struct cw_error *error)
 {
-	uint64_t next = from;
+	uint64_t next_offset = from;
 
 	for (;;) {
 		struct cw_platform_read read;
-		enum cw_status status =
-			cw_log_http.read(platform, stream, next, READ_MAX, 0, &read, error);
+		enum cw_status status = cw_log_http.read(platform, stream, next_offset,
+							 READ_RECORDS_MAX, 0, &read, error);
 		size_t count = read.count;
 
-		if (status == CW_EXPIRED && read.first > next) {
-			next = read.first;
+		if (status == CW_EXPIRED && read.first > next_offset) {
+			next_offset = read.first;
 			continue;
 		}
 		if (status != CW_OK)
 			return status;
 		for (size_t i = 0; i < count; i++) {
-			visit->record(visit->context, read.list[i].offset, read.list[i].data);
-			next = read.list[i].offset + 1;
+			visitor->record(visitor->context, read.list[i].offset, read.list[i].data);
+			next_offset = read.list[i].offset + 1;
 		}
 		cw_platform_read_clear(&read);
 		if (count == 0)
@@ -51,93 +51,93 @@
 	}
 }
 
-struct cw_table *log_table(const char *platform, struct cw_error *error)
+struct cw_table *log_replay_table(const char *platform, struct cw_error *error)
 {
-	struct edit_search all = {.table = cw_table_create(), .edit_id = "", .next = 1};
+	struct edit_search scan = {.table = cw_table_create(), .edit_id = "", .next_offset = 1};
 
-	if (search(platform, &all, error) == CW_OK)
-		return all.table;
-	cw_table_destroy(all.table);
+	if (search_table_log(platform, &scan, error) == CW_OK)
+		return scan.table;
+	cw_table_destroy(scan.table);
 	return NULL;
 }
 
 /*
- * An append's answer may be lost after the record was kept. So the record is looked for before it
- * is sent again, and it carries one id, which the fold applies once.
+ * The answer to an append may be lost after the log stored the record. So the log is searched for
+ * the record before a retry; all retries carry the same id, and the replay applies an id once.
  */
-enum exit_code log_append_edit(const char *platform, const char *record, const char *edit_id,
-			       uint64_t *offset)
+enum exit_code log_append_confirmed(const char *platform, const char *record, const char *edit_id,
+				    uint64_t *offset)
 {
 	struct cw_error error = {0};
 	enum cw_status status = CW_UNREACHABLE;
 
-	for (int try = 0; try < APPEND_TRIES; try++) {
-		struct edit_search own = {
-			.table = cw_table_create(), .edit_id = edit_id, .next = 1};
+	for (int try = 0; try < APPEND_ATTEMPTS_MAX; try++) {
+		struct edit_search scan = {
+			.table = cw_table_create(), .edit_id = edit_id, .next_offset = 1};
 		uint64_t appended = 0;
 
 		if (status != CW_OK)
 			status = cw_log_http.append(platform, "table", record, &appended, &error);
-		search(platform, &own, &error);
-		cw_table_destroy(own.table);
-		if (own.offset) {
-			*offset = own.offset;
-			if (own.fold == CW_FOLD_APPLIED || own.fold == CW_FOLD_DUPLICATE)
+		search_table_log(platform, &scan, &error);
+		cw_table_destroy(scan.table);
+		if (scan.offset) {
+			*offset = scan.offset;
+			if (scan.result == CW_FOLD_APPLIED || scan.result == CW_FOLD_DUPLICATE)
 				return EXIT_DONE;
 			fprintf(stderr, "cwctl: refused at offset %" G_GUINT64_FORMAT ": %s\n",
-				own.offset, own.error.message);
+				scan.offset, scan.error.message);
 			return EXIT_REFUSED;
 		}
-		g_usleep(WAIT_MS * 1000);
+		g_usleep(RETRY_DELAY_MS * 1000);
 	}
-	return fail(&error);
+	return report_error(&error);
 }
 
-enum exit_code fail(const struct cw_error *error)
+enum exit_code report_error(const struct cw_error *error)
 {
 	fprintf(stderr, "cwctl: %s: %s: %s (%s)\n", error->step, error->peer, error->message,
 		cw_status_name(error->status));
 	return error->status == CW_INVALID ? EXIT_REFUSED : EXIT_UNREACHABLE;
 }
 
-/* Where the first records have expired a snapshot is looked for first, and folded on from its
- * offset. */
-static enum cw_status search(const char *platform, struct edit_search *found,
-			     struct cw_error *error)
+/* When the log's first records have expired, the first pass finds a snapshot and the second pass
+ * applies the records behind the snapshot's offset. */
+static enum cw_status search_table_log(const char *platform, struct edit_search *search,
+				       struct cw_error *error)
 {
-	struct log_visit visit = {fold_record, found};
-	enum cw_status status = log_walk(platform, "table", 1, &visit, error);
+	struct log_visitor visitor = {apply_record, search};
+	enum cw_status status = log_read_all(platform, "table", 1, &visitor, error);
 
-	if (status != CW_OK || !found->restart)
+	if (status != CW_OK || !search->resume_offset)
 		return status;
-	found->next = found->restart;
-	found->restart = 0;
-	return log_walk(platform, "table", found->next, &visit, error);
+	search->next_offset = search->resume_offset;
+	search->resume_offset = 0;
+	return log_read_all(platform, "table", search->next_offset, &visitor, error);
 }
 
-static void fold_record(void *context, uint64_t offset, const char *data)
+static void apply_record(void *context, uint64_t offset, const char *data)
 {
-	struct edit_search *found = context;
+	struct edit_search *search = context;
 	struct json_object *parsed;
 	struct json_object *id;
-	enum cw_fold fold = CW_FOLD_SNAPSHOT;
+	enum cw_fold result = CW_FOLD_SNAPSHOT;
 
-	if (offset != found->next) {
-		if (cw_table_load(found->table, data, NULL) == CW_OK) {
-			found->restart = cw_table_offset(found->table) + 1;
-			found->next = 0;
+	if (offset != search->next_offset) {
+		if (cw_table_load(search->table, data, NULL) == CW_OK) {
+			search->resume_offset = cw_table_offset(search->table) + 1;
+			search->next_offset = 0;
 		}
 		return;
 	}
-	found->next = offset + 1;
-	cw_table_fold(found->table, offset, data, &fold, &found->error);
+	search->next_offset = offset + 1;
+	cw_table_fold(search->table, offset, data, &result, &search->error);
 	parsed = json_tokener_parse(data);
-	if (*found->edit_id && !found->offset &&
+	if (*search->edit_id && !search->offset &&
 	    (json_object_object_get_ex(parsed, "edit", &id) ||
 	     json_object_object_get_ex(parsed, "key_sha256", &id)) &&
-	    !strcmp(json_object_get_string(id), found->edit_id)) {
-		found->offset = offset;
-		found->fold = fold;
+	    !strcmp(json_object_get_string(id), search->edit_id)) {
+		search->offset = offset;
+		search->result = result;
 	}
 	json_object_put(parsed);
 }
--- a/apps/cwctl/main.c
+++ b/apps/cwctl/main.c
@@ -7,26 +7,26 @@
 #include <stdio.h>
 #include <string.h>
 
-#define WORDS_MAX 8
+#define POSITIONALS_MAX 8
 
 struct command {
 	const char *name;
-	const char *second; /* NULL: the command has one word */
+	const char *subcommand; /* NULL: the command has none */
 	const char *usage;
 	int needs_platform;
 	int needs_operators;
 	enum exit_code (*run)(const struct options *options);
 };
 
-static enum exit_code check_file(const struct options *options);
+static enum exit_code check_settings_file(const struct options *options);
 static enum exit_code describe_settings(const struct options *options);
-static const struct command *find_command(char **words, size_t *used);
+static const struct command *find_command(char **arguments, size_t *consumed);
 static int run_command(const struct command *command, const struct options *options);
 static int read_settings(const char *file, struct options *options, struct cw_settings **settings);
 static void print_help(void **table);
 
 static const struct command commands[] = {
-	{"check", NULL, "check FILE", 0, 0, check_file},
+	{"check", NULL, "check FILE", 0, 0, check_settings_file},
 	{"settings", NULL, "settings", 0, 0, describe_settings},
 	{"table", "publish", "table publish FILE.csv", 1, 0, table_publish},
 	{"table", "set", "table set ORGANISATION MODEL VERSION COLUMN VALUE [--if-revision N]", 1,
@@ -46,8 +46,8 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_str *words =
-		arg_strn(NULL, NULL, "COMMAND", 0, WORDS_MAX, "the command and its words");
+	struct arg_str *arguments =
+		arg_strn(NULL, NULL, "COMMAND", 0, POSITIONALS_MAX, "the command and its words");
 	struct arg_str *platform = arg_str0(NULL, "platform", "IP:PORT", "the platform");
 	struct arg_str *operators =
 		arg_str0(NULL, "operators", "IP:PORT,...", "operator addresses of the instances");
@@ -63,20 +63,20 @@
 	struct arg_lit *version = arg_lit0(NULL, "version", "print the version and exit");
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help and exit");
 	struct arg_end *end = arg_end(20);
-	void *table[] = {words,	      platform, operators, file,    request, organisation,
+	void *table[] = {arguments,   platform, operators, file,    request, organisation,
 			 if_revision, csv,	json,	   version, help,    end};
 	struct options options = {0};
 	struct cw_settings *settings = NULL;
 	const struct command *command;
-	char *list[WORDS_MAX + 1] = {0};
-	size_t used = 0;
+	char *list[POSITIONALS_MAX + 1] = {0};
+	size_t consumed = 0;
 	int code = EXIT_DONE;
 	int errors = arg_parse(argc, argv, table);
 
-	for (int i = 0; i < words->count; i++)
-		list[i] = (char *)words->sval[i];
-	command = find_command(list, &used);
-	options.words = list + used;
+	for (int i = 0; i < arguments->count; i++)
+		list[i] = (char *)arguments->sval[i];
+	command = find_command(list, &consumed);
+	options.arguments = list + consumed;
 	options.json = json->count;
 	options.csv = csv->count;
 	options.request = request->count ? request->sval[0] : NULL;
@@ -90,9 +90,9 @@
 	} else if (errors || !command) {
 		arg_print_errors(stderr, end, "cwctl");
 		fprintf(stderr, "cwctl: no such command; --help lists them\n");
-		code = EXIT_WRONG_USE;
+		code = EXIT_USAGE;
 	} else if (file->count && read_settings(file->filename[0], &options, &settings)) {
-		code = EXIT_WRONG_USE;
+		code = EXIT_USAGE;
 	} else {
 		if (platform->count)
 			options.platform = platform->sval[0];
@@ -112,7 +112,7 @@
 	    (command->needs_operators && !options->operators[0])) {
 		fprintf(stderr, "cwctl: %s needs --%s or --settings\n", command->usage,
 			command->needs_platform ? "platform" : "operators");
-		return EXIT_WRONG_USE;
+		return EXIT_USAGE;
 	}
 	cw_http_open();
 	code = (int)command->run(options);
@@ -120,24 +120,24 @@
 	return code;
 }
 
-static enum exit_code check_file(const struct options *options)
+static enum exit_code check_settings_file(const struct options *options)
 {
 	struct cw_settings *settings;
 	char *faults;
 
-	if (!options->words[0]) {
+	if (!options->arguments[0]) {
 		fprintf(stderr, "cwctl: check FILE\n");
-		return EXIT_WRONG_USE;
+		return EXIT_USAGE;
 	}
-	settings = cw_settings_load(options->words[0], &faults);
+	settings = cw_settings_load(options->arguments[0], &faults);
 	if (settings) {
-		printf("%s: ok\n", options->words[0]);
+		printf("%s: ok\n", options->arguments[0]);
 		cw_settings_destroy(settings);
 		return EXIT_DONE;
 	}
 	fprintf(stderr, "%s", faults);
 	g_free(faults);
-	return EXIT_WRONG_USE;
+	return EXIT_USAGE;
 }
 
 static enum exit_code describe_settings(const struct options *options)
@@ -149,14 +149,15 @@
 	return EXIT_DONE;
 }
 
-static const struct command *find_command(char **words, size_t *used)
+static const struct command *find_command(char **arguments, size_t *consumed)
 {
-	for (size_t i = 0; words[0] && i < G_N_ELEMENTS(commands); i++) {
-		if (strcmp(commands[i].name, words[0]) != 0)
+	for (size_t i = 0; arguments[0] && i < G_N_ELEMENTS(commands); i++) {
+		if (strcmp(commands[i].name, arguments[0]) != 0)
 			continue;
-		if (commands[i].second && (!words[1] || strcmp(commands[i].second, words[1]) != 0))
+		if (commands[i].subcommand &&
+		    (!arguments[1] || strcmp(commands[i].subcommand, arguments[1]) != 0))
 			continue;
-		*used = commands[i].second ? 2 : 1;
+		*consumed = commands[i].subcommand ? 2 : 1;
 		return &commands[i];
 	}
 	return NULL;
--- a/apps/cwctl/print.c
+++ b/apps/cwctl/print.c
@@ -17,11 +17,11 @@
 	grid->columns = columns;
 	grid->widths = g_new0(size_t, columns);
 	grid->cells = g_ptr_array_new_with_free_func(g_free);
-	grid_row(grid, titles);
+	grid_add_row(grid, titles);
 	return grid;
 }
 
-void grid_row(struct grid *grid, const char *const *cells)
+void grid_add_row(struct grid *grid, const char *const *cells)
 {
 	for (size_t i = 0; i < grid->columns; i++) {
 		g_ptr_array_add(grid->cells, g_strdup(cells[i]));
@@ -50,7 +50,7 @@
 	g_free(grid);
 }
 
-void print_json(struct json_object *object)
+void print_json_line(struct json_object *object)
 {
 	printf("%s\n", json_object_to_json_string_ext(
 			       object, JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE));
--- a/apps/cwctl/quarantine.c
+++ b/apps/cwctl/quarantine.c
@@ -1,12 +1,13 @@
-/* cwctl quarantine: requests that are sent nowhere, since backend servers ended under them. */
+/* cwctl quarantine: requests that are not dispatched, since backend servers crashed while running
+ * them. */
 #include "cwctl.h"
 
 #include <glib.h>
 #include <stdio.h>
 
-#define PATH "/quarantine"
+#define QUARANTINE_PATH "/quarantine"
 
-/* Every instance has the whole list: the first that is reached tells it. */
+/* Every instance has the whole list: the first one that answers is used. */
 enum exit_code show_quarantine(const struct options *options)
 {
 	static const char *const titles[] = {"fingerprint", "organisation", "target", "ends",
@@ -17,7 +18,7 @@
 	int status;
 
 	for (size_t i = 0; options->operators[i] && !answer; i++) {
-		char *body = operator_call(options->operators[i], "GET", PATH, &status);
+		char *body = operator_call(options->operators[i], "GET", QUARANTINE_PATH, &status);
 
 		if (body && status == 200)
 			answer = json_tokener_parse(body);
@@ -33,13 +34,14 @@
 		struct json_object *item = json_object_array_get_idx(list, i);
 
 		if (options->json)
-			print_json(json_object_get(item));
+			print_json_line(json_object_get(item));
 		else
-			grid_row(grid, (const char *const[]){text_of(item, "fingerprint"),
-							     text_of(item, "organisation"),
-							     text_of(item, "target"),
-							     text_of(item, "ends"),
-							     text_of(item, "age_ms")});
+			grid_add_row(grid,
+				     (const char *const[]){json_member_text(item, "fingerprint"),
+							   json_member_text(item, "organisation"),
+							   json_member_text(item, "target"),
+							   json_member_text(item, "ends"),
+							   json_member_text(item, "age_ms")});
 	}
 	if (grid)
 		grid_print(grid);
@@ -47,18 +49,18 @@
 	return EXIT_DONE;
 }
 
-/* One instance is told, and tells the others. */
+/* One instance gets the order and announces the release to the others. */
 enum exit_code release_quarantined(const struct options *options)
 {
 	char *path;
 	int status = 0;
 	char *body = NULL;
 
-	if (!options->words[0]) {
+	if (!options->arguments[0]) {
 		fprintf(stderr, "cwctl: which fingerprint? quarantine list shows them\n");
-		return EXIT_WRONG_USE;
+		return EXIT_USAGE;
 	}
-	path = g_strdup_printf(PATH "/%s", options->words[0]);
+	path = g_strdup_printf(QUARANTINE_PATH "/%s", options->arguments[0]);
 	for (size_t i = 0; options->operators[i] && !body; i++)
 		body = operator_call(options->operators[i], "DELETE", path, &status);
 	g_free(path);
@@ -69,6 +71,6 @@
 	g_free(body);
 	if (status == 200)
 		return EXIT_DONE;
-	fprintf(stderr, "cwctl: %s is not on the list\n", options->words[0]);
+	fprintf(stderr, "cwctl: %s is not on the list\n", options->arguments[0]);
 	return EXIT_REFUSED;
 }
--- a/apps/cwctl/reports.c
+++ b/apps/cwctl/reports.c
@@ -1,4 +1,4 @@
-/* cwctl timeline, counters, bills, status. */
+/* cwctl timeline, counters, bills and status. */
 #include "cwctl.h"
 #include "cw_http_client.h"
 
@@ -6,23 +6,23 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CALL_MS	   3000
-#define ANSWER_MAX (64 * 1024 * 1024)
+#define CALL_TIMEOUT_MS	 3000
+#define ANSWER_BYTES_MAX (64 * 1024 * 1024)
 
 struct bills {
-	GHashTable *seen; /* organisation/bill */
+	GHashTable *seen_ids; /* "ORGANISATION/BILL" */
 	const struct options *options;
 	struct grid *grid;
 	double cost;
 	int64_t count;
-	int64_t repeats;
+	int64_t duplicates;
 };
 
-static char *ask(const char *address, const char *path);
-static gint by_time(gconstpointer a, gconstpointer b);
-static void add_lines(GPtrArray *lines, const char *answer, const char *request);
-static void show_bill(void *context, uint64_t offset, const char *data);
-static void show_one_bill(struct bills *bills, struct json_object *bill);
+static char *operator_get(const char *address, const char *path);
+static gint compare_lines_by_time(gconstpointer a, gconstpointer b);
+static void collect_lines(GPtrArray *lines, const char *answer, const char *request);
+static void print_record_bills(void *context, uint64_t offset, const char *data);
+static void print_bill(struct bills *bills, struct json_object *bill);
 
 enum exit_code show_timeline(const struct options *options)
 {
@@ -30,22 +30,22 @@
 	int reached = 0;
 
 	for (size_t i = 0; options->operators[i]; i++) {
-		char *answer = ask(options->operators[i], "/events?after=0");
+		char *answer = operator_get(options->operators[i], "/events?after=0");
 
 		if (!answer)
 			continue;
 		reached++;
-		add_lines(lines, answer, options->request);
+		collect_lines(lines, answer, options->request);
 		g_free(answer);
 	}
-	g_ptr_array_sort(lines, by_time);
+	g_ptr_array_sort(lines, compare_lines_by_time);
 	for (guint i = 0; i < lines->len; i++) {
 		if (options->json) {
 			struct json_object *line = json_object_new_object();
 
 			json_object_object_add(line, "line",
 					       json_object_new_string(g_ptr_array_index(lines, i)));
-			print_json(line);
+			print_json_line(line);
 		} else {
 			printf("%s\n", (char *)g_ptr_array_index(lines, i));
 		}
@@ -59,7 +59,7 @@
 	int reached = 0;
 
 	for (size_t i = 0; options->operators[i]; i++) {
-		char *answer = ask(options->operators[i], "/counters");
+		char *answer = operator_get(options->operators[i], "/counters");
 		char **lines = g_strsplit(answer ? answer : "", "\n", -1);
 
 		reached += answer != NULL;
@@ -77,7 +77,7 @@
 				json_object_object_add(
 					line, "value",
 					json_object_new_int64(g_ascii_strtoll(value, NULL, 10)));
-				print_json(line);
+				print_json_line(line);
 			} else {
 				printf("%s %s\n", options->operators[i], lines[j]);
 			}
@@ -88,29 +88,29 @@
 	return reached ? EXIT_DONE : EXIT_UNREACHABLE;
 }
 
-/* Folded by id: a record that was appended twice is one bill. */
+/* Deduplicates bills by id: a record that was appended twice counts as one bill. */
 enum exit_code show_bills(const struct options *options)
 {
 	static const char *const titles[] = {"organisation", "bill",	   "model", "version",
 					     "prompt",	     "completion", "cost"};
 	struct bills bills = {.options = options};
-	struct log_visit visit = {show_bill, &bills};
+	struct log_visitor visitor = {print_record_bills, &bills};
 	struct cw_error error = {0};
 	enum cw_status status;
 
-	bills.seen = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	bills.seen_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	bills.grid = options->json ? NULL : grid_create(titles, G_N_ELEMENTS(titles));
-	status = log_walk(options->platform, "bills", 1, &visit, &error);
+	status = log_read_all(options->platform, "bills", 1, &visitor, &error);
 	if (bills.grid && status != CW_OK) {
 		grid_destroy(bills.grid);
 	} else if (bills.grid) {
 		grid_print(bills.grid);
 		printf("%" G_GINT64_FORMAT " bills, cost %.6f, %" G_GINT64_FORMAT
 		       " repeats folded\n",
-		       bills.count, bills.cost, bills.repeats);
+		       bills.count, bills.cost, bills.duplicates);
 	}
-	g_hash_table_destroy(bills.seen);
-	return status == CW_OK ? EXIT_DONE : fail(&error);
+	g_hash_table_destroy(bills.seen_ids);
+	return status == CW_OK ? EXIT_DONE : report_error(&error);
 }
 
 enum exit_code show_status(const struct options *options)
@@ -122,7 +122,7 @@
 	int reached = 0;
 
 	for (size_t i = 0; options->operators[i]; i++) {
-		char *answer = ask(options->operators[i], "/status");
+		char *answer = operator_get(options->operators[i], "/status");
 		struct json_object *status = answer ? json_tokener_parse(answer) : NULL;
 		struct json_object *peers;
 		char live[32];
@@ -135,21 +135,25 @@
 		}
 		reached++;
 		if (options->json) {
-			print_json(status);
+			print_json_line(status);
 			continue;
 		}
 		json_object_object_get_ex(status, "peers", &peers);
 		for (size_t j = 0; j < json_object_array_length(peers); j++)
-			count += !strcmp(text_of(json_object_array_get_idx(peers, j), "state"),
-					 "live");
+			count += !strcmp(
+				json_member_text(json_object_array_get_idx(peers, j), "state"),
+				"live");
 		g_snprintf(live, sizeof(live), "%zu of %zu", count,
 			   json_object_array_length(peers));
-		grid_row(grid,
-			 (const char *const[]){
-				 text_of(status, "instance"), text_of(status, "failure_domain"),
-				 text_of(status, "ready"), text_of(status, "table_offset"),
-				 text_of(status, "running"), text_of(status, "bills_held"),
-				 text_of(status, "sessions"), text_of(status, "platform"), live});
+		grid_add_row(grid,
+			     (const char *const[]){json_member_text(status, "instance"),
+						   json_member_text(status, "failure_domain"),
+						   json_member_text(status, "ready"),
+						   json_member_text(status, "table_offset"),
+						   json_member_text(status, "running"),
+						   json_member_text(status, "bills_held"),
+						   json_member_text(status, "sessions"),
+						   json_member_text(status, "platform"), live});
 		json_object_put(status);
 	}
 	if (grid && !reached)
@@ -159,7 +163,7 @@
 	return reached ? EXIT_DONE : EXIT_UNREACHABLE;
 }
 
-static char *ask(const char *address, const char *path)
+static char *operator_get(const char *address, const char *path)
 {
 	int status;
 	char *body = operator_call(address, "GET", path, &status);
@@ -175,9 +179,9 @@
 		.method = method,
 		.address = address,
 		.path = path,
-		.connect_ms = CALL_MS,
-		.total_ms = CALL_MS,
-		.max_size = ANSWER_MAX,
+		.connect_ms = CALL_TIMEOUT_MS,
+		.total_ms = CALL_TIMEOUT_MS,
+		.max_size = ANSWER_BYTES_MAX,
 	};
 	struct cw_http_answer answer;
 	char *body = NULL;
@@ -189,20 +193,21 @@
 	return body;
 }
 
-/* Lines begin "time=SECONDS.MICROSECONDS": of one length, so their text sorts by time. */
-static gint by_time(gconstpointer a, gconstpointer b)
+/* Lines begin with "time=SECONDS.MICROSECONDS" in a fixed width, so they sort as text. */
+static gint compare_lines_by_time(gconstpointer a, gconstpointer b)
 {
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-static void add_lines(GPtrArray *lines, const char *answer, const char *request)
+static void collect_lines(GPtrArray *lines, const char *answer, const char *request)
 {
 	char **parts = g_strsplit(answer, "\n", -1);
 	char *wanted = request ? g_strdup_printf("request=%s ", request) : NULL;
 
 	for (size_t i = 0; parts[i]; i++) {
 		struct json_object *parsed = *parts[i] ? json_tokener_parse(parts[i]) : NULL;
-		char *line = parsed ? g_strconcat(text_of(parsed, "line"), " ", NULL) : NULL;
+		char *line =
+			parsed ? g_strconcat(json_member_text(parsed, "line"), " ", NULL) : NULL;
 
 		if (line && (!wanted || strstr(line, wanted)))
 			g_ptr_array_add(lines, g_strdup(g_strchomp(line)));
@@ -213,7 +218,7 @@
 	g_strfreev(parts);
 }
 
-static void show_bill(void *context, uint64_t offset, const char *data)
+static void print_record_bills(void *context, uint64_t offset, const char *data)
 {
 	struct json_object *parsed = json_tokener_parse(data);
 	struct json_object *list;
@@ -221,14 +226,14 @@
 	if (json_object_object_get_ex(parsed, "bills", &list) &&
 	    json_object_is_type(list, json_type_array))
 		for (size_t i = 0; i < json_object_array_length(list); i++)
-			show_one_bill(context, json_object_array_get_idx(list, i));
+			print_bill(context, json_object_array_get_idx(list, i));
 	json_object_put(parsed);
 }
 
-static void show_one_bill(struct bills *bills, struct json_object *bill)
+static void print_bill(struct bills *bills, struct json_object *bill)
 {
-	const char *organisation = text_of(bill, "organisation");
-	char *id = g_strdup_printf("%s/%s", organisation, text_of(bill, "bill"));
+	const char *organisation = json_member_text(bill, "organisation");
+	char *id = g_strdup_printf("%s/%s", organisation, json_member_text(bill, "bill"));
 	char cost[32];
 
 	if (bills->options->organisation &&
@@ -236,24 +241,27 @@
 		g_free(id);
 		return;
 	}
-	if (!g_hash_table_add(bills->seen, id)) {
-		bills->repeats++;
+	if (!g_hash_table_add(bills->seen_ids, id)) {
+		bills->duplicates++;
 		return;
 	}
 	bills->count++;
-	bills->cost += g_ascii_strtod(text_of(bill, "cost"), NULL);
-	g_snprintf(cost, sizeof(cost), "%.6f", g_ascii_strtod(text_of(bill, "cost"), NULL));
+	bills->cost += g_ascii_strtod(json_member_text(bill, "cost"), NULL);
+	g_snprintf(cost, sizeof(cost), "%.6f",
+		   g_ascii_strtod(json_member_text(bill, "cost"), NULL));
 	if (bills->grid)
-		grid_row(bills->grid,
-			 (const char *const[]){organisation, text_of(bill, "bill"),
-					       text_of(bill, "model"), text_of(bill, "version"),
-					       text_of(bill, "prompt_tokens"),
-					       text_of(bill, "completion_tokens"), cost});
+		grid_add_row(bills->grid,
+			     (const char *const[]){organisation, json_member_text(bill, "bill"),
+						   json_member_text(bill, "model"),
+						   json_member_text(bill, "version"),
+						   json_member_text(bill, "prompt_tokens"),
+						   json_member_text(bill, "completion_tokens"),
+						   cost});
 	else
-		print_json(json_object_get(bill));
+		print_json_line(json_object_get(bill));
 }
 
-const char *text_of(struct json_object *object, const char *key)
+const char *json_member_text(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
