--- a/tests/lib.sh
+++ b/tests/lib.sh
@@ -1,5 +1,7 @@
-# What the demo and the scripted runs share. Source it with BUILD set to a build folder.
-# Processes are ended by the ids noted here; every wait is for a condition, with a limit.
+# Functions shared by the demo, the scripted runs, the soak and the benchmarks. Source this file with BUILD
+# set to the absolute path of a build folder. Processes are killed by the ids recorded in PIDS; every wait
+# is for a condition and has a time limit. Set in the environment: WAIT_S, the limit in seconds; KEEP, to
+# keep the folder with logs and settings; TAIL and TRACE, lines of each log and sanitizer report printed.
 set -u
 DIR=$(mktemp -d)
 PIDS=""
@@ -8,12 +10,12 @@
 SERVERS=""
 PLATFORM=""
 WAIT_S=${WAIT_S:-40}
-trap finish EXIT
+trap clean_up EXIT
 
-finish() {
+clean_up() {
 	local code=$?
 	exec 2>/dev/null
-	# What a sanitizer found in any process of the run fails it.
+	# A sanitizer report from any process fails the run.
 	if grep -hE 'ERROR: (Address|Leak|Thread)Sanitizer|WARNING: ThreadSanitizer|runtime error:' "$DIR"/*.log; then
 		code=1
 		grep -hA "${TRACE:-40}" -E 'ERROR: (Address|Leak|Thread)Sanitizer|WARNING: ThreadSanitizer|runtime error:' "$DIR"/*.log | head -n 150
@@ -30,7 +32,7 @@
 	exit 1
 }
 
-# wait_for WHAT COMMAND...: until the command succeeds.
+# wait_for WHAT COMMAND...: repeats the command until it succeeds; fails the run after WAIT_S seconds.
 wait_for() {
 	local what=$1 until=$((SECONDS + WAIT_S))
 	shift
@@ -40,7 +42,7 @@
 	done
 }
 
-# start NAME COMMAND...: in the background; its id in PID_NAME, its output in NAME.log.
+# start NAME COMMAND...: starts a background process; sets PID_NAME, appends its output to NAME.log.
 start() {
 	local name=$1
 	shift
@@ -50,11 +52,11 @@
 }
 
 pid_of() { eval "echo \$PID_$1"; }
-gone() { ! kill -0 "$1" 2>/dev/null; }
+has_exited() { ! kill -0 "$1" 2>/dev/null; }
 stop_now() { kill -KILL "$(pid_of "$1")"; wait "$(pid_of "$1")" 2>/dev/null; true; }
 
-# standin NAME COMMAND...: sets ADDR_NAME to where it listens.
-standin() {
+# start_standin NAME COMMAND...: starts a simulated server; sets ADDR_NAME to the address it listens on.
+start_standin() {
 	local name=$1
 	start "$@"
 	wait_for "$name listens" grep -q '^listening' "$DIR/$name.log"
@@ -64,22 +66,23 @@
 addr_of() { eval "echo \$ADDR_$1"; }
 
 start_platform() {
-	standin platform "$BUILD/tests/standin-platform" "$@"
+	start_standin platform "$BUILD/tests/standin-platform" "$@"
 	PLATFORM=$(addr_of platform)
 }
 
-# engine NAME DOMAIN [options]; service NAME DOMAIN SERVICE [options]
+# engine NAME DOMAIN [options]; service NAME DOMAIN SERVICE [options]: start a simulated backend server and
+# add it to SERVERS, the list written into the instances' settings.
 engine() {
 	local name=$1 domain=$2
 	shift 2
-	standin "$name" "$BUILD/tests/standin-backend" --name "$name" "$@"
+	start_standin "$name" "$BUILD/tests/standin-backend" --name "$name" "$@"
 	add_server "$name" llm "$domain" "$(addr_of "$name")"
 }
 
 service() {
 	local name=$1 domain=$2 service=$3
 	shift 3
-	standin "$name" "$BUILD/tests/standin-backend" --kind service --name "$name" "$@"
+	start_standin "$name" "$BUILD/tests/standin-backend" --kind service --name "$name" "$@"
 	add_server "$name" "$service" "$domain" "$(addr_of "$name")"
 }
 
@@ -87,7 +90,8 @@
 	SERVERS="$SERVERS${SERVERS:+,}{\"name\":\"$1\",\"service\":\"$2\",\"failure_domain\":\"$3\",\"address\":\"$4\",\"checks_fencing\":${5:-true}}"
 }
 
-# plan NAME:DOMAIN ...: addresses for the instances, before any starts.
+# plan NAME:DOMAIN ...: assigns addresses to the instances before any of them starts, as each one's settings
+# name the others.
 plan() {
 	local entry name ports
 	for entry in "$@"; do
@@ -103,8 +107,9 @@
 peer_of() { eval "echo \$PEER_$1"; }
 operators() { local list="" i; for i in $INSTANCES; do list="$list${list:+,}$(operator_of "$i")"; done; echo "$list"; }
 
-# settings NAME [extra lines]: PLATFORM_NAME and PEERS_NAME, where set, stand for the way through a proxy.
-settings() {
+# write_settings NAME [extra lines]: writes NAME.json. PLATFORM_NAME and PEERS_NAME, where set, replace the
+# platform's address and the list of peers, for connections through a proxy.
+write_settings() {
 	local name=$1 extra=${2:-} peers="" other own platform
 	eval "platform=\${PLATFORM_$name:-$PLATFORM}"
 	eval "peers=\${PEERS_$name:-}"
@@ -134,17 +139,18 @@
 
 ready() { curl -sf "http://$(operator_of "$1")/ready" >/dev/null; }
 
-# instance NAME [extra lines]
+# instance NAME [extra lines]: starts an instance and waits until it is ready.
 instance() {
-	settings "$@"
+	write_settings "$@"
 	start "$1" "$BUILD/corianderwalk" --settings "$DIR/$1.json"
 	wait_for "$1 is ready" ready "$1"
 }
 
-instance_unready() {
-	settings "$@"
+# start_unready NAME [extra lines]: starts an instance and waits until it answers, ready or not.
+start_unready() {
+	write_settings "$@"
 	start "$1" "$BUILD/corianderwalk" --settings "$DIR/$1.json"
-	wait_for "$1 lives" curl -sf "http://$(operator_of "$1")/live"
+	wait_for "$1 answers" curl -sf "http://$(operator_of "$1")/live"
 }
 
 cwctl() {
@@ -154,7 +160,7 @@
 }
 control() { curl -sf -X POST "http://$1/control" -d "$2" >/dev/null || fail "control of $1"; }
 
-# chat INSTANCE KEY MODEL [curl options]: a completion, not streamed unless STREAM is set.
+# chat INSTANCE KEY MODEL [curl options]: requests a completion, streamed if STREAM is true.
 chat() {
 	local name=$1 key=$2 model=$3
 	shift 3
@@ -162,7 +168,7 @@
 		-d "{\"model\":\"$model\",\"stream\":${STREAM:-false},\"max_tokens\":${TOKENS:-8},\"messages\":[{\"role\":\"user\",\"content\":\"${PROMPT:-hello}\"}]}" "$@"
 }
 
-# order INSTANCE KEY IDEMPOTENCY_KEY BODY [curl options]
+# order INSTANCE KEY IDEMPOTENCY_KEY BODY [curl options]: sends a fabric order, which is not idempotent.
 order() {
 	local name=$1 key=$2 idempotency=$3 body=$4
 	shift 4
@@ -170,15 +176,18 @@
 		-H "Idempotency-Key: $idempotency" -H 'Content-Type: application/json' -d "$body" "$@"
 }
 
+# runs NAME: the requests that a simulated backend server has run, as JSON.
 runs() { curl -s "http://$(addr_of "$1")/runs"; }
-# field NAME: of a JSON object on standard input, the first value of that name.
-field() { grep -oE "\"$1\":(\"[^\"]*\"|[-0-9.a-z]+)" | head -n 1 | sed -E 's/^[^:]*:"?//; s/"$//'; }
-counter() { curl -s "http://$(operator_of "$1")/counters" | awk -v n="corianderwalk_$2" '$1==n{print $2; f=1} END{if(!f) print 0}'; }
+# json_field NAME: the first value with that name in the JSON text on standard input.
+json_field() { grep -oE "\"$1\":(\"[^\"]*\"|[-0-9.a-z]+)" | head -n 1 | sed -E 's/^[^:]*:"?//; s/"$//'; }
+# counter_value INSTANCE NAME: the counter's value, 0 if the instance doesn't report it.
+counter_value() { curl -s "http://$(operator_of "$1")/counters" | awk -v n="corianderwalk_$2" '$1==n{print $2; f=1} END{if(!f) print 0}'; }
 bill_count() { cwctl bills --json | grep -c .; }
-bills_are() { [ "$(bill_count)" -eq "$1" ]; }
-in_force() { local i; for i in $INSTANCES; do [ "$(curl -s "http://$(operator_of "$i")/status" | field table_offset)" -ge "$1" ] || return 1; done; }
+has_bills() { [ "$(bill_count)" -eq "$1" ]; }
+# has_table_offset OFFSET: whether all instances have applied the table's log up to that offset.
+has_table_offset() { local i; for i in $INSTANCES; do [ "$(curl -s "http://$(operator_of "$i")/status" | json_field table_offset)" -ge "$1" ] || return 1; done; }
 
-# table ROWS...: publishes them, each without the header.
+# publish ROWS...: publishes a table with these rows, CSV lines without the header.
 publish() {
 	{
 		echo "organisation,model,version,weight,requests_per_s,tokens_per_s,concurrent,cost_per_1k_tokens,quality_target,state"
@@ -187,22 +196,24 @@
 	cwctl table publish "$DIR/table.csv" >/dev/null || fail "publish"
 }
 
-# proxy NAME TARGET: sets ADDR_NAME to the way through it, CONTROL_NAME to its control port.
-proxy() {
+# start_proxy NAME TARGET: starts a proxy that injects faults; sets ADDR_NAME to the address that forwards to
+# TARGET and CONTROL_NAME to the proxy's control address.
+start_proxy() {
 	start "$1" "$BUILD/tests/faultproxy" --to "$2"
 	wait_for "$1 listens" grep -q '^listening' "$DIR/$1.log"
 	eval "ADDR_$1=$(sed -n 's/^proxy //p' "$DIR/$1.log") CONTROL_$1=$(sed -n 's/^listening //p' "$DIR/$1.log")"
 }
 
-# faults NAME MODE [more JSON members]
-faults() {
-	local where
-	eval "where=\$CONTROL_$1"
-	control "$where" "{\"mode\":\"$2\"${3:+,$3}}"
+# set_fault NAME MODE [more JSON members]: sets the fault that the proxy injects; pass: none.
+set_fault() {
+	local address
+	eval "address=\$CONTROL_$1"
+	control "$address" "{\"mode\":\"$2\"${3:+,$3}}"
 }
 
-# run_all COUNT COMMAND...: in parallel, the command with 1..COUNT as its last word.
-run_all() {
+# run_parallel COUNT COMMAND...: runs COUNT copies of the command in parallel, each with its number (1 to
+# COUNT) as last argument, and waits for all.
+run_parallel() {
 	local count=$1 i ids=""
 	shift
 	for i in $(seq "$count"); do
--- a/tests/runs/bad_servers.sh
+++ b/tests/runs/bad_servers.sh
@@ -1,7 +1,7 @@
-# Symptom: a caller was shown rubbish, another request's answer, or half an answer as if it were whole.
-# Sequence: one of two engines fails in each way it can, then both do.
-# Cause: what a backend server sends was believed. Each answer is matched by id and sequence, tried
-# again elsewhere while nothing was shown, resumed or continued when something was, and else refused.
+# Guards against a caller that gets invalid data, another request's answer, or a partial answer marked as
+# complete, as happened when the answers of backend servers were trusted. One of two engines fails in each
+# of its ways, then both do. Each answer must be matched by id and sequence; a failed attempt is retried on
+# another engine while nothing was shown to the caller, else resumed or continued, and at last refused.
 . tests/lib.sh
 start_platform
 engine r1 d1 --versions m/1 --token-ms 5
@@ -23,7 +23,7 @@
 control "$ADDR_r1" '{"fault":"freeze","after":3,"count":2}'
 echo "frozen after 3 chunks: $(load --stream --name s-freeze)"
 control "$ADDR_r1" '{"fault":"none"}'
-# An engine that dies with its stream: the other goes on from the text already shown.
+# An engine is killed during a stream: the other one continues from the text already shown.
 control "$ADDR_r1" '{"fault":"none","token_ms":50}'
 control "$ADDR_r2" '{"fault":"none","token_ms":50}'
 STREAM=true TOKENS=40 chat e1 "$KEY" m -H 'X-Request-Id: die' >"$DIR/die" &
@@ -32,7 +32,7 @@
 if runs r1 | grep -q '"die"'; then stop_now r1; else stop_now r2; fi
 wait $CALLER
 echo "an engine killed: $(grep -c 'die\.[0-9]' "$DIR/die") tokens, in order: $(grep -oE 'die\.[0-9]+' "$DIR/die" | sed 's/die.//' | sort -cn && echo yes), end: $(tail -n 2 "$DIR/die" | head -n 1)"
-# Both are gone: the answer begun ends with an explicit error.
+# Both engines are killed: the stream that has begun ends with an explicit error event.
 if runs r1 >/dev/null; then LAST=r1; else LAST=r2; fi
 STREAM=true TOKENS=40 chat e1 "$KEY" m -H 'X-Request-Id: lost' >"$DIR/lost" &
 CALLER=$!
@@ -41,7 +41,7 @@
 wait $CALLER
 echo "no engine left: $(grep -c '^event: error' "$DIR/lost") error event, DONE $(grep -c DONE "$DIR/lost")"
 chat e1 "$KEY" m >"$DIR/none"
-echo "refused at once: $(field code <"$DIR/none") $(field run <"$DIR/none")"
-wait_for "bills" bills_are 73
+echo "refused at once: $(json_field code <"$DIR/none") $(json_field run <"$DIR/none")"
+wait_for "bills" has_bills 73
 echo "bills: $(bill_count)"
 kill -TERM "$PID_e1"; wait "$PID_e1"; echo "exit $?"
--- a/tests/runs/compare.sh
+++ b/tests/runs/compare.sh
@@ -1,4 +1,5 @@
-# The verdicts of tools/compare on made-up results: better, worse, can't tell, a broken rule, one play.
+# The verdicts of tools/compare on synthetic results: better, worse, no significant difference, a broken rule,
+# and a single play.
 FILE=$(mktemp)
 trap 'rm -f "$FILE"' EXIT
 line() { printf '%s\t%s\t%s\t%s\t%s\tday=%s\tmodels=-0.05\n' "$@"; }
--- a/tests/runs/fleet_model.sh
+++ b/tests/runs/fleet_model.sh
@@ -1,5 +1,6 @@
-# The model of a fleet at 60 and 200 instances: all start, all start again, those that read for all end. Guards against
-# what grows with the fleet: calls of the store, messages, the time until all can serve or have a change.
+# Guards against costs that grow too fast with the number of instances: calls of the shared store, messages, and the
+# time until all instances can serve or have a change. A simulation of 60 and 200 instances: all start, all restart,
+# the instances that read the store for the others terminate.
 for scenario in start restart readers; do
 	if "$BUILD/tests/fleet-model" -n 60 -n 200 -s $scenario >"$BUILD/fleet-$scenario.txt"; then
 		echo "$scenario: within its bounds"
--- a/tests/runs/large_body.sh
+++ b/tests/runs/large_body.sh
@@ -1,6 +1,6 @@
-# Symptom: a caller that states a body of 64 MB and waits for a word before it sends got none in 20 s.
-# Sequence: header fields only; the stated length is past max_body_bytes.
-# Cause: the server library hands a request over when its body has come; 413 is due by the length, at once.
+# Guards against a caller that announces a body of 64 MB, waits for an answer before it sends the body and
+# gets none in 20 s. It sends header fields only; the Content-Length exceeds max_body_bytes. The HTTP server
+# library hands a request over only with its complete body, but 413 must be sent at once, by the length.
 . tests/lib.sh
 start_platform
 engine r1 d1 --versions m/1
@@ -12,7 +12,7 @@
 head -c 67108864 /dev/zero >"$DIR/body"
 curl -s -m 20 -o "$DIR/answer" -w '%{http_code}\n' -H "Authorization: Bearer $KEY" -H 'Expect:' \
 	--data-binary "@$DIR/body" "http://$ADDR_e1/v1/chat/completions"
-echo "-- only its length is stated"
+echo "-- only its length is sent"
 exec 5<>"/dev/tcp/${ADDR_e1/:/\/}"
 printf 'POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 67108864\r\n\r\n' "$KEY" >&5
 timeout 5 head -n 1 <&5 | tr -d '\r'
--- a/tests/runs/platform_outage.sh
+++ b/tests/runs/platform_outage.sh
@@ -1,7 +1,7 @@
-# Symptom: with the platform out, requests hung, bills were lost or doubled, an order ran unguarded.
-# Sequence: the platform is out for the whole of a burst, then back; then it answers slowly; then it
-# loses answers.
-# Cause: the path depended on it. Requests go on; orders are refused at once, "not run"; bills wait.
+# Guards against an outage of the platform that makes requests hang, loses or duplicates bills, or lets an
+# order run without a claim, as happened when the request path depended on the platform. The platform is
+# unavailable during a burst of requests and recovers; then it answers slowly; then it loses answers.
+# Requests are served throughout; orders are refused at once with "not run"; bills wait for the platform.
 . tests/lib.sh
 start_platform
 engine r1 d1 --versions m/1 --slots 32
@@ -19,19 +19,19 @@
 began=$(date +%s%N)
 order e1 "$KEY" k1 '{}' >"$DIR/refused"
 took=$((($(date +%s%N) - began) / 1000000))
-echo "an order meanwhile: $(field code <"$DIR/refused") $(field run <"$DIR/refused"), at once: $([ $took -lt 1000 ] && echo yes || echo "no, $took ms"), when to come back: $([ "$(field retry_after_ms <"$DIR/refused")" -gt 0 ] && echo yes)"
+echo "an order during the outage: $(json_field code <"$DIR/refused") $(json_field run <"$DIR/refused"), at once: $([ $took -lt 1000 ] && echo yes || echo "no, $took ms"), retry hint: $([ "$(json_field retry_after_ms <"$DIR/refused")" -gt 0 ] && echo yes)"
 control "$PLATFORM" '{"outage":0}'
-wait_for "150 bills" bills_are 150
-ordered() { order e2 "$KEY" k1 '{}' | grep -q '"order"'; }
-wait_for "the order passes" ordered
-echo "orders taken: $(runs o1 | grep -o '"key":"k1"' | wc -l)"
+wait_for "150 bills" has_bills 150
+is_ordered() { order e2 "$KEY" k1 '{}' | grep -q '"order"'; }
+wait_for "the order succeeds" is_ordered
+echo "orders received: $(runs o1 | grep -o '"key":"k1"' | wc -l)"
 control "$PLATFORM" '{"slow_ms":400}'
 load --requests 60 --concurrency 15 --name slow
-echo "an order on a slow platform: $(order e1 "$KEY" k2 '{}' | field key)"
+echo "an order on a slow platform: $(order e1 "$KEY" k2 '{}' | json_field key)"
 control "$PLATFORM" '{"slow_ms":0,"lose_answers":4}'
 load --requests 60 --concurrency 15 --name lost
 control "$PLATFORM" '{"lose_answers":2}'
-echo "an order whose claim's answer is lost: $(order e3 "$KEY" k3 '{}' | field key)"
-wait_for "bills" bills_are 273
-echo "taken: $(runs o1 | grep -oE '"key":"k[23]"' | wc -l), bills: $(bill_count)"
-echo "bills that stand twice in the log: $(cwctl bills | tail -n 1 | grep -oE '[0-9]+ repeats')"
+echo "an order whose claim's answer is lost: $(order e3 "$KEY" k3 '{}' | json_field key)"
+wait_for "bills" has_bills 273
+echo "orders received: $(runs o1 | grep -oE '"key":"k[23]"' | wc -l), bills: $(bill_count)"
+echo "duplicate bills in the log: $(cwctl bills | tail -n 1 | grep -oE '[0-9]+ repeats')"
--- a/tests/runs/settings.sh
+++ b/tests/runs/settings.sh
@@ -1,6 +1,6 @@
-# Symptom: an instance ran with a setting its operator had mistyped.
-# Sequence: files with an unknown key, a wrong type, a bad address and more are checked and started.
-# Cause: settings were read key by key as needed. They are checked whole, before anything starts.
+# Guards against an instance that runs with a mistyped setting, as happened when settings were read key by key
+# when needed. Settings files with an unknown key, a wrong type, a bad address and other faults are checked and
+# started: the whole file must be validated before anything starts, and all faults printed.
 . tests/lib.sh
 exec 2>&1
 cat >"$DIR/bad.json" <<'END'
--- a/tests/runs/soak_short.sh
+++ b/tests/runs/soak_short.sh
@@ -1,4 +1,5 @@
-# A short seeded soak of the platform's face: 10 s of faults from outside, the promises checked meanwhile.
+# A short soak with a fixed seed, on the users' platform: 10 s of injected faults while the promised invariants
+# are checked.
 set -o pipefail
 bash tests/soak/soak.sh 4 10 3 8 >"${TMPDIR:-/tmp}/soak-short.$$" 2>&1
 code=$?
