--- a/apps/corianderwalk/duties.c
+++ b/apps/corianderwalk/duties.c
@@ -125,27 +125,28 @@
 
 static void start_worker(struct io_workers *io_workers, enum worker_kind kind)
 {
-	struct worker_arguments *start = g_new(struct worker_arguments, 1);
+	struct worker_arguments *arguments = g_new(struct worker_arguments, 1);
 
-	start->io_workers = io_workers;
-	start->kind = kind;
-	pthread_create(&io_workers->threads[io_workers->thread_count++], NULL, run_worker, start);
+	arguments->io_workers = io_workers;
+	arguments->kind = kind;
+	pthread_create(&io_workers->threads[io_workers->thread_count++], NULL, run_worker,
+		       arguments);
 }
 
 static void *run_worker(void *data)
 {
-	struct worker_arguments start = *(struct worker_arguments *)data;
-	struct cw_ring *ring = start.io_workers->rings[start.kind];
+	struct worker_arguments arguments = *(struct worker_arguments *)data;
+	struct cw_ring *ring = arguments.io_workers->rings[arguments.kind];
 
 	g_free(data);
-	if (start.kind == WORKER_LIST)
-		return run_list_poller(start.io_workers);
-	while (!__atomic_load_n(&start.io_workers->is_stopping, __ATOMIC_ACQUIRE)) {
+	if (arguments.kind == WORKER_LIST)
+		return run_list_poller(arguments.io_workers);
+	while (!__atomic_load_n(&arguments.io_workers->is_stopping, __ATOMIC_ACQUIRE)) {
 		struct cw_effect *effect = cw_ring_pop(ring, WAIT_FOREVER);
 
 		if (!effect)
 			continue;
-		perform_effect(start.io_workers, effect);
+		perform_effect(arguments.io_workers, effect);
 		cw_effect_destroy(effect);
 	}
 	return NULL;
--- a/apps/cwctl/log.c
+++ b/apps/cwctl/log.c
@@ -13,8 +13,8 @@
 struct edit_search {
 	struct cw_table *table;
 	const char *edit_id;
-	uint64_t offset;
-	enum cw_fold result;
+	uint64_t offset;     /* of the record with edit_id; 0: not found */
+	enum cw_fold result; /* of applying that record */
 	struct cw_error error;
 	uint64_t next_offset;	/* of the record to apply next; 0: looking for a snapshot */
 	uint64_t resume_offset; /* first offset behind a snapshot that was found; 0: none */
--- a/tests/runs/domain_drain.sh
+++ b/tests/runs/domain_drain.sh
@@ -1,6 +1,6 @@
 # Guards against new requests in a drained failure domain. An operator drains a failure domain by cwctl: its engines
-# get no new requests from any instance until the domain is restored. An instance that starts in between knows the
-# drain as well, also from a snapshot.
+# get no new requests from any instance until the domain is restored. An instance that starts in between must know of
+# the drain as well; here it replays the log, but snapshots of the table carry the drains too.
 . tests/lib.sh
 start_platform
 engine r1 d1 --versions m/1
