--- a/tests/runs/large_body.sh
+++ b/tests/runs/large_body.sh
@@ -1,6 +1,6 @@
-# Symptom: a caller that states a body of 64 MB and waits for a word before it sends got none in 20 s.
-# Sequence: header fields only; the stated length is past max_body_bytes.
-# Cause: the server library hands a request over when its body has come; 413 is due by the length, at once.
+# Guards against a caller that announces a body of 64 MB, waits for an answer before it sends the body and
+# gets none in 20 s. It sends header fields only; the Content-Length exceeds max_body_bytes. The HTTP server
+# library hands a request over only with its complete body, but 413 must be sent at once, by the length.
 . tests/lib.sh
 start_platform
 engine r1 d1 --versions m/1
