--- a/apps/corianderwalk/daemon.h
+++ b/apps/corianderwalk/daemon.h
@@ -25,7 +25,7 @@
 	struct cw_request_in request;
 	struct cw_attempt_end attempt;
 	struct cw_records records;
-	struct cw_platform_read read; /* owns the data of the log records in record_list */
+	struct cw_platform_read_result read; /* owns the data of the log records in record_list */
 	struct cw_log_record *record_list;
 	struct cw_appended appended;
 	struct cw_listed *listed;
--- a/apps/corianderwalk/duties.c
+++ b/apps/corianderwalk/duties.c
@@ -81,7 +81,7 @@
 	io_workers->sender_by_address =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	for (int kind = 0; kind < WORKER_KINDS; kind++)
-		io_workers->rings[kind] = cw_ring_create(CW_RING_DUTY);
+		io_workers->rings[kind] = cw_ring_create(CW_RING_WORKER);
 	for (int kind = 0; kind < WORKER_KINDS; kind++)
 		start_worker(io_workers, kind);
 	for (int i = 1; i < LOAD_THREADS; i++)
@@ -398,7 +398,7 @@
 {
 	struct sender *sender = g_new0(struct sender, 1);
 
-	sender->ring = cw_ring_create(CW_RING_DUTY);
+	sender->ring = cw_ring_create(CW_RING_WORKER);
 	sender->clients = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 						(GDestroyNotify)cw_peer_client_destroy);
 	pthread_create(&sender->thread, NULL, run_sender, sender);
--- a/apps/cwctl/log.c
+++ b/apps/cwctl/log.c
@@ -13,8 +13,8 @@
 struct edit_search {
 	struct cw_table *table;
 	const char *edit_id;
-	uint64_t offset;     /* of the record with edit_id; 0: not found */
-	enum cw_fold result; /* of applying that record */
+	uint64_t offset;	     /* of the record with edit_id; 0: not found */
+	enum cw_table_result result; /* of applying that record */
 	struct cw_error error;
 	uint64_t next_offset;	/* of the record to apply next; 0: looking for a snapshot */
 	uint64_t resume_offset; /* first offset behind a snapshot that was found; 0: none */
@@ -30,7 +30,7 @@
 	uint64_t next_offset = from;
 
 	for (;;) {
-		struct cw_platform_read read;
+		struct cw_platform_read_result read;
 		enum cw_status status = cw_log_http.read(platform, stream, next_offset,
 							 READ_RECORDS_MAX, 0, &read, error);
 		size_t count = read.count;
@@ -82,7 +82,7 @@
 		cw_table_destroy(scan.table);
 		if (scan.offset) {
 			*offset = scan.offset;
-			if (scan.result == CW_FOLD_APPLIED || scan.result == CW_FOLD_DUPLICATE)
+			if (scan.result == CW_TABLE_APPLIED || scan.result == CW_TABLE_DUPLICATE)
 				return EXIT_DONE;
 			fprintf(stderr, "cwctl: refused at offset %" G_GUINT64_FORMAT ": %s\n",
 				scan.offset, scan.error.message);
@@ -120,17 +120,17 @@
 	struct edit_search *search = context;
 	struct json_object *parsed;
 	struct json_object *id;
-	enum cw_fold result = CW_FOLD_SNAPSHOT;
+	enum cw_table_result result = CW_TABLE_SNAPSHOT;
 
 	if (offset != search->next_offset) {
-		if (cw_table_load(search->table, data, NULL) == CW_OK) {
+		if (cw_table_load_snapshot(search->table, data, NULL) == CW_OK) {
 			search->resume_offset = cw_table_offset(search->table) + 1;
 			search->next_offset = 0;
 		}
 		return;
 	}
 	search->next_offset = offset + 1;
-	cw_table_fold(search->table, offset, data, &result, &search->error);
+	cw_table_apply_record(search->table, offset, data, &result, &search->error);
 	parsed = json_tokener_parse(data);
 	if (*search->edit_id && !search->offset &&
 	    (json_object_object_get_ex(parsed, "edit", &id) ||
--- a/packages/base/include/cw_config.h
+++ b/packages/base/include/cw_config.h
@@ -22,7 +22,7 @@
 #define CW_PEER_RECORDS	   32	   /* records in one message between peers */
 #define CW_RING_CORE	   8192	   /* events waiting for the core thread */
 #define CW_RING_STREAM	   64	   /* chunks waiting for one caller */
-#define CW_RING_DUTY	   1024	   /* jobs waiting for one duty thread */
+#define CW_RING_WORKER	   1024	   /* jobs waiting for one duty thread */
 #define CW_EVENT_LINES	   16384   /* events of the time line kept in memory */
 #define CW_RECORD_MAX	   (1024 * 1024) /* bytes of one record of the log */
 
