--- a/packages/node/include/cw_node.h
+++ b/packages/node/include/cw_node.h
@@ -1,7 +1,7 @@
 /*
- * One instance's decisions, without input or output: events come in, effects go out. No clock,
- * socket or thread is used here; time and random numbers come with the events and the settings.
- * The daemon, the fuzzer and the experiment tool all drive this one header.
+ * The decision logic of one instance, sans-I/O: events go in, effects come out. The module uses no
+ * clock, socket or thread: time comes with the events, random numbers from the configured seed.
+ * The daemon, the fuzzer and the experiment tool all drive the node through this header.
  *
  *	struct cw_effects effects;
  *
@@ -46,19 +46,19 @@
 	CW_CODE_LEAVING,
 	CW_CODE_UPSTREAM_FAILED,
 	CW_CODE_DEADLINE,
-	CW_CODE_QUARANTINED, /* servers ended under it: it is sent nowhere */
+	CW_CODE_QUARANTINED, /* the request is sent to no server: it crashed servers before */
 	CW_CODES,
 };
 
 enum cw_request_flag {
 	CW_REQUEST_STREAM = 1,
 	CW_REQUEST_IDEMPOTENT = 2,
-	CW_REQUEST_SERVICE = 4, /* a plain service; else an engine's completion */
-	CW_REQUEST_BATCH = 8,	/* may wait longer */
+	CW_REQUEST_SERVICE = 4, /* for a plain service; otherwise for a model on an engine */
+	CW_REQUEST_BATCH = 8,	/* a longer predicted wait is accepted */
 };
 
 struct cw_request_in {
-	uint64_t handle; /* the shell's name for it; never repeats */
+	uint64_t handle; /* set by the program that drives the node; never reused */
 	unsigned int flags;
 	char key_sha256[CW_SHA256_HEX];
 	char request_id[CW_ID_MAX];
@@ -67,22 +67,21 @@
 	char session_id[CW_ID_MAX];
 	char session_token[CW_TOKEN_MAX];
 	char task[CW_NAME_MAX];
-	uint64_t prefix; /* hash of the prompt's start, 0 none */
+	uint64_t prefix; /* hash of the prompt prefix, 0 none */
 	uint64_t body;	 /* hash of the whole body */
 	unsigned int prompt_tokens;
 	unsigned int max_tokens;
-	int64_t deadline_ms; /* on the node's clock; 0: the settings' default */
+	int64_t deadline_ms; /* on the clock of now_ms; 0: request_timeout_ms from now */
 };
 
 enum cw_attempt_result {
-	CW_ATTEMPT_ANSWERED, /* whole and well formed */
-	CW_ATTEMPT_PASSED, /* the server's own refusal of this request (4xx): passed on, not billed
-			    */
-	CW_ATTEMPT_UNSENT, /* no byte reached the server */
-	CW_ATTEMPT_BUSY,   /* 429 or 503 before anything ran */
-	CW_ATTEMPT_FAILED, /* 5xx, rubbish, or too much */
-	CW_ATTEMPT_BROKEN, /* cut, frozen or timed out */
-	CW_ATTEMPT_CANCELLED, /* the caller went away */
+	CW_ATTEMPT_ANSWERED,  /* complete and well-formed answer */
+	CW_ATTEMPT_PASSED,    /* other 4xx of the server: forwarded to the caller, not billed */
+	CW_ATTEMPT_UNSENT,    /* no byte reached the server */
+	CW_ATTEMPT_BUSY,      /* 429 or 503 before anything ran */
+	CW_ATTEMPT_FAILED,    /* 5xx or 408, malformed or too long answer */
+	CW_ATTEMPT_BROKEN,    /* connection lost, answer stalled or timed out */
+	CW_ATTEMPT_CANCELLED, /* the caller disconnected */
 };
 
 struct cw_attempt_end {
@@ -90,26 +89,26 @@
 	unsigned int attempt;
 	enum cw_attempt_result result;
 	int http_status;
-	int is_cut; /* the server ended the connection, not a time limit or the caller */
+	int is_cut; /* the server closed the connection; neither a time limit nor the caller did */
 	unsigned int prompt_tokens;
 	unsigned int completion_tokens;
-	unsigned int shown; /* chunks the caller has seen, of all attempts */
-	double first_ms;    /* from dispatch to the first chunk, < 0 none came */
-	double total_ms;
-	const char *answer; /* text to rate or to keep with a claim; may be NULL */
+	unsigned int shown; /* chunks sent to the caller, of all attempts */
+	double first_ms;    /* from dispatch to the first chunk, < 0 without a chunk */
+	double total_ms;    /* from dispatch to the end */
+	const char *answer; /* text to rate, or to store as the claim's outcome; may be NULL */
 };
 
 struct cw_log_record {
 	uint64_t offset;
-	int64_t time_ms; /* the log's clock */
+	int64_t time_ms; /* when the record was appended, on the clock of the log */
 	const char *data;
 };
 
 struct cw_records {
 	enum cw_stream stream;
 	uint64_t ticket;       /* of the READ effect */
-	enum cw_status status; /* CW_OK, CW_EXPIRED, else failed */
-	uint64_t first;	       /* oldest offset kept, 0 unknown */
+	enum cw_status status; /* CW_OK, CW_EXPIRED: the records are deleted; else failed */
+	uint64_t first;	       /* oldest offset that the log keeps, 0 unknown */
 	const struct cw_log_record *list;
 	size_t count;
 };
@@ -123,8 +122,8 @@
 struct cw_listed {
 	char name[CW_NAME_MAX];
 	int is_instance;
-	char address[CW_ADDRESS_MAX];	   /* callers' or the server's */
-	char peer_address[CW_ADDRESS_MAX]; /* of an instance */
+	char address[CW_ADDRESS_MAX];	   /* where requests are sent */
+	char peer_address[CW_ADDRESS_MAX]; /* for peer messages; instances only */
 	char failure_domain[CW_NAME_MAX];
 	char service[CW_NAME_MAX];
 	int leaving;
@@ -135,33 +134,33 @@
 	CW_EVENT_TICK,
 	CW_EVENT_REQUEST,
 	CW_EVENT_ATTEMPT_END,
-	CW_EVENT_CALLER_GONE,
-	CW_EVENT_RECORDS,
-	CW_EVENT_APPENDED,
-	CW_EVENT_PEER,
-	CW_EVENT_LIST,
-	CW_EVENT_LOAD,
-	CW_EVENT_RATED,
-	CW_EVENT_ORDERED,
-	CW_EVENT_STOP,
+	CW_EVENT_CALLER_DISCONNECTED,
+	CW_EVENT_RECORDS,  /* result of a READ effect */
+	CW_EVENT_APPENDED, /* result of an APPEND effect */
+	CW_EVENT_PEER,	   /* message from a peer */
+	CW_EVENT_LIST,	   /* instances and servers listed by the platform */
+	CW_EVENT_LOAD,	   /* load report of a backend server */
+	CW_EVENT_RATED,	   /* result of a RATE effect */
+	CW_EVENT_ORDERED,  /* result of an ORDER effect */
+	CW_EVENT_STOP,	   /* begin a graceful stop */
 	CW_EVENT_QUERY,
 };
 
 enum cw_query {
-	CW_QUERY_MODELS,     /* what an organisation may use */
-	CW_QUERY_STATUS,     /* for operators */
-	CW_QUERY_QUARANTINE, /* requests that are sent nowhere; for operators */
-	CW_QUERY_RELEASE,    /* takes one of them off the list; for operators */
+	CW_QUERY_MODELS,     /* models and versions allowed to an organisation */
+	CW_QUERY_STATUS,     /* state of the instance, its peers and servers; for operators */
+	CW_QUERY_QUARANTINE, /* quarantined requests; for operators */
+	CW_QUERY_RELEASE,    /* releases one quarantined request; for operators */
 };
 
 struct cw_event {
 	enum cw_event_kind kind;
 	int64_t now_ms;	 /* monotonic */
-	int64_t wall_ms; /* against the log's clock; only ever for housekeeping */
+	int64_t wall_ms; /* compared with record times, only to judge the age of records */
 	union {
 		const struct cw_request_in *request;
 		const struct cw_attempt_end *attempt;
-		uint64_t gone; /* handle */
+		uint64_t disconnected_handle;
 		const struct cw_records *records;
 		const struct cw_appended *appended;
 		struct {
@@ -177,45 +176,45 @@
 			const struct cw_load *load;
 		} load;
 		struct {
-			uint64_t handle; /* of a checked answer, else 0 */
+			uint64_t handle; /* of the request that waits for its rating, else 0 */
 			uint64_t task;
 			uint64_t common;
 			uint64_t version;
-			double score; /* < 0: no rating was to be had */
+			double score; /* < 0: the answer could not be rated */
 			unsigned int tokens;
 		} rated;
 		struct {
 			uint64_t ticket;
-			enum cw_status status; /* CW_REFUSED: an old fencing number */
+			enum cw_status status; /* CW_REFUSED: the fencing number was outdated */
 		} ordered;
 		struct {
 			uint64_t handle;
 			enum cw_query query;
-			const char *text; /* SHA-256 of the asker's key, or a fingerprint */
+			const char *text; /* MODELS: SHA-256 of the API key; RELEASE: fingerprint */
 		} query;
 	};
 };
 
 enum cw_effect_kind {
 	CW_EFFECT_DISPATCH, /* send the request to a backend server */
-	CW_EFFECT_REFUSE,   /* the final answer: a refusal or failure */
-	CW_EFFECT_RELEASE,  /* the answer is whole and its bill safe: show its end */
-	CW_EFFECT_REPLAY,   /* the final answer: the kept outcome of the same request */
-	CW_EFFECT_REPLY,    /* of a query */
-	CW_EFFECT_READ,
-	CW_EFFECT_APPEND,
-	CW_EFFECT_SEND,
-	CW_EFFECT_RATE,
-	CW_EFFECT_ORDER,
-	CW_EFFECT_POLL,	   /* ask a backend server for its load */
-	CW_EFFECT_EVENT,   /* a line for the time line */
-	CW_EFFECT_STOPPED, /* nothing is left to do */
+	CW_EFFECT_REFUSE,   /* answer the request with an error */
+	CW_EFFECT_RELEASE,  /* complete the answer: its bill is mirrored, or bill_hold_ms is over */
+	CW_EFFECT_REPLAY,   /* answer with the stored outcome of the same request */
+	CW_EFFECT_REPLY,    /* answer a query */
+	CW_EFFECT_READ,	    /* read records of a stream of the log */
+	CW_EFFECT_APPEND,   /* append a record to a stream of the log */
+	CW_EFFECT_SEND,	    /* send a message to a peer */
+	CW_EFFECT_RATE,	    /* have the quality of an answer rated */
+	CW_EFFECT_ORDER,    /* send a load or unload order to an engine */
+	CW_EFFECT_POLL,	    /* request the load report of a backend server */
+	CW_EFFECT_EVENT,    /* write an entry to the timeline */
+	CW_EFFECT_STOPPED,  /* the graceful stop is complete */
 };
 
 enum cw_dispatch_mode {
 	CW_DISPATCH_FRESH,
-	CW_DISPATCH_RESUME,   /* the same server's stream, behind the last chunk seen */
-	CW_DISPATCH_CONTINUE, /* another server, from the text already shown */
+	CW_DISPATCH_RESUME,   /* the stream of the same server, after the last chunk received */
+	CW_DISPATCH_CONTINUE, /* another server, from the text already sent to the caller */
 };
 
 struct cw_effect {
@@ -236,13 +235,13 @@
 		struct {
 			enum cw_code code;
 			enum cw_run run;
-			int64_t retry_after_ms; /* 0: coming back does not help */
+			int64_t retry_after_ms; /* 0: a retry does not help */
 			char message[CW_MESSAGE_MAX];
 		} refuse;
 		struct {
 			int status;
 			char *answer;
-		} replay; /* also a query's reply */
+		} replay; /* for REPLAY and REPLY */
 		struct {
 			enum cw_stream stream;
 			uint64_t ticket;
@@ -265,10 +264,10 @@
 			char version[CW_NAME_MAX];
 			char task_name[CW_NAME_MAX];
 			uint64_t task;	 /* hash of organisation and task */
-			uint64_t common; /* hash of the task alone */
+			uint64_t common; /* hash of the task alone, shared by all organisations */
 			uint64_t version_id;
 			unsigned int tokens;
-			int checked; /* the request waits for it */
+			int checked; /* the request waits for the rating */
 			char *answer;
 		} rate;
 		struct {
@@ -278,7 +277,7 @@
 			char target[2 * CW_NAME_MAX];
 			uint64_t fencing;
 			uint64_t table_offset;
-			int64_t timeout_ms; /* never sent later than this */
+			int64_t timeout_ms; /* the order is not sent after this time */
 		} order;
 		struct {
 			uint64_t server;
@@ -315,9 +314,9 @@
 struct cw_node_config {
 	const char *instance;
 	const char *failure_domain;
-	const char *peer_address; /* as peers reach it */
+	const char *peer_address; /* announced to peers */
 	uint8_t peer_key[CW_KEY_BYTES];
-	uint64_t boot; /* differs at every start */
+	uint64_t boot; /* boot id: unique to each start of the instance */
 	uint64_t seed;
 	const struct cw_node_peer *peers;
 	size_t peer_count;
@@ -327,38 +326,38 @@
 	const struct cw_health_policy *health;
 	const struct cw_cascade_policy *cascade;
 	int64_t heartbeat_ms;
-	int64_t gossip_bytes_per_s; /* heartbeats slow down beyond it */
-	int64_t silent_ms;	    /* a peer unheard this long is not live */
-	int64_t claim_timeout_ms;
-	int64_t claim_window_ms; /* idempotency keys are guarded this long */
-	int64_t bill_flush_ms;
-	int64_t bill_hold_ms; /* an answer's end waits this long for a mirror */
-	int64_t session_idle_ms;
-	int64_t session_ask_ms; /* a session's first request waits this long for its home */
-	int64_t request_timeout_ms;
-	int64_t first_wait_ms; /* predicted wait above which a request is refused */
-	int64_t stop_grace_ms;
+	int64_t gossip_bytes_per_s; /* bandwidth limit: heartbeats are sent less often above it */
+	int64_t silent_ms;	    /* a peer without a heartbeat for this time is not live */
+	int64_t claim_timeout_ms;   /* wait for the log to confirm a claim */
+	int64_t claim_window_ms;    /* idempotency keys are remembered this long */
+	int64_t bill_flush_ms;	    /* longest wait of a bill for its batch */
+	int64_t bill_hold_ms;	    /* longest wait of a complete answer for a mirror of its bill */
+	int64_t session_idle_ms;    /* an unused session is forgotten after this time */
+	int64_t session_ask_ms;	    /* longest wait of a session's first request for its binding */
+	int64_t request_timeout_ms; /* deadline of a request that brings none */
+	int64_t first_wait_ms;	    /* a request with a longer predicted wait is rejected */
+	int64_t stop_grace_ms;	    /* a stopping instance accepts requests this long */
 	int64_t log_retention_ms;
 	int64_t lease_ms;
-	int64_t load_poll_ms; /* between two looks at one server's load */
-	int events;	      /* 0: no time line */
+	int64_t load_poll_ms; /* mean time between two load reports of one server */
+	int events;	      /* 0: no timeline entries */
 };
 
 struct cw_node;
 
-void cw_node_defaults(struct cw_node_config *config); /* every timing and policy */
+void cw_node_defaults(struct cw_node_config *config); /* clears it, sets timings and policies */
 struct cw_node *cw_node_create(const struct cw_node_config *config);
 void cw_node_destroy(struct cw_node *node);
 void cw_node_step(struct cw_node *node, const struct cw_event *event, struct cw_effects *effects);
-int cw_node_is_ready(const struct cw_node *node);   /* has a table, not leaving */
+int cw_node_is_ready(const struct cw_node *node);   /* has table and limit share, not stopping */
 size_t cw_node_running(const struct cw_node *node); /* requests in progress */
 size_t
-cw_node_bills_held(const struct cw_node *node); /* own and mirrored, not yet seen in the log */
+cw_node_bills_held(const struct cw_node *node); /* own and mirrored, not yet found in the log */
 const struct cw_table *cw_node_table(const struct cw_node *node);
-size_t cw_node_bytes(const struct cw_node *node); /* estimate of the state held */
+size_t cw_node_bytes(const struct cw_node *node); /* estimated memory use */
 
 void cw_effects_open(struct cw_effects *effects);
-struct cw_effect *cw_effects_pop(struct cw_effects *effects); /* NULL: none left */
+struct cw_effect *cw_effects_pop(struct cw_effects *effects); /* NULL: queue is empty */
 void cw_effect_destroy(struct cw_effect *effect);
 const char *cw_stream_name(enum cw_stream stream);
 const char *cw_code_name(enum cw_code code);
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -4,26 +4,25 @@
 #include <stdarg.h>
 #include <string.h>
 
-#define EXPIRE_MS	 5000	/* between sweeps over what has aged */
-#define FORGET_MEMBER_MS 600000 /* unheard and unlisted */
-#define JOIN_MS                                                                                    \
-	3000 /* a new instance holds no share of a limit before its peers have counted it          \
-	      */
-
-static void node_learn_settings(struct cw_node *node);
-static void node_list(struct cw_node *node, const struct cw_listed *members, size_t count);
-static void list_server(struct cw_node *node, const struct cw_listed *listed);
-static void list_instance(struct cw_node *node, const struct cw_listed *listed);
-static void node_load(struct cw_node *node, uint64_t server, const struct cw_load *load);
-static void node_poll(struct cw_node *node);
+#define SWEEP_INTERVAL_MS   5000   /* between two removals of expired state */
+#define MEMBER_RETENTION_MS 600000 /* of members and servers that are no longer listed */
+#define JOIN_DELAY_MS	    3000   /* before a new instance gets a share of the limits */
+
+static void node_apply_settings(struct cw_node *node);
+static void node_apply_list(struct cw_node *node, const struct cw_listed *members, size_t count);
+static void apply_listed_server(struct cw_node *node, const struct cw_listed *listed);
+static void apply_listed_instance(struct cw_node *node, const struct cw_listed *listed);
+static void node_apply_load_report(struct cw_node *node, uint64_t server,
+				   const struct cw_load *load);
+static void node_poll_loads(struct cw_node *node);
 static void node_divide_limits(struct cw_node *node);
-static void node_expire(struct cw_node *node);
-static void node_stop(struct cw_node *node);
-static void node_check_stopped(struct cw_node *node);
-static void node_query(struct cw_node *node, uint64_t handle, enum cw_query query,
-		       const char *text);
-static char *models_answer(struct cw_node *node, const char *organisation);
-static char *status_answer(struct cw_node *node);
+static void node_remove_expired(struct cw_node *node);
+static void node_begin_stop(struct cw_node *node);
+static void node_finish_stop(struct cw_node *node);
+static void node_answer_query(struct cw_node *node, uint64_t handle, enum cw_query query,
+			      const char *text);
+static char *models_to_json(struct cw_node *node, const char *organisation);
+static char *status_to_json(struct cw_node *node);
 
 void cw_node_defaults(struct cw_node_config *config)
 {
@@ -62,13 +61,13 @@
 	node->started_ms = -1;
 	node->next_ticket = 1;
 	node->table = cw_table_create();
-	STAILQ_INIT(&node->table_tail);
+	STAILQ_INIT(&node->table_records);
 	node->claims = cw_claims_create(CW_MAX_CLAIMS, config->claim_window_ms);
-	STAILQ_INIT(&node->lines);
-	STAILQ_INIT(&node->lines_out);
+	STAILQ_INIT(&node->claim_entries);
+	STAILQ_INIT(&node->claim_entries_sent);
 	node->ledger = cw_ledger_create();
 	node->bills_origin = g_strdup("");
-	node->bills_end = 1;
+	node->bills_end_offset = 1;
 	node->membership =
 		cw_membership_create(config->instance, config->failure_domain, config->silent_ms);
 	node->pool = cw_pool_create(config->choice);
@@ -82,10 +81,10 @@
 	LIST_INIT(&node->free_requests);
 	node->by_handle = g_hash_table_new(g_int64_hash, g_int64_equal);
 	node->ratings_sent = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	node->ratings_seen = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+	node->ratings_received = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	node->next_rating = 1;
 	log_open(node);
-	node_learn_settings(node);
+	node_apply_settings(node);
 	return node;
 }
 
@@ -118,7 +117,7 @@
 	cw_quarantine_destroy(node->quarantine);
 	g_hash_table_destroy(node->by_handle);
 	g_hash_table_destroy(node->ratings_sent);
-	g_hash_table_destroy(node->ratings_seen);
+	g_hash_table_destroy(node->ratings_received);
 	g_rand_free(node->random);
 	g_free(node->bills_origin);
 	g_free(node);
@@ -142,60 +141,60 @@
 	case CW_EVENT_ATTEMPT_END:
 		request_attempt_end(node, event->attempt);
 		break;
-	case CW_EVENT_CALLER_GONE:
-		request_caller_gone(node, event->gone);
+	case CW_EVENT_CALLER_DISCONNECTED:
+		request_caller_gone(node, event->disconnected_handle);
 		break;
 	case CW_EVENT_RECORDS:
-		log_records(node, event->records);
+		log_handle_records(node, event->records);
 		break;
 	case CW_EVENT_APPENDED:
-		log_appended(node, event->appended);
+		log_handle_append(node, event->appended);
 		break;
 	case CW_EVENT_PEER:
-		gossip_message(node, event->peer.data, event->peer.size);
+		gossip_handle_message(node, event->peer.data, event->peer.size);
 		break;
 	case CW_EVENT_LIST:
-		node_list(node, event->list.members, event->list.count);
+		node_apply_list(node, event->list.members, event->list.count);
 		break;
 	case CW_EVENT_LOAD:
-		node_load(node, event->load.server, event->load.load);
+		node_apply_load_report(node, event->load.server, event->load.load);
 		break;
 	case CW_EVENT_RATED:
 		if (event->rated.score >= 0)
-			gossip_rating(node, event->rated.task, event->rated.common,
-				      event->rated.version, event->rated.score,
-				      event->rated.tokens);
+			gossip_add_rating(node, event->rated.task, event->rated.common,
+					  event->rated.version, event->rated.score,
+					  event->rated.tokens);
 		request_rated(node, event->rated.handle, event->rated.score);
 		break;
 	case CW_EVENT_ORDERED:
-		rollout_ordered(node, event->ordered.ticket, event->ordered.status);
+		rollout_handle_order_result(node, event->ordered.ticket, event->ordered.status);
 		break;
 	case CW_EVENT_STOP:
-		node_stop(node);
+		node_begin_stop(node);
 		break;
 	case CW_EVENT_QUERY:
-		node_query(node, event->query.handle, event->query.query, event->query.text);
+		node_answer_query(node, event->query.handle, event->query.query, event->query.text);
 		break;
 	}
 	if (event->kind == CW_EVENT_TICK) {
 		node_divide_limits(node);
-		node_poll(node);
+		node_poll_loads(node);
 		request_tick(node);
 		rollout_tick(node);
-		node_expire(node);
+		node_remove_expired(node);
 	}
 	log_tick(node);
 	claims_tick(node);
 	bills_tick(node);
 	quarantine_tick(node);
 	gossip_tick(node);
-	node_check_stopped(node);
+	node_finish_stop(node);
 	node->effects = NULL;
 }
 
 int cw_node_is_ready(const struct cw_node *node)
 {
-	/* Without a share of the limits it could only refuse: that is not ready. */
+	/* An instance without a share of the limits would reject every request. */
 	return !node->stopping && cw_table_offset(node->table) > 0 &&
 	       cw_limits_has_share(node->limits);
 }
@@ -254,7 +253,7 @@
 	return (uint64_t)g_rand_int(node->random) << 32 | g_rand_int(node->random);
 }
 
-uint64_t node_ticket(struct cw_node *node)
+uint64_t node_new_ticket(struct cw_node *node)
 {
 	return node->next_ticket++;
 }
@@ -264,7 +263,7 @@
 	return node->stopping && node->now_ms - node->stop_ms >= node->config.stop_grace_ms;
 }
 
-static void node_learn_settings(struct cw_node *node)
+static void node_apply_settings(struct cw_node *node)
 {
 	for (size_t i = 0; i < node->config.peer_count; i++) {
 		const struct cw_node_peer *peer = &node->config.peers[i];
@@ -286,18 +285,18 @@
 	cw_pool_track(node->pool, node->id, node->failure_domain);
 }
 
-static void node_list(struct cw_node *node, const struct cw_listed *members, size_t count)
+static void node_apply_list(struct cw_node *node, const struct cw_listed *members, size_t count)
 {
 	for (size_t i = 0; i < count; i++) {
 		if (members[i].is_instance)
-			list_instance(node, &members[i]);
+			apply_listed_instance(node, &members[i]);
 		else
-			list_server(node, &members[i]);
+			apply_listed_server(node, &members[i]);
 	}
 	cw_pool_track(node->pool, node->id, node->failure_domain);
 }
 
-static void list_instance(struct cw_node *node, const struct cw_listed *listed)
+static void apply_listed_instance(struct cw_node *node, const struct cw_listed *listed)
 {
 	struct cw_member *member = cw_membership_learn(
 		node->membership, listed->name, listed->failure_domain, listed->peer_address);
@@ -306,7 +305,7 @@
 		cw_membership_listed(member, listed->leaving, node->now_ms);
 }
 
-static void list_server(struct cw_node *node, const struct cw_listed *listed)
+static void apply_listed_server(struct cw_node *node, const struct cw_listed *listed)
 {
 	struct cw_server *server =
 		cw_pool_learn(node->pool, listed->name, listed->service, listed->address,
@@ -321,7 +320,7 @@
 	server->listed_ms = node->now_ms;
 }
 
-static void node_load(struct cw_node *node, uint64_t id, const struct cw_load *load)
+static void node_apply_load_report(struct cw_node *node, uint64_t id, const struct cw_load *load)
 {
 	struct cw_server *server = cw_pool_find(node->pool, id);
 
@@ -329,9 +328,9 @@
 		cw_pool_reported(server, load, node->now_ms);
 }
 
-/* A report's way must end before the next look, and looks at many servers are spread over the
- * period. */
-static void node_poll(struct cw_node *node)
+/* Polls of one server are at least 3/4 of load_poll_ms apart, so that a load report arrives before
+ * the next poll; jitter spreads the polls of many servers over the interval. */
+static void node_poll_loads(struct cw_node *node)
 {
 	struct cw_server *server;
 
@@ -350,16 +349,17 @@
 }
 
 /*
- * Base shares are equal parts by the number of instances known, in the order of their ids. One that
- * falls silent keeps its part: it may be cut off and serving. A new one holds none until its peers
- * have had time to count it; taking it at once would let the sum pass the limit.
+ * Base shares are equal parts by the number of known instances, in the order of their ids. A silent
+ * instance keeps its share: it may still serve on the other side of a network partition. A new
+ * instance gets no share until its peers have had time to count it; otherwise the sum of the shares
+ * would exceed the limit.
  */
 static void node_divide_limits(struct cw_node *node)
 {
 	const struct cw_member *member;
 	size_t rank = 0;
 
-	if (node->now_ms - node->started_ms < JOIN_MS &&
+	if (node->now_ms - node->started_ms < JOIN_DELAY_MS &&
 	    cw_membership_live(node->membership, node->now_ms) <
 		    cw_membership_size(node->membership)) {
 		cw_limits_divide(node->limits, 0, 0);
@@ -370,41 +370,42 @@
 	cw_limits_divide(node->limits, cw_membership_size(node->membership), rank);
 }
 
-static void node_expire(struct cw_node *node)
+static void node_remove_expired(struct cw_node *node)
 {
 	struct cw_server *server;
 
 	if (node->now_ms < node->expire_due_ms)
 		return;
-	node->expire_due_ms = node->now_ms + EXPIRE_MS;
+	node->expire_due_ms = node->now_ms + SWEEP_INTERVAL_MS;
 	cw_session_expire(node->sessions, node->now_ms, node->config.session_idle_ms);
-	cw_membership_forget(node->membership, node->now_ms, FORGET_MEMBER_MS);
+	cw_membership_forget(node->membership, node->now_ms, MEMBER_RETENTION_MS);
 	server = TAILQ_FIRST(cw_pool_servers(node->pool));
 	while (server) {
 		struct cw_server *next = TAILQ_NEXT(server, link);
 
 		if (!server->configured && server->own_running == 0 && server->listed_ms >= 0 &&
-		    node->now_ms - server->listed_ms > FORGET_MEMBER_MS)
+		    node->now_ms - server->listed_ms > MEMBER_RETENTION_MS)
 			cw_pool_forget(node->pool, server);
 		server = next;
 	}
 }
 
-static void node_stop(struct cw_node *node)
+static void node_begin_stop(struct cw_node *node)
 {
 	if (node->stopping)
 		return;
 	node->stopping = 1;
 	node->stop_ms = node->now_ms;
 	node_event(node, "node", "leaving", "running=%zu", node->running);
-	gossip_heartbeats(node);
+	gossip_send_heartbeats(node);
 }
 
-static void node_check_stopped(struct cw_node *node)
+static void node_finish_stop(struct cw_node *node)
 {
-	if (!node_refuses_new(node) || node->stopped || node->running > 0 || !bills_are_done(node))
+	if (!node_refuses_new(node) || node->stopped || node->running > 0 ||
+	    !bills_allow_stop(node))
 		return;
-	if (!STAILQ_EMPTY(&node->lines) || !STAILQ_EMPTY(&node->lines_out))
+	if (!STAILQ_EMPTY(&node->claim_entries) || !STAILQ_EMPTY(&node->claim_entries_sent))
 		return;
 	node->stopped = 1;
 	node_event(node, "node", "stopped", "took_ms=%" G_GINT64_FORMAT,
@@ -412,7 +413,8 @@
 	node_effect(node, CW_EFFECT_STOPPED, 0);
 }
 
-static void node_query(struct cw_node *node, uint64_t handle, enum cw_query query, const char *text)
+static void node_answer_query(struct cw_node *node, uint64_t handle, enum cw_query query,
+			      const char *text)
 {
 	struct cw_effect *effect = node_effect(node, CW_EFFECT_REPLY, handle);
 	const char *organisation;
@@ -420,27 +422,27 @@
 	effect->replay.status = 200;
 	switch (query) {
 	case CW_QUERY_STATUS:
-		effect->replay.answer = status_answer(node);
+		effect->replay.answer = status_to_json(node);
 		break;
 	case CW_QUERY_MODELS:
 		organisation = text ? cw_table_organisation(node->table, text) : NULL;
 		if (organisation)
-			effect->replay.answer = models_answer(node, organisation);
+			effect->replay.answer = models_to_json(node, organisation);
 		else
 			effect->replay.status = 401;
 		break;
 	case CW_QUERY_QUARANTINE:
-		effect->replay.answer = quarantine_answer(node);
+		effect->replay.answer = quarantine_to_json(node);
 		break;
 	case CW_QUERY_RELEASE:
 		if (!quarantine_release(node, text))
 			effect->replay.status = 404;
-		effect->replay.answer = quarantine_answer(node);
+		effect->replay.answer = quarantine_to_json(node);
 		break;
 	}
 }
 
-static char *models_answer(struct cw_node *node, const char *organisation)
+static char *models_to_json(struct cw_node *node, const char *organisation)
 {
 	const struct cw_row_list *rows = cw_table_organisation_rows(node->table, organisation);
 	struct json_object *answer = json_object_new_object();
@@ -470,7 +472,7 @@
 	return text;
 }
 
-static char *status_answer(struct cw_node *node)
+static char *status_to_json(struct cw_node *node)
 {
 	struct json_object *answer = json_object_new_object();
 	struct json_object *members = json_object_new_array();
--- a/packages/node/src/node_bills.c
+++ b/packages/node/src/node_bills.c
@@ -3,50 +3,50 @@
 
 #include <string.h>
 
-#define MIRROR_CHECK_MS	 1000
-#define ASK_ORIGIN_MS	 5000
-#define BILLS_RETRY_MS	 100
-#define BILL_HOMES	 2
-#define STOP_PATIENCE_MS 10000
-#define READ_BACK_LIMIT	 0 /* no wait: only what is there */
-
-static char *bill_text(struct request *request, const char *id);
-static void send_bills(struct cw_node *node);
+#define MIRROR_CHECK_MS	  1000
+#define ORIGIN_QUERY_MS	  5000
+#define BILLS_RETRY_MS	  100
+#define BILL_MIRRORS	  2
+#define STOP_LOG_WAIT_MS  10000
+#define READ_BACK_WAIT_MS 0 /* no wait: only what is there */
+
+static char *bill_to_json(struct request *request, const char *id);
+static void append_bills(struct cw_node *node);
 static void read_back(struct cw_node *node, uint64_t from);
-static void ask_origins(struct cw_node *node);
-static void take_over(struct cw_node *node);
-static char *origin_name(const char *instance, uint64_t boot); /* g_free */
-static int origin_is_gone(struct cw_node *node, const char *origin);
-static void tell_settled(struct cw_node *node, struct cw_bill_list *settled);
-static void tell_home(struct cw_node *node, const struct cw_member *member,
-		      const struct cw_bill_list *settled);
-static void bills_retry(struct cw_node *node);
+static void query_origins(struct cw_node *node);
+static void take_over_mirrors(struct cw_node *node);
+static char *format_origin(const char *instance, uint64_t boot); /* g_free */
+static int is_origin_unavailable(struct cw_node *node, const char *origin);
+static void announce_settled(struct cw_node *node, struct cw_bill_list *settled);
+static void announce_settled_to(struct cw_node *node, const struct cw_member *member,
+				const struct cw_bill_list *settled);
+static void schedule_bills_retry(struct cw_node *node);
 
 void bills_add(struct cw_node *node, struct request *request)
 {
-	struct cw_member *homes[BILL_HOMES];
+	struct cw_member *mirrors[BILL_MIRRORS];
 	char id[CW_NAME_MAX + CW_ID_MAX + 2];
-	char *text = bill_text(request, request->in.request_id);
+	char *text = bill_to_json(request, request->in.request_id);
 	struct peer_message message = {0};
 	struct peer_bill item;
 	struct cw_bill *bill;
 	size_t count;
 
 	g_snprintf(id, sizeof(id), "%s/%s", request->organisation, request->in.request_id);
-	bill = cw_ledger_add(node->ledger, id, text, "", node->bills_end, node->now_ms);
+	bill = cw_ledger_add(node->ledger, id, text, "", node->bills_end_offset, node->now_ms);
 	if (node->bills_due_ms == 0)
 		node->bills_due_ms = node->now_ms + node->config.bill_flush_ms;
 	item.id = id;
 	item.text = text;
 	message.body.kind = PEER_BILLS;
-	message.body.peer_body_u.bills.noted = node->bills_end;
+	message.body.peer_body_u.bills.noted = node->bills_end_offset;
 	message.body.peer_body_u.bills.list.list_len = 1;
 	message.body.peer_body_u.bills.list.list_val = &item;
-	count = cw_membership_homes(node->membership, cw_hash_text(id, 8), node->now_ms, homes,
-				    BILL_HOMES);
+	count = cw_membership_homes(node->membership, cw_hash_text(id, 8), node->now_ms, mirrors,
+				    BILL_MIRRORS);
 	for (size_t i = 0; i < count; i++) {
-		bill->homes[i] = homes[i]->id;
-		gossip_send(node, homes[i], &message);
+		bill->homes[i] = mirrors[i]->id;
+		gossip_send(node, mirrors[i], &message);
 	}
 	g_free(text);
 	/* Nobody is there to hold it: waiting would help nobody. */
@@ -56,11 +56,11 @@
 
 /* Held for its origin, whose run the name carries: a restarted origin knows its old bills no more.
  */
-void bills_mirrored(struct cw_node *node, const char *from, uint64_t boot,
-		    const struct peer_bills *bills)
+void bills_store_mirrors(struct cw_node *node, const char *from, uint64_t boot,
+			 const struct peer_bills *bills)
 {
 	struct cw_member *member = cw_membership_find(node->membership, from);
-	char *origin = origin_name(from, boot);
+	char *origin = format_origin(from, boot);
 	struct peer_message message = {0};
 
 	for (u_int i = 0; i < bills->list.list_len; i++)
@@ -79,7 +79,8 @@
  * may have been lost, or have come before the bill itself. The mirror would else hold it for ever,
  * and append it when this instance is gone.
  */
-void bills_held(struct cw_node *node, const struct cw_member *from, const struct peer_bills *bills)
+void bills_mark_mirrored(struct cw_node *node, const struct cw_member *from,
+			 const struct peer_bills *bills)
 {
 	struct peer_message message = {0};
 	struct peer_bill settled[CW_BILL_BATCH];
@@ -103,10 +104,10 @@
 }
 
 /* Only the run that made a bill can know that it stands: a restarted origin knows none of them. */
-void bills_settled(struct cw_node *node, const char *from, uint64_t boot,
-		   const struct peer_bills *bills)
+void bills_settle_mirrors(struct cw_node *node, const char *from, uint64_t boot,
+			  const struct peer_bills *bills)
 {
-	char *origin = origin_name(from, boot);
+	char *origin = format_origin(from, boot);
 
 	for (u_int i = 0; i < bills->list.list_len; i++) {
 		struct cw_bill *bill = cw_ledger_find(node->ledger, bills->list.list_val[i].id);
@@ -117,7 +118,7 @@
 	g_free(origin);
 }
 
-void bills_appended(struct cw_node *node, const struct cw_appended *appended)
+void bills_handle_append(struct cw_node *node, const struct cw_appended *appended)
 {
 	struct cw_bill_list settled = TAILQ_HEAD_INITIALIZER(settled);
 
@@ -125,9 +126,9 @@
 		return;
 	node->bills_state = BILLS_IDLE;
 	if (appended->status == CW_OK) {
-		node->bills_end = MAX(node->bills_end, appended->offset + 1);
+		node->bills_end_offset = MAX(node->bills_end_offset, appended->offset + 1);
 		cw_ledger_append_done(node->ledger, appended->ticket, &settled);
-		tell_settled(node, &settled);
+		announce_settled(node, &settled);
 		node->bills_due_ms = 0;
 		return;
 	}
@@ -137,47 +138,47 @@
 	 * shows as two offsets with one id. So read back first, from the end noted before the try.
 	 */
 	if (appended->status == CW_UNKNOWN)
-		node->bills_uncertain = 1;
-	bills_retry(node);
+		node->bills_need_read_back = 1;
+	schedule_bills_retry(node);
 }
 
-void bills_records(struct cw_node *node, const struct cw_records *records)
+void bills_handle_records(struct cw_node *node, const struct cw_records *records)
 {
 	if (node->bills_state != BILLS_READING_BACK || records->ticket != node->bills_ticket)
 		return;
-	if (records->status == CW_EXPIRED && records->first > node->bills_from) {
+	if (records->status == CW_EXPIRED && records->first > node->bills_read_offset) {
 		read_back(node, records->first);
 		return;
 	}
 	if (records->status != CW_OK) {
 		node->bills_state = BILLS_IDLE;
-		bills_retry(node);
+		schedule_bills_retry(node);
 		return;
 	}
 	for (size_t i = 0; i < records->count; i++) {
 		cw_ledger_settle_record(node->ledger, records->list[i].data);
-		node->bills_from = MAX(node->bills_from, records->list[i].offset + 1);
+		node->bills_read_offset = MAX(node->bills_read_offset, records->list[i].offset + 1);
 	}
 	if (records->count > 0) {
-		read_back(node, node->bills_from);
+		read_back(node, node->bills_read_offset);
 		return;
 	}
 	/* The end: what is still held was not kept. */
-	node->bills_end = MAX(node->bills_end, node->bills_from);
-	node->bills_uncertain = 0;
+	node->bills_end_offset = MAX(node->bills_end_offset, node->bills_read_offset);
+	node->bills_need_read_back = 0;
 	node->bills_state = BILLS_IDLE;
-	send_bills(node);
+	append_bills(node);
 }
 
 void bills_tick(struct cw_node *node)
 {
 	if (node->bills_state != BILLS_IDLE)
 		return;
-	if (node->now_ms >= node->mirror_due_ms) {
-		node->mirror_due_ms = node->now_ms + MIRROR_CHECK_MS +
-				      (int64_t)(node_random(node) % MIRROR_CHECK_MS);
-		ask_origins(node);
-		take_over(node);
+	if (node->now_ms >= node->mirror_check_due_ms) {
+		node->mirror_check_due_ms = node->now_ms + MIRROR_CHECK_MS +
+					    (int64_t)(node_random(node) % MIRROR_CHECK_MS);
+		query_origins(node);
+		take_over_mirrors(node);
 		if (node->bills_state != BILLS_IDLE)
 			return;
 	}
@@ -191,23 +192,23 @@
 		return;
 	g_free(node->bills_origin);
 	node->bills_origin = g_strdup("");
-	if (node->bills_uncertain)
+	if (node->bills_need_read_back)
 		read_back(node, cw_ledger_oldest_noted(node->ledger, ""));
 	else
-		send_bills(node);
+		append_bills(node);
 }
 
 /*
  * A stopping instance waits for its bills to stand in the log. While the log is out for long it may
  * go all the same once every bill is held by a peer, which appends them when this instance is gone.
  */
-int bills_are_done(const struct cw_node *node)
+int bills_allow_stop(const struct cw_node *node)
 {
 	const struct cw_bill *bill;
 
 	if (cw_ledger_count(node->ledger, "") == 0)
 		return node->bills_state == BILLS_IDLE;
-	if (node->now_ms - node->stop_ms < node->config.stop_grace_ms + STOP_PATIENCE_MS)
+	if (node->now_ms - node->stop_ms < node->config.stop_grace_ms + STOP_LOG_WAIT_MS)
 		return 0;
 	TAILQ_FOREACH(bill, cw_ledger_bills(node->ledger), link) {
 		if (!*bill->origin && !bill->mirrored)
@@ -218,7 +219,7 @@
 
 /* Mirrors held for long: their origin is told again that they are held, and says what has settled.
  */
-static void ask_origins(struct cw_node *node)
+static void query_origins(struct cw_node *node)
 {
 	struct cw_bill *bill;
 
@@ -228,8 +229,8 @@
 		struct cw_member *origin;
 		char **parts;
 
-		if (!*bill->origin || origin_is_gone(node, bill->origin) ||
-		    node->now_ms - MAX(bill->asked_ms, bill->made_ms) < ASK_ORIGIN_MS)
+		if (!*bill->origin || is_origin_unavailable(node, bill->origin) ||
+		    node->now_ms - MAX(bill->asked_ms, bill->made_ms) < ORIGIN_QUERY_MS)
 			continue;
 		bill->asked_ms = node->now_ms;
 		parts = g_strsplit(bill->origin, "#", 2);
@@ -245,12 +246,12 @@
 }
 
 /* Mirrors of an origin that is gone: what the log lacks is appended here. */
-static void take_over(struct cw_node *node)
+static void take_over_mirrors(struct cw_node *node)
 {
 	const struct cw_bill *bill;
 
 	TAILQ_FOREACH(bill, cw_ledger_bills(node->ledger), link) {
-		if (!*bill->origin || !origin_is_gone(node, bill->origin))
+		if (!*bill->origin || !is_origin_unavailable(node, bill->origin))
 			continue;
 		g_free(node->bills_origin);
 		node->bills_origin = g_strdup(bill->origin);
@@ -261,12 +262,12 @@
 	}
 }
 
-static char *origin_name(const char *instance, uint64_t boot)
+static char *format_origin(const char *instance, uint64_t boot)
 {
 	return g_strdup_printf("%s#%" G_GUINT64_FORMAT, instance, boot);
 }
 
-static int origin_is_gone(struct cw_node *node, const char *origin)
+static int is_origin_unavailable(struct cw_node *node, const char *origin)
 {
 	char **parts = g_strsplit(origin, "#", 2);
 	const struct cw_member *member = cw_membership_find(node->membership, parts[0]);
@@ -278,7 +279,7 @@
 	return gone;
 }
 
-static void send_bills(struct cw_node *node)
+static void append_bills(struct cw_node *node)
 {
 	char *record;
 	uint64_t ticket;
@@ -298,29 +299,30 @@
 static void read_back(struct cw_node *node, uint64_t from)
 {
 	if (from == UINT64_MAX) {
-		node->bills_uncertain = 0;
+		node->bills_need_read_back = 0;
 		node->bills_state = BILLS_IDLE;
 		return;
 	}
-	node->bills_from = MAX(from, 1);
-	node->bills_ticket = node_ticket(node);
+	node->bills_read_offset = MAX(from, 1);
+	node->bills_ticket = node_new_ticket(node);
 	node->bills_state = BILLS_READING_BACK;
-	log_read(node, CW_STREAM_BILLS, node->bills_ticket, node->bills_from, READ_BACK_LIMIT);
+	log_read(node, CW_STREAM_BILLS, node->bills_ticket, node->bills_read_offset,
+		 READ_BACK_WAIT_MS);
 }
 
-static void bills_retry(struct cw_node *node)
+static void schedule_bills_retry(struct cw_node *node)
 {
 	node->bills_due_ms =
 		node->now_ms + BILLS_RETRY_MS + (int64_t)(node_random(node) % BILLS_RETRY_MS);
 }
 
-static void tell_settled(struct cw_node *node, struct cw_bill_list *settled)
+static void announce_settled(struct cw_node *node, struct cw_bill_list *settled)
 {
 	const struct cw_member *member;
 	struct cw_bill *bill;
 
 	TAILQ_FOREACH(member, cw_membership_members(node->membership), link)
-		tell_home(node, member, settled);
+		announce_settled_to(node, member, settled);
 	while ((bill = TAILQ_FIRST(settled))) {
 		TAILQ_REMOVE(settled, bill, link);
 		request_bill_safe(node, bill->id);
@@ -329,8 +331,8 @@
 }
 
 /* Only who was sent a bill need hear that it stands: at full size the others are hundreds. */
-static void tell_home(struct cw_node *node, const struct cw_member *member,
-		      const struct cw_bill_list *settled)
+static void announce_settled_to(struct cw_node *node, const struct cw_member *member,
+				const struct cw_bill_list *settled)
 {
 	struct peer_message message = {0};
 	struct peer_bill items[CW_BILL_BATCH];
@@ -351,7 +353,7 @@
 	gossip_send(node, member, &message);
 }
 
-static char *bill_text(struct request *request, const char *id)
+static char *bill_to_json(struct request *request, const char *id)
 {
 	struct json_object *bill = json_object_new_object();
 	struct json_object *attempts = json_object_new_array();
--- a/packages/node/src/node_claims.c
+++ b/packages/node/src/node_claims.c
@@ -1,183 +1,190 @@
-/* Appending claims, outcomes and releases in batches, and keeping guarded keys in the log. */
+/*
+ * Appends claims, outcomes and releases to the claims stream in batches, and checkpoints: all
+ * claimed keys again, then a floor, before the records that hold them expire.
+ */
 #include "node_internal.h"
 
 #include <string.h>
 
-#define LINES_RETRY_MS 50
-#define KEPT_STEP_MS   500 /* between the turns of live instances to append kept keys */
-#define KEPT_BATCH     256
+#define APPEND_RETRY_MS		 50
+#define CHECKPOINT_RANK_DELAY_MS 500 /* added delay for each rank among the live instances */
+#define CHECKPOINT_BATCH_KEYS	 256
 
-static void send_lines(struct cw_node *node);
-static struct line *line_create(const struct cw_claim *claim, int kind, int status,
-				const char *answer);
-static void line_destroy(struct line *line);
-static void plan_kept(struct cw_node *node);
-static int wants_kept(const struct cw_node *node);
-static void send_kept(struct cw_node *node);
+static void append_claim_entries(struct cw_node *node);
+static struct claim_entry *claim_entry_create(const struct cw_claim *claim, int kind, int status,
+					      const char *answer);
+static void claim_entry_destroy(struct claim_entry *entry);
+static void schedule_checkpoint(struct cw_node *node);
+static int is_checkpoint_due(const struct cw_node *node);
+static void append_checkpoint(struct cw_node *node);
 
 void log_line(struct cw_node *node, const struct cw_claim *claim, int kind, int status,
 	      const char *answer)
 {
-	struct line *line = line_create(claim, kind, status, answer);
+	struct claim_entry *entry = claim_entry_create(claim, kind, status, answer);
 
-	STAILQ_INSERT_TAIL(&node->lines, line, link);
+	STAILQ_INSERT_TAIL(&node->claim_entries, entry, link);
 }
 
 void claims_tick(struct cw_node *node)
 {
-	if (!node->lines_ticket && !STAILQ_EMPTY(&node->lines) &&
-	    node->now_ms >= node->lines_retry_ms)
-		send_lines(node);
-	plan_kept(node);
+	if (!node->claim_entries_ticket && !STAILQ_EMPTY(&node->claim_entries) &&
+	    node->now_ms >= node->claim_entries_retry_ms)
+		append_claim_entries(node);
+	schedule_checkpoint(node);
 }
 
-void claims_appended(struct cw_node *node, const struct cw_appended *appended)
+void claims_handle_append(struct cw_node *node, const struct cw_appended *appended)
 {
-	struct line *line;
+	struct claim_entry *entry;
 
-	if (appended->ticket == node->kept_ticket && node->kept_ticket) {
-		node->kept_ticket = 0;
-		/* A floor that stands without its keys would hide them: any doubt starts the cycle
-		 * anew. */
+	if (appended->ticket == node->checkpoint_ticket && node->checkpoint_ticket) {
+		node->checkpoint_ticket = 0;
+		/* A floor in the log without all of its keys would hide the missing keys. So any
+		 * append that was not confirmed starts the checkpoint again. */
 		if (appended->status != CW_OK)
-			node->kept_floor = 0;
+			node->checkpoint_floor = 0;
 		return;
 	}
-	if (appended->ticket != node->lines_ticket || !node->lines_ticket)
+	if (appended->ticket != node->claim_entries_ticket || !node->claim_entries_ticket)
 		return;
-	node->lines_ticket = 0;
+	node->claim_entries_ticket = 0;
 	if (appended->status != CW_OK) {
 		/*
-		 * It may have been kept. Appending the same lines again is harmless: the fold knows
-		 * a claim by its own number, and an outcome or a release counts once.
+		 * The record may have been stored. Appending the same entries again is harmless: a
+		 * claim is identified by its own number, and an outcome or a release counts once.
 		 */
-		STAILQ_CONCAT(&node->lines_out, &node->lines);
-		STAILQ_CONCAT(&node->lines, &node->lines_out);
-		node->lines_retry_ms = node->now_ms + LINES_RETRY_MS +
-				       (int64_t)(node_random(node) % LINES_RETRY_MS);
+		STAILQ_CONCAT(&node->claim_entries_sent, &node->claim_entries);
+		STAILQ_CONCAT(&node->claim_entries, &node->claim_entries_sent);
+		node->claim_entries_retry_ms = node->now_ms + APPEND_RETRY_MS +
+					       (int64_t)(node_random(node) % APPEND_RETRY_MS);
 		return;
 	}
-	while ((line = STAILQ_FIRST(&node->lines_out))) {
-		STAILQ_REMOVE_HEAD(&node->lines_out, link);
-		line_destroy(line);
+	while ((entry = STAILQ_FIRST(&node->claim_entries_sent))) {
+		STAILQ_REMOVE_HEAD(&node->claim_entries_sent, link);
+		claim_entry_destroy(entry);
 	}
 }
 
-void claims_folded(struct cw_node *node)
+void claims_notify_requests(struct cw_node *node)
 {
 	request_claims_changed(node);
 }
 
 void claims_close(struct cw_node *node)
 {
-	struct line *line;
+	struct claim_entry *entry;
 
-	STAILQ_CONCAT(&node->lines, &node->lines_out);
-	while ((line = STAILQ_FIRST(&node->lines))) {
-		STAILQ_REMOVE_HEAD(&node->lines, link);
-		line_destroy(line);
+	STAILQ_CONCAT(&node->claim_entries, &node->claim_entries_sent);
+	while ((entry = STAILQ_FIRST(&node->claim_entries))) {
+		STAILQ_REMOVE_HEAD(&node->claim_entries, link);
+		claim_entry_destroy(entry);
 	}
 }
 
-/* One append is out at a time; what comes meanwhile shares the next one. */
-static void send_lines(struct cw_node *node)
+/* One append is in progress at a time; entries queued meanwhile share the next one. */
+static void append_claim_entries(struct cw_node *node)
 {
 	struct json_object *record = json_object_new_object();
-	struct line *line;
+	struct claim_entry *entry;
 	size_t count = 0;
 
-	while (count < CW_CLAIM_BATCH && (line = STAILQ_FIRST(&node->lines))) {
-		STAILQ_REMOVE_HEAD(&node->lines, link);
-		STAILQ_INSERT_TAIL(&node->lines_out, line, link);
-		if (line->kind == LINE_CLAIM)
-			cw_claims_add_claim(record, &line->claim);
-		else if (line->kind == LINE_OUTCOME)
-			cw_claims_add_outcome(record, &line->claim, line->status, line->answer);
+	while (count < CW_CLAIM_BATCH && (entry = STAILQ_FIRST(&node->claim_entries))) {
+		STAILQ_REMOVE_HEAD(&node->claim_entries, link);
+		STAILQ_INSERT_TAIL(&node->claim_entries_sent, entry, link);
+		if (entry->kind == LINE_CLAIM)
+			cw_claims_add_claim(record, &entry->claim);
+		else if (entry->kind == LINE_OUTCOME)
+			cw_claims_add_outcome(record, &entry->claim, entry->status, entry->answer);
 		else
-			cw_claims_add_release(record, &line->claim);
+			cw_claims_add_release(record, &entry->claim);
 		count++;
 	}
-	node->lines_ticket = log_append(
+	node->claim_entries_ticket = log_append(
 		node, CW_STREAM_CLAIMS,
 		g_strdup(json_object_to_json_string_ext(record, JSON_C_TO_STRING_PLAIN)));
 	json_object_put(record);
 }
 
-static struct line *line_create(const struct cw_claim *claim, int kind, int status,
-				const char *answer)
+static struct claim_entry *claim_entry_create(const struct cw_claim *claim, int kind, int status,
+					      const char *answer)
 {
-	struct line *line = g_new0(struct line, 1);
+	struct claim_entry *entry = g_new0(struct claim_entry, 1);
 
-	line->claim = *claim;
-	line->kind = kind;
-	line->status = status;
-	line->answer = g_strdup(answer);
-	return line;
+	entry->claim = *claim;
+	entry->kind = kind;
+	entry->status = status;
+	entry->answer = g_strdup(answer);
+	return entry;
 }
 
-static void line_destroy(struct line *line)
+static void claim_entry_destroy(struct claim_entry *entry)
 {
-	g_free(line->answer);
-	g_free(line);
+	g_free(entry->answer);
+	g_free(entry);
 }
 
-static void plan_kept(struct cw_node *node)
+static void schedule_checkpoint(struct cw_node *node)
 {
 	size_t rank;
 
-	if (node->kept_ticket)
+	if (node->checkpoint_ticket)
 		return;
-	if (node->kept_floor) {
-		send_kept(node);
+	if (node->checkpoint_floor) {
+		append_checkpoint(node);
 		return;
 	}
-	if (!wants_kept(node)) {
-		node->kept_due_ms = 0;
+	if (!is_checkpoint_due(node)) {
+		node->checkpoint_due_ms = 0;
 		return;
 	}
-	if (node->kept_due_ms == 0) {
+	if (node->checkpoint_due_ms == 0) {
 		rank = cw_membership_rank(node->membership,
 					  cw_hash_text("kept", cw_claims_floor(node->claims)),
 					  node->now_ms);
-		node->kept_due_ms = node->now_ms + 1 + KEPT_STEP_MS * (int64_t)rank +
-				    (int64_t)(node_random(node) % KEPT_STEP_MS / 2);
+		node->checkpoint_due_ms =
+			node->now_ms + 1 + CHECKPOINT_RANK_DELAY_MS * (int64_t)rank +
+			(int64_t)(node_random(node) % CHECKPOINT_RANK_DELAY_MS / 2);
 	}
-	if (node->now_ms < node->kept_due_ms)
+	if (node->now_ms < node->checkpoint_due_ms)
 		return;
-	node->kept_due_ms = 0;
-	node->kept_after = 0;
-	node->kept_floor = cw_claims_offset(node->claims) + 1;
-	send_kept(node);
+	node->checkpoint_due_ms = 0;
+	node->checkpoint_after = 0;
+	node->checkpoint_floor = cw_claims_offset(node->claims) + 1;
+	append_checkpoint(node);
 }
 
-static int wants_kept(const struct cw_node *node)
+static int is_checkpoint_due(const struct cw_node *node)
 {
-	const struct feed *feed = &node->feeds[CW_STREAM_CLAIMS];
+	const struct log_reader *reader = &node->log_readers[CW_STREAM_CLAIMS];
 	uint64_t floor = cw_claims_floor(node->claims);
 
 	if (!log_is_up(node, CW_STREAM_CLAIMS) || !cw_claims_is_complete(node->claims))
 		return 0;
-	if (feed->first > 1 && floor < feed->first + (feed->next - feed->first) / 2)
+	if (reader->oldest_offset > 1 &&
+	    floor < reader->oldest_offset + (reader->next_offset - reader->oldest_offset) / 2)
 		return 1;
-	/* Nothing new stands behind the floor: what it covers ages all the same. */
+	/* The checkpointed records age as well, even if no claim was added after the floor. */
 	if (cw_claims_count(node->claims) == 0)
 		return 0;
-	return node->kept_wall_ms &&
-	       node->wall_ms - node->kept_wall_ms > node->config.log_retention_ms / 2;
+	return node->checkpoint_wall_ms &&
+	       node->wall_ms - node->checkpoint_wall_ms > node->config.log_retention_ms / 2;
 }
 
-static void send_kept(struct cw_node *node)
+static void append_checkpoint(struct cw_node *node)
 {
 	struct json_object *record = json_object_new_object();
-	uint64_t last = node->kept_after;
-
-	if (cw_claims_add_kept(node->claims, record, node->kept_after, KEPT_BATCH, &last) == 0) {
-		cw_claims_add_floor(record, node->kept_floor);
-		node_event(node, "claims", "floor", "floor=%" G_GUINT64_FORMAT, node->kept_floor);
-		node->kept_floor = 0;
+	uint64_t last = node->checkpoint_after;
+
+	if (cw_claims_add_kept(node->claims, record, node->checkpoint_after, CHECKPOINT_BATCH_KEYS,
+			       &last) == 0) {
+		cw_claims_add_floor(record, node->checkpoint_floor);
+		node_event(node, "claims", "floor", "floor=%" G_GUINT64_FORMAT,
+			   node->checkpoint_floor);
+		node->checkpoint_floor = 0;
 	}
-	node->kept_after = last;
-	node->kept_ticket = log_append(
+	node->checkpoint_after = last;
+	node->checkpoint_ticket = log_append(
 		node, CW_STREAM_CLAIMS,
 		g_strdup(json_object_to_json_string_ext(record, JSON_C_TO_STRING_PLAIN)));
 	json_object_put(record);
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -4,18 +4,18 @@
 #include <math.h>
 #include <string.h>
 
-#define FANOUT		  8 /* heartbeats sent a period */
-#define SILENT_ROUNDS	  3 /* rounds of beats missed before a member counts as silent */
-#define HURRY_MS	  50
-#define EVIDENCE_MAX	  128
-#define WANTS_MAX	  32
-#define LOADS_MAX	  128
-#define RATINGS_A_MESSAGE 64
-#define RECORDS_BYTES_MAX (256 * 1024)
-#define THOUSAND	  1000.0
-#define BINDING_HOMES	  2
-
-struct seen_ratings {
+#define HEARTBEAT_FANOUT    8 /* heartbeats sent a period */
+#define SILENT_AFTER_ROUNDS 3 /* rounds of beats missed before a member counts as silent */
+#define EXPEDITED_DELAY_MS  50
+#define EVIDENCE_MAX	    128
+#define WANTS_MAX	    32
+#define LOADS_MAX	    128
+#define RATINGS_PER_MESSAGE 64
+#define RECORDS_BYTES_MAX   (256 * 1024)
+#define SCORE_SCALE	    1000.0
+#define BINDING_OWNERS	    2
+
+struct received_ratings {
 	uint64_t member;
 	uint64_t boot;
 	uint64_t next;
@@ -24,22 +24,22 @@
 static void send_heartbeat(struct cw_node *node, const struct cw_member *member);
 static size_t fill_ratings(struct cw_node *node, const struct cw_member *member,
 			   struct peer_rating *ratings, uint64_t *first);
-static void take_heartbeat(struct cw_node *node, struct cw_member *member,
-			   const struct peer_message *message);
-static void take_evidence(struct cw_node *node, const struct cw_member *member,
-			  const struct peer_heartbeat *beat);
-static void take_ratings(struct cw_node *node, const struct cw_member *member,
-			 const struct peer_heartbeat *beat);
-static void take_loads(struct cw_node *node, const struct peer_heartbeat *beat);
-static void grant(struct cw_node *node, const struct cw_member *member,
-		  const struct peer_heartbeat *beat);
+static void merge_heartbeat(struct cw_node *node, struct cw_member *member,
+			    const struct peer_message *message);
+static void merge_evidence(struct cw_node *node, const struct cw_member *member,
+			   const struct peer_heartbeat *heartbeat);
+static void merge_ratings(struct cw_node *node, const struct cw_member *member,
+			  const struct peer_heartbeat *heartbeat);
+static void merge_loads(struct cw_node *node, const struct peer_heartbeat *heartbeat);
+static void grant_loans(struct cw_node *node, const struct cw_member *member,
+			const struct peer_heartbeat *heartbeat);
 static void send_table(struct cw_node *node, const struct cw_member *member, uint64_t offset);
-static void take_bind(struct cw_node *node, const struct peer_binding *bind, uint64_t handle);
-static void answer_binding(struct cw_node *node, const struct cw_member *member,
-			   const struct peer_binding *ask);
+static void merge_binding(struct cw_node *node, const struct peer_binding *bind, uint64_t handle);
+static void send_binding(struct cw_node *node, const struct cw_member *member,
+			 const struct peer_binding *ask);
 static uint64_t *new_u64(uint64_t value);
 
-void gossip_message(struct cw_node *node, const void *data, size_t size)
+void gossip_handle_message(struct cw_node *node, const void *data, size_t size)
 {
 	struct peer_message message;
 	struct cw_member *member;
@@ -57,7 +57,7 @@
 	}
 	switch (message.body.kind) {
 	case PEER_HEARTBEAT:
-		take_heartbeat(node, member, &message);
+		merge_heartbeat(node, member, &message);
 		break;
 	case PEER_RECORDS:
 		for (u_int i = 0; i < message.body.peer_body_u.records.records_len; i++) {
@@ -65,30 +65,32 @@
 				&message.body.peer_body_u.records.records_val[i];
 			struct cw_log_record record = {peer->offset, peer->time_ms, peer->data};
 
-			log_fold_table(node, &record);
+			log_apply_table_record(node, &record);
 		}
 		break;
 	case PEER_SNAPSHOT:
-		log_load_table(node, message.body.peer_body_u.snapshot);
+		log_load_table_snapshot(node, message.body.peer_body_u.snapshot);
 		break;
 	case PEER_BILLS:
-		bills_mirrored(node, message.from, message.boot, &message.body.peer_body_u.bills);
+		bills_store_mirrors(node, message.from, message.boot,
+				    &message.body.peer_body_u.bills);
 		break;
 	case PEER_BILLS_HELD:
-		bills_held(node, member, &message.body.peer_body_u.held);
+		bills_mark_mirrored(node, member, &message.body.peer_body_u.held);
 		break;
 	case PEER_BILLS_SETTLED:
-		bills_settled(node, message.from, message.boot, &message.body.peer_body_u.settled);
+		bills_settle_mirrors(node, message.from, message.boot,
+				     &message.body.peer_body_u.settled);
 		break;
 	case PEER_BIND:
-		take_bind(node, &message.body.peer_body_u.bind, 0);
+		merge_binding(node, &message.body.peer_body_u.bind, 0);
 		break;
 	case PEER_ASK_BINDING:
-		answer_binding(node, member, &message.body.peer_body_u.ask);
+		send_binding(node, member, &message.body.peer_body_u.ask);
 		break;
 	case PEER_BINDING:
-		take_bind(node, &message.body.peer_body_u.binding,
-			  message.body.peer_body_u.binding.asker);
+		merge_binding(node, &message.body.peer_body_u.binding,
+			      message.body.peer_body_u.binding.asker);
 		break;
 	case PEER_GRANTS:
 		for (u_int i = 0; i < message.body.peer_body_u.grants.list.list_len; i++) {
@@ -110,7 +112,7 @@
  */
 void gossip_tick(struct cw_node *node)
 {
-	struct cw_member *members[FANOUT];
+	struct cw_member *members[HEARTBEAT_FANOUT];
 	uint64_t before = node->gossip_bytes;
 	int64_t period_ms;
 	int64_t round_ms;
@@ -118,28 +120,31 @@
 
 	if (node->now_ms < node->heartbeat_due_ms)
 		return;
-	count = cw_membership_sample(node->membership, node->heartbeat_turn, members, FANOUT);
-	node->heartbeat_turn += count;
+	count = cw_membership_sample(node->membership, node->heartbeat_cursor, members,
+				     HEARTBEAT_FANOUT);
+	node->heartbeat_cursor += count;
 	for (size_t i = 0; i < count; i++)
 		send_heartbeat(node, members[i]);
 	period_ms = (int64_t)(node->gossip_bytes - before) * 1000 / node->config.gossip_bytes_per_s;
 	period_ms = MAX(period_ms, node->config.heartbeat_ms);
-	round_ms =
-		period_ms * (int64_t)((cw_membership_size(node->membership) + FANOUT - 1) / FANOUT);
+	round_ms = period_ms *
+		   (int64_t)((cw_membership_size(node->membership) + HEARTBEAT_FANOUT - 1) /
+			     HEARTBEAT_FANOUT);
 	node->heartbeat_due_ms = node->now_ms + period_ms;
-	node->heartbeat_spare = period_ms == node->config.heartbeat_ms;
+	node->heartbeat_in_budget = period_ms == node->config.heartbeat_ms;
 	cw_membership_set_silent(node->membership,
-				 MAX(node->config.silent_ms, SILENT_ROUNDS * round_ms));
+				 MAX(node->config.silent_ms, SILENT_AFTER_ROUNDS * round_ms));
 }
 
 /* Something a peer should hear sooner than the next beat, where the budget allows it. */
 void gossip_hurry(struct cw_node *node)
 {
-	if (node->heartbeat_spare)
-		node->heartbeat_due_ms = MIN(node->heartbeat_due_ms, node->now_ms + HURRY_MS);
+	if (node->heartbeat_in_budget)
+		node->heartbeat_due_ms =
+			MIN(node->heartbeat_due_ms, node->now_ms + EXPEDITED_DELAY_MS);
 }
 
-void gossip_heartbeats(struct cw_node *node)
+void gossip_send_heartbeats(struct cw_node *node)
 {
 	const struct cw_member *member;
 
@@ -167,10 +172,10 @@
 
 size_t gossip_push_binding(struct cw_node *node, const struct cw_binding *binding)
 {
-	struct cw_member *homes[BINDING_HOMES];
+	struct cw_member *owners[BINDING_OWNERS];
 	struct peer_message message = {0};
-	size_t count = cw_membership_homes(node->membership, binding->key, node->now_ms, homes,
-					   BINDING_HOMES);
+	size_t count = cw_membership_homes(node->membership, binding->key, node->now_ms, owners,
+					   BINDING_OWNERS);
 
 	message.body.kind = PEER_BIND;
 	message.body.peer_body_u.bind.key = binding->key;
@@ -179,16 +184,16 @@
 	message.body.peer_body_u.bind.model = (char *)binding->model;
 	message.body.peer_body_u.bind.model_version = (char *)binding->version;
 	for (size_t i = 0; i < count; i++)
-		gossip_send(node, homes[i], &message);
+		gossip_send(node, owners[i], &message);
 	return count;
 }
 
 size_t gossip_ask_binding(struct cw_node *node, uint64_t key, uint64_t handle)
 {
-	struct cw_member *homes[BINDING_HOMES];
+	struct cw_member *owners[BINDING_OWNERS];
 	struct peer_message message = {0};
 	size_t count =
-		cw_membership_homes(node->membership, key, node->now_ms, homes, BINDING_HOMES);
+		cw_membership_homes(node->membership, key, node->now_ms, owners, BINDING_OWNERS);
 
 	message.body.kind = PEER_ASK_BINDING;
 	message.body.peer_body_u.ask.key = key;
@@ -196,19 +201,19 @@
 	message.body.peer_body_u.ask.model = (char *)"";
 	message.body.peer_body_u.ask.model_version = (char *)"";
 	for (size_t i = 0; i < count; i++)
-		gossip_send(node, homes[i], &message);
+		gossip_send(node, owners[i], &message);
 	return count;
 }
 
-void gossip_rating(struct cw_node *node, uint64_t task, uint64_t common, uint64_t version,
-		   double score, unsigned int tokens)
+void gossip_add_rating(struct cw_node *node, uint64_t task, uint64_t common, uint64_t version,
+		       double score, unsigned int tokens)
 {
-	struct rating *rating = &node->ratings[node->next_rating % RATINGS_KEPT];
+	struct rating *rating = &node->ratings[node->next_rating % RATINGS_RING_LENGTH];
 
 	rating->task = task;
 	rating->common = common;
 	rating->version = version;
-	rating->score = (unsigned int)lround(CLAMP(score, 0, 1) * THOUSAND);
+	rating->score = (unsigned int)lround(CLAMP(score, 0, 1) * SCORE_SCALE);
 	rating->tokens = tokens;
 	node->next_rating++;
 	cw_cascade_rated(node->cascade, task, common, version, score);
@@ -251,52 +256,52 @@
 	struct peer_evidence evidence[EVIDENCE_MAX];
 	struct peer_load loads[LOADS_MAX];
 	struct peer_want wants[WANTS_MAX];
-	struct peer_rating ratings[RATINGS_A_MESSAGE];
+	struct peer_rating ratings[RATINGS_PER_MESSAGE];
 	struct peer_end ends[CW_QUARANTINE_ENDS];
 	struct peer_held held[CW_QUARANTINE_RECORDS];
 	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS];
 	uint64_t rows[WANTS_MAX];
 	uint32_t parts[WANTS_MAX];
 	struct peer_message message = {0};
-	struct peer_heartbeat *beat = &message.body.peer_body_u.heartbeat;
+	struct peer_heartbeat *heartbeat = &message.body.peer_body_u.heartbeat;
 	const struct cw_server *server;
 	size_t count = cw_health_own(node->health, own, tripped, EVIDENCE_MAX);
 
 	message.body.kind = PEER_HEARTBEAT;
-	beat->leaving = (u_int)node->stopping;
-	beat->table_offset = cw_table_offset(node->table);
-	beat->claims_offset = cw_claims_offset(node->claims);
+	heartbeat->leaving = (u_int)node->stopping;
+	heartbeat->table_offset = cw_table_offset(node->table);
+	heartbeat->claims_offset = cw_claims_offset(node->claims);
 	for (size_t i = 0; i < count; i++) {
 		evidence[i].model_version = own[i].version;
 		evidence[i].good = own[i].good;
 		evidence[i].bad = own[i].bad;
 		evidence[i].slow = own[i].slow;
 		evidence[i].rated = own[i].rated;
-		evidence[i].rating_sum = (u_int)lround(own[i].rating_sum * THOUSAND);
-		evidence[i].rating_squares = (u_int)lround(own[i].rating_squares * THOUSAND);
+		evidence[i].rating_sum = (u_int)lround(own[i].rating_sum * SCORE_SCALE);
+		evidence[i].rating_squares = (u_int)lround(own[i].rating_squares * SCORE_SCALE);
 		evidence[i].tripped = tripped[i];
 	}
-	beat->evidence.evidence_len = (u_int)count;
-	beat->evidence.evidence_val = evidence;
+	heartbeat->evidence.evidence_len = (u_int)count;
+	heartbeat->evidence.evidence_val = evidence;
 	TAILQ_FOREACH(server, cw_pool_servers(node->pool), link) {
-		if (!server->own_running || beat->loads.loads_len == LOADS_MAX)
+		if (!server->own_running || heartbeat->loads.loads_len == LOADS_MAX)
 			continue;
-		loads[beat->loads.loads_len].server = server->id;
-		loads[beat->loads.loads_len++].running = server->own_running;
+		loads[heartbeat->loads.loads_len].server = server->id;
+		loads[heartbeat->loads.loads_len++].running = server->own_running;
 	}
-	beat->loads.loads_val = loads;
+	heartbeat->loads.loads_val = loads;
 	count = cw_limits_wanted(node->limits, node->now_ms, rows, parts, WANTS_MAX);
 	for (size_t i = 0; i < count; i++) {
 		wants[i].row = rows[i];
 		wants[i].parts = parts[i];
 	}
-	beat->asked_ms = node->now_ms;
-	beat->wants.wants_len = (u_int)count;
-	beat->wants.wants_val = wants;
-	beat->ratings.ratings_len =
-		(u_int)fill_ratings(node, member, ratings, (uint64_t *)&beat->first_rating);
-	beat->ratings.ratings_val = ratings;
-	quarantine_tell(node, ends, held, records, beat);
+	heartbeat->asked_ms = node->now_ms;
+	heartbeat->wants.wants_len = (u_int)count;
+	heartbeat->wants.wants_val = wants;
+	heartbeat->ratings.ratings_len =
+		(u_int)fill_ratings(node, member, ratings, (uint64_t *)&heartbeat->first_rating);
+	heartbeat->ratings.ratings_val = ratings;
+	quarantine_announce(node, ends, held, records, heartbeat);
 	gossip_send(node, member, &message);
 }
 
@@ -304,7 +309,9 @@
 			   struct peer_rating *ratings, uint64_t *first)
 {
 	uint64_t *sent = g_hash_table_lookup(node->ratings_sent, &member->id);
-	uint64_t oldest = node->next_rating > RATINGS_KEPT ? node->next_rating - RATINGS_KEPT : 1;
+	uint64_t oldest = node->next_rating > RATINGS_RING_LENGTH
+				  ? node->next_rating - RATINGS_RING_LENGTH
+				  : 1;
 	size_t count = 0;
 
 	if (!sent) {
@@ -313,8 +320,8 @@
 	}
 	*sent = MAX(*sent, oldest);
 	*first = *sent;
-	while (count < RATINGS_A_MESSAGE && *sent < node->next_rating) {
-		const struct rating *rating = &node->ratings[*sent % RATINGS_KEPT];
+	while (count < RATINGS_PER_MESSAGE && *sent < node->next_rating) {
+		const struct rating *rating = &node->ratings[*sent % RATINGS_RING_LENGTH];
 
 		ratings[count].task = rating->task;
 		ratings[count].common = rating->common;
@@ -327,39 +334,39 @@
 	return count;
 }
 
-static void take_heartbeat(struct cw_node *node, struct cw_member *member,
-			   const struct peer_message *message)
+static void merge_heartbeat(struct cw_node *node, struct cw_member *member,
+			    const struct peer_message *message)
 {
-	const struct peer_heartbeat *beat = &message->body.peer_body_u.heartbeat;
+	const struct peer_heartbeat *heartbeat = &message->body.peer_body_u.heartbeat;
 	int was_live = cw_membership_is_live(node->membership, member, node->now_ms);
 
-	cw_membership_heard(member, message->boot, beat->leaving != 0, node->now_ms);
-	member->table_offset = beat->table_offset;
+	cw_membership_heard(member, message->boot, heartbeat->leaving != 0, node->now_ms);
+	member->table_offset = heartbeat->table_offset;
 	if (was_live != cw_membership_is_live(node->membership, member, node->now_ms))
 		node_event(node, "membership", was_live ? "peer_leaving" : "peer_live",
 			   "peer=%s failure_domain=%s", member->instance, member->failure_domain);
-	take_evidence(node, member, beat);
-	take_ratings(node, member, beat);
-	take_loads(node, beat);
-	quarantine_hear(node, beat);
-	grant(node, member, beat);
-	if (beat->table_offset < cw_table_offset(node->table))
-		send_table(node, member, beat->table_offset);
+	merge_evidence(node, member, heartbeat);
+	merge_ratings(node, member, heartbeat);
+	merge_loads(node, heartbeat);
+	quarantine_merge(node, heartbeat);
+	grant_loans(node, member, heartbeat);
+	if (heartbeat->table_offset < cw_table_offset(node->table))
+		send_table(node, member, heartbeat->table_offset);
 }
 
-static void take_evidence(struct cw_node *node, const struct cw_member *member,
-			  const struct peer_heartbeat *beat)
+static void merge_evidence(struct cw_node *node, const struct cw_member *member,
+			   const struct peer_heartbeat *heartbeat)
 {
-	for (u_int i = 0; i < beat->evidence.evidence_len; i++) {
-		const struct peer_evidence *peer = &beat->evidence.evidence_val[i];
+	for (u_int i = 0; i < heartbeat->evidence.evidence_len; i++) {
+		const struct peer_evidence *peer = &heartbeat->evidence.evidence_val[i];
 		struct cw_evidence evidence = {
 			.version = peer->model_version,
 			.good = peer->good,
 			.bad = peer->bad,
 			.slow = peer->slow,
 			.rated = peer->rated,
-			.rating_sum = peer->rating_sum / THOUSAND,
-			.rating_squares = peer->rating_squares / THOUSAND,
+			.rating_sum = peer->rating_sum / SCORE_SCALE,
+			.rating_squares = peer->rating_squares / SCORE_SCALE,
 		};
 
 		if (cw_health_pool(node->health, member->id, member->boot, &evidence, node->now_ms))
@@ -371,39 +378,40 @@
 }
 
 /* Ratings come numbered, so that a message twice or out of turn teaches nothing twice. */
-static void take_ratings(struct cw_node *node, const struct cw_member *member,
-			 const struct peer_heartbeat *beat)
+static void merge_ratings(struct cw_node *node, const struct cw_member *member,
+			  const struct peer_heartbeat *heartbeat)
 {
-	struct seen_ratings *seen = g_hash_table_lookup(node->ratings_seen, &member->id);
-
-	if (!seen) {
-		seen = g_new0(struct seen_ratings, 1);
-		seen->member = member->id;
-		seen->next = 1;
-		g_hash_table_insert(node->ratings_seen, new_u64(member->id), seen);
+	struct received_ratings *received =
+		g_hash_table_lookup(node->ratings_received, &member->id);
+
+	if (!received) {
+		received = g_new0(struct received_ratings, 1);
+		received->member = member->id;
+		received->next = 1;
+		g_hash_table_insert(node->ratings_received, new_u64(member->id), received);
 	}
-	if (seen->boot != member->boot) {
-		seen->boot = member->boot;
-		seen->next = 1;
+	if (received->boot != member->boot) {
+		received->boot = member->boot;
+		received->next = 1;
 	}
-	for (u_int i = 0; i < beat->ratings.ratings_len; i++) {
-		const struct peer_rating *rating = &beat->ratings.ratings_val[i];
+	for (u_int i = 0; i < heartbeat->ratings.ratings_len; i++) {
+		const struct peer_rating *rating = &heartbeat->ratings.ratings_val[i];
 
-		if (beat->first_rating + i < seen->next)
+		if (heartbeat->first_rating + i < received->next)
 			continue;
-		seen->next = beat->first_rating + i + 1;
+		received->next = heartbeat->first_rating + i + 1;
 		cw_cascade_rated(node->cascade, rating->task, rating->common, rating->model_version,
-				 rating->score / THOUSAND);
+				 rating->score / SCORE_SCALE);
 		cw_cascade_cost(node->cascade, rating->task, rating->common, rating->model_version,
 				rating->tokens);
 	}
 }
 
-static void take_loads(struct cw_node *node, const struct peer_heartbeat *beat)
+static void merge_loads(struct cw_node *node, const struct peer_heartbeat *heartbeat)
 {
-	for (u_int i = 0; i < beat->loads.loads_len; i++) {
+	for (u_int i = 0; i < heartbeat->loads.loads_len; i++) {
 		struct cw_server *server =
-			cw_pool_find(node->pool, beat->loads.loads_val[i].server);
+			cw_pool_find(node->pool, heartbeat->loads.loads_val[i].server);
 
 		if (!server)
 			continue;
@@ -411,20 +419,20 @@
 		if (node->now_ms - server->peers_ms > 4 * node->config.heartbeat_ms)
 			server->peers_running = 0;
 		server->peers_running =
-			(server->peers_running + beat->loads.loads_val[i].running + 1) / 2;
+			(server->peers_running + heartbeat->loads.loads_val[i].running + 1) / 2;
 		server->peers_ms = node->now_ms;
 	}
 }
 
-static void grant(struct cw_node *node, const struct cw_member *member,
-		  const struct peer_heartbeat *beat)
+static void grant_loans(struct cw_node *node, const struct cw_member *member,
+			const struct peer_heartbeat *heartbeat)
 {
 	struct peer_want loans[WANTS_MAX];
 	struct peer_message message = {0};
 	u_int count = 0;
 
-	for (u_int i = 0; i < beat->wants.wants_len && count < WANTS_MAX; i++) {
-		const struct peer_want *want = &beat->wants.wants_val[i];
+	for (u_int i = 0; i < heartbeat->wants.wants_len && count < WANTS_MAX; i++) {
+		const struct peer_want *want = &heartbeat->wants.wants_val[i];
 		const struct cw_row *row = cw_table_row_by_id(node->table, want->row);
 		struct cw_limit limit;
 		uint32_t parts;
@@ -444,7 +452,7 @@
 	if (count == 0)
 		return;
 	message.body.kind = PEER_GRANTS;
-	message.body.peer_body_u.grants.asked_ms = beat->asked_ms;
+	message.body.peer_body_u.grants.asked_ms = heartbeat->asked_ms;
 	message.body.peer_body_u.grants.list.list_len = count;
 	message.body.peer_body_u.grants.list.list_val = loans;
 	gossip_send(node, member, &message);
@@ -456,26 +464,26 @@
 {
 	struct peer_message message = {0};
 	struct peer_record records[CW_PEER_RECORDS];
-	struct kept_record *kept = STAILQ_FIRST(&node->table_tail);
+	struct table_record *stored = STAILQ_FIRST(&node->table_records);
 	size_t bytes = 0;
 	u_int count = 0;
 
-	if (!kept || kept->offset > offset + 1) {
+	if (!stored || stored->offset > offset + 1) {
 		message.body.kind = PEER_SNAPSHOT;
 		message.body.peer_body_u.snapshot = cw_table_snapshot(node->table);
 		gossip_send(node, member, &message);
 		g_free(message.body.peer_body_u.snapshot);
 		return;
 	}
-	STAILQ_FOREACH(kept, &node->table_tail, link) {
-		if (kept->offset <= offset)
+	STAILQ_FOREACH(stored, &node->table_records, link) {
+		if (stored->offset <= offset)
 			continue;
-		bytes += strlen(kept->data);
+		bytes += strlen(stored->data);
 		if (count == CW_PEER_RECORDS || (count > 0 && bytes > RECORDS_BYTES_MAX))
 			break;
-		records[count].offset = kept->offset;
-		records[count].time_ms = kept->time_ms;
-		records[count++].data = kept->data;
+		records[count].offset = stored->offset;
+		records[count].time_ms = stored->time_ms;
+		records[count++].data = stored->data;
 	}
 	message.body.kind = PEER_RECORDS;
 	message.body.peer_body_u.records.records_len = count;
@@ -483,7 +491,7 @@
 	gossip_send(node, member, &message);
 }
 
-static void take_bind(struct cw_node *node, const struct peer_binding *bind, uint64_t handle)
+static void merge_binding(struct cw_node *node, const struct peer_binding *bind, uint64_t handle)
 {
 	struct cw_binding binding = {
 		.key = bind->key, .bound_at = bind->bound_at, .row = bind->row};
@@ -493,20 +501,20 @@
 	request_bound(node, &binding, handle);
 }
 
-static void answer_binding(struct cw_node *node, const struct cw_member *member,
-			   const struct peer_binding *ask)
+static void send_binding(struct cw_node *node, const struct cw_member *member,
+			 const struct peer_binding *ask)
 {
-	const struct cw_binding *held = cw_session_find(node->sessions, ask->key, node->now_ms);
+	const struct cw_binding *known = cw_session_find(node->sessions, ask->key, node->now_ms);
 	struct peer_message message = {0};
 	struct peer_binding *answer = &message.body.peer_body_u.binding;
 
 	message.body.kind = PEER_BINDING;
 	answer->key = ask->key;
 	answer->asker = ask->asker;
-	answer->bound_at = held ? held->bound_at : 0;
-	answer->row = held ? held->row : 0;
-	answer->model = (char *)(held ? held->model : "");
-	answer->model_version = (char *)(held ? held->version : "");
+	answer->bound_at = known ? known->bound_at : 0;
+	answer->row = known ? known->row : 0;
+	answer->model = (char *)(known ? known->model : "");
+	answer->model_version = (char *)(known ? known->version : "");
 	gossip_send(node, member, &message);
 }
 
--- a/packages/node/src/node_internal.h
+++ b/packages/node/src/node_internal.h
@@ -1,4 +1,4 @@
-/* What the files of the node share. */
+/* State and functions shared by the source files of the node. */
 #ifndef CW_NODE_INTERNAL_H
 #define CW_NODE_INTERNAL_H
 
@@ -14,11 +14,11 @@
 #include <json-c/json.h>
 
 enum request_state {
-	REQUEST_BINDING,  /* waits for its session's home */
-	REQUEST_CLAIMING, /* waits for its claim to come back from the log */
-	REQUEST_RUNNING,  /* an attempt is out */
-	REQUEST_RATING,	  /* its answer is being checked */
-	REQUEST_BILLING,  /* its bill is being mirrored */
+	REQUEST_BINDING,  /* waits for the binding of its session from the owning peers */
+	REQUEST_CLAIMING, /* waits until its claim is read back from the log */
+	REQUEST_RUNNING,  /* an attempt is in progress */
+	REQUEST_RATING,	  /* waits for the rating of its answer */
+	REQUEST_BILLING,  /* waits until a peer holds a mirror of its bill */
 };
 
 struct attempt {
@@ -40,21 +40,21 @@
 	char organisation[CW_NAME_MAX];
 	char model[CW_NAME_MAX];
 	char version[CW_NAME_MAX];
-	uint64_t row;	      /* its limits */
+	uint64_t row;	      /* id of the table row whose limits apply */
 	uint64_t version_id;  /* cw_pool_version */
 	uint64_t fingerprint; /* cw_quarantine_fingerprint */
-	int is_trial;	      /* of a held request: it is sent once */
+	int is_trial;	      /* quarantined, but sent once to test it */
 	double cost_per_1k;
 	double expected_tokens;
-	int admitted; /* holds a slot of its limits */
+	int admitted; /* counted against its limits until it ends */
 	int64_t started_ms;
 	int64_t deadline_ms;
-	int64_t wait_until_ms; /* of the state's own wait */
+	int64_t wait_until_ms; /* end of the wait in the current state */
 
 	struct cw_binding binding; /* key 0: no session */
-	size_t answers_awaited;	   /* of homes */
-	uint64_t avoid;		   /* a version that failed this request, 0 none */
-	int rebound;		   /* its session's version was withdrawn */
+	size_t answers_awaited;	   /* owners that have not answered the binding query */
+	uint64_t avoid;		   /* version id that failed this request, 0 none */
+	int rebound;		   /* the version of its session was withdrawn */
 
 	struct cw_claim claim; /* claim 0: none */
 
@@ -62,10 +62,10 @@
 	unsigned int attempt_count;
 	uint64_t tried[CW_MAX_ATTEMPTS];
 	size_t tried_count;
-	uint64_t server; /* of the attempt that is out */
-	int sent;	 /* some byte may have reached a server: "not run" can't be said any more */
-	unsigned int shown;
-	int resumed; /* the stream was resumed on its server once since it last moved */
+	uint64_t server;    /* of the attempt in progress */
+	int sent;	    /* a byte may have reached a server: "not_run" is no longer reported */
+	unsigned int shown; /* chunks sent to the caller */
+	int resumed;	    /* the stream was resumed once on its current server */
 
 	struct cw_option options[CW_MAX_VERSIONS]; /* of "auto" */
 	char option_model[CW_MAX_VERSIONS][CW_NAME_MAX];
@@ -74,44 +74,44 @@
 	struct cw_plan plan;
 	int planned;
 	int escalated;
-	char *answer; /* of a claim, kept for its outcome */
+	char *answer; /* text that is stored as the outcome of the claim */
 	int http_status;
 };
 
 LIST_HEAD(request_list, request);
 
-struct feed {
+struct log_reader { /* position of this instance in one stream of the log */
 	enum cw_stream stream;
-	uint64_t next;	 /* offset to read */
-	uint64_t first;	 /* oldest kept, as last told */
-	uint64_t ticket; /* of the read that is out, 0 none */
-	int64_t asked_ms;
-	int64_t retry_ms; /* no read before */
-	int64_t backoff_ms;
-	int64_t ok_ms; /* last answer, -1 never */
-	int caught_up; /* once since the start */
-	int needs_snapshot;
+	uint64_t next_offset;	 /* of the next record to read */
+	uint64_t oldest_offset;	 /* oldest record kept by the log, as last reported */
+	uint64_t read_ticket;	 /* of the read in progress, 0 none */
+	int64_t read_sent_ms;	 /* when the read in progress was sent */
+	int64_t next_read_ms;	 /* no read is sent before this time */
+	int64_t backoff_ms;	 /* 0 after a successful read */
+	int64_t last_success_ms; /* when a read was last answered, -1 never */
+	int caught_up;		 /* the end of the stream was reached once since the start */
+	int needs_snapshot;	 /* records were missed: the next one must be a snapshot */
 };
 
-struct line { /* an item waiting for the next append of claims */
-	STAILQ_ENTRY(line) link;
+struct claim_entry { /* a claim, outcome or release to append to the claims stream */
+	STAILQ_ENTRY(claim_entry) link;
 	struct cw_claim claim;
 	enum { LINE_CLAIM, LINE_OUTCOME, LINE_RELEASE } kind;
 	int status;
 	char *answer;
-	uint64_t ticket; /* of the append that carries it */
+	uint64_t ticket; /* unused */
 };
 
-STAILQ_HEAD(line_list, line);
+STAILQ_HEAD(claim_entry_list, claim_entry);
 
-struct kept_record {
-	STAILQ_ENTRY(kept_record) link;
+struct table_record {
+	STAILQ_ENTRY(table_record) link;
 	uint64_t offset;
 	int64_t time_ms;
 	char *data;
 };
 
-STAILQ_HEAD(kept_list, kept_record);
+STAILQ_HEAD(table_record_list, table_record);
 
 struct rating {
 	uint64_t task;
@@ -121,17 +121,17 @@
 	unsigned int tokens;
 };
 
-#define RATINGS_KEPT 512
+#define RATINGS_RING_LENGTH 512
 
 enum bills_state { BILLS_IDLE, BILLS_APPENDING, BILLS_READING_BACK };
 
 struct lease {
 	char name[CW_NAME_MAX];
 	char holder[CW_NAME_MAX];
-	uint64_t token;	    /* of the claim's sender */
-	uint64_t fencing;   /* offset of the claim */
-	int64_t claimed_ms; /* by the log's clock */
-	int64_t seen_ms;    /* folded here, on the node's clock */
+	uint64_t token;	    /* random number that identifies the claim */
+	uint64_t fencing;   /* offset of the claim, 0: never claimed */
+	int64_t claimed_ms; /* on the clock of the log */
+	int64_t applied_ms; /* when this instance read the claim, on its own clock */
 };
 
 struct cw_node {
@@ -148,38 +148,38 @@
 	uint64_t next_ticket;
 
 	struct cw_table *table;
-	struct kept_list table_tail; /* raw records, for peers */
-	size_t table_tail_length;
-	uint64_t table_snapshot_at; /* offset up to which the newest snapshot in the log folds, 0
-				       none */
-	uint64_t table_snapshot_record; /* where that snapshot stands */
-	int64_t table_snapshot_wall_ms;
-	int64_t routing_changed_ms; /* folded a change of weights or states, on the node's clock */
+	struct table_record_list table_records; /* newest records, sent to peers that lag */
+	size_t table_record_count;
+	uint64_t table_snapshot_covered; /* last offset covered by the newest snapshot, 0 none */
+	uint64_t table_snapshot_record_offset; /* offset of the newest snapshot itself */
+	int64_t table_snapshot_wall_ms; /* time of the newest snapshot, or of the first record read
+					 */
+	int64_t routing_changed_ms;	/* last change of weights or states, on the node's clock */
 	uint64_t snapshot_ticket;
-	int64_t snapshot_due_ms; /* 0: none planned */
+	int64_t snapshot_due_ms; /* 0: none scheduled */
 
 	struct cw_claims *claims;
-	struct line_list lines;	    /* waiting */
-	struct line_list lines_out; /* in the append that is out */
-	uint64_t lines_ticket;
-	int64_t lines_retry_ms;
-	uint64_t kept_ticket;
-	uint64_t kept_after; /* keys claimed up to here are appended again */
-	uint64_t kept_floor; /* 0: no cycle under way */
-	int64_t kept_due_ms;
-	int64_t kept_wall_ms;
+	struct claim_entry_list claim_entries;	    /* waiting for the next append */
+	struct claim_entry_list claim_entries_sent; /* in the append in progress */
+	uint64_t claim_entries_ticket;		    /* of the append in progress, 0 none */
+	int64_t claim_entries_retry_ms;		    /* no append before this time */
+	uint64_t checkpoint_ticket;		    /* of the append in progress, 0 none */
+	uint64_t checkpoint_after;  /* keys claimed up to this offset are appended again already */
+	uint64_t checkpoint_floor;  /* floor to append after the last key, 0: no checkpoint */
+	int64_t checkpoint_due_ms;  /* 0: none scheduled */
+	int64_t checkpoint_wall_ms; /* time of the newest floor, or of the first record read */
 
 	struct cw_ledger *ledger;
 	enum bills_state bills_state;
-	char *bills_origin; /* whose bills the state is about; "" its own */
+	char *bills_origin; /* origin of the bills in progress, "" for own bills */
 	uint64_t bills_ticket;
-	uint64_t bills_from; /* of the reading back */
-	uint64_t bills_end;  /* end of the stream, as far as known */
+	uint64_t bills_read_offset; /* next offset to read back */
+	uint64_t bills_end_offset;  /* end of the bills stream, as far as known */
 	int64_t bills_due_ms;
-	int bills_uncertain; /* an append may have been kept: read back before the next */
-	int64_t mirror_due_ms;
+	int bills_need_read_back; /* an append with an unknown result may have been stored */
+	int64_t mirror_check_due_ms;
 
-	struct feed feeds[CW_STREAM_BILLS];
+	struct log_reader log_readers[CW_STREAM_BILLS];
 	struct cw_membership *membership;
 	struct cw_pool *pool;
 	struct cw_limits *limits;
@@ -188,30 +188,31 @@
 	struct cw_cascade *cascade;
 	struct cw_session_store *sessions;
 	struct cw_quarantine *quarantine;
-	uint64_t quarantine_ticket; /* of the append that is out, 0 none */
-	int64_t quarantine_due_ms;  /* no other append before */
+	uint64_t quarantine_ticket; /* of the append in progress, 0 none */
+	int64_t quarantine_due_ms;  /* no append before this time */
 
 	struct request_list requests;
 	struct request_list free_requests;
 	GHashTable *by_handle;
 	size_t running;
 
-	struct rating ratings[RATINGS_KEPT];
+	struct rating ratings[RATINGS_RING_LENGTH];
 	uint64_t next_rating;
-	GHashTable *ratings_sent; /* member -> next rating to send */
-	GHashTable *ratings_seen; /* member -> struct seen_ratings */
+	GHashTable *ratings_sent;     /* member -> next rating to send */
+	GHashTable *ratings_received; /* member -> struct received_ratings */
 	int64_t heartbeat_due_ms;
-	int heartbeat_spare;   /* the last beat was within the budget of bytes */
-	uint64_t gossip_bytes; /* sent so far */
-	uint64_t heartbeat_turn;
+	int heartbeat_in_budget;   /* the last heartbeats fitted into gossip_bytes_per_s */
+	uint64_t gossip_bytes;	   /* sent since the start */
+	uint64_t heartbeat_cursor; /* next member to send a heartbeat to */
 	uint64_t sequence;
 	int64_t expire_due_ms;
 
-	struct lease lease;   /* of orders to engines */
-	uint64_t lease_token; /* of the own claim that is out */
-	uint64_t lease_ticket;
-	int64_t lease_asked_ms; /* before the own claim was sent: the term counts from here */
-	int64_t lease_check_ms;
+	struct lease lease;	     /* of this failure domain, for orders to engines */
+	uint64_t lease_token;	     /* of the newest claim of this instance */
+	uint64_t lease_ticket;	     /* of the append of a claim in progress, 0 none */
+	int64_t lease_claim_sent_ms; /* set before the claim is sent; the own term counts from here
+				      */
+	int64_t lease_check_due_ms;
 	uint64_t order_ticket;
 
 	int stopping;
@@ -224,7 +225,7 @@
 void node_event(struct cw_node *node, const char *module, const char *event, const char *format,
 		...) __attribute__((format(printf, 4, 5)));
 uint64_t node_random(struct cw_node *node);
-uint64_t node_ticket(struct cw_node *node);
+uint64_t node_new_ticket(struct cw_node *node);
 int node_refuses_new(const struct cw_node *node);
 
 /* node_request.c */
@@ -238,7 +239,7 @@
 void request_tick(struct cw_node *node);
 
 /* node_request.c, for request_attempt.c */
-struct request *request_find(struct cw_node *node, uint64_t handle); /* NULL: ended */
+struct request *request_find(struct cw_node *node, uint64_t handle); /* NULL: not found */
 void request_destroy(struct cw_node *node, struct request *request);
 void request_abandon(struct cw_node *node, struct request *request);
 void request_keep_binding(struct cw_node *node, struct request *request);
@@ -250,7 +251,7 @@
 void request_dispatch(struct cw_node *node, struct request *request, enum cw_dispatch_mode mode);
 void request_finish(struct cw_node *node, struct request *request);
 void request_release(struct cw_node *node, struct request *request);
-int64_t request_busy_ms(struct cw_node *node, double wait_ms); /* when to come back, with jitter */
+int64_t request_busy_ms(struct cw_node *node, double wait_ms); /* retry time, with jitter */
 
 /* request_choice.c */
 enum choice_result { CHOICE_OK, CHOICE_NOT_ALLOWED, CHOICE_NO_WEIGHT, CHOICE_BEHIND };
@@ -258,77 +259,78 @@
 void choice_merge_binding(struct cw_node *node, const struct cw_binding *binding);
 void choice_take_option(struct request *request, size_t index);
 int choice_holds(struct cw_node *node,
-		 const struct request *request); /* its version is still allowed */
+		 const struct request *request); /* 1: its version is still allowed */
 
 /* node_log.c */
 void log_open(struct cw_node *node);
 void log_close(struct cw_node *node);
-void log_records(struct cw_node *node, const struct cw_records *records);
-void log_appended(struct cw_node *node, const struct cw_appended *appended);
+void log_handle_records(struct cw_node *node, const struct cw_records *records);
+void log_handle_append(struct cw_node *node, const struct cw_appended *appended);
 void log_tick(struct cw_node *node);
 int log_is_up(const struct cw_node *node, enum cw_stream stream);
-void log_fold_table(struct cw_node *node, const struct cw_log_record *record);
-void log_load_table(struct cw_node *node, const char *snapshot);
+void log_apply_table_record(struct cw_node *node, const struct cw_log_record *record);
+void log_load_table_snapshot(struct cw_node *node, const char *snapshot);
 void log_line(struct cw_node *node, const struct cw_claim *claim, int kind, int status,
 	      const char *answer);
 uint64_t log_append(struct cw_node *node, enum cw_stream stream,
-		    char *data); /* takes data; returns the ticket */
+		    char *data); /* frees data later; returns the ticket */
 void log_read(struct cw_node *node, enum cw_stream stream, uint64_t ticket, uint64_t from,
 	      int wait_ms);
 
 /* node_claims.c */
 void claims_tick(struct cw_node *node);
-void claims_appended(struct cw_node *node, const struct cw_appended *appended);
-void claims_folded(struct cw_node *node);
+void claims_handle_append(struct cw_node *node, const struct cw_appended *appended);
+void claims_notify_requests(struct cw_node *node);
 void claims_close(struct cw_node *node);
 
 /* node_bills.c */
 void bills_add(struct cw_node *node, struct request *request);
-void bills_mirrored(struct cw_node *node, const char *from, uint64_t boot,
-		    const struct peer_bills *bills);
-void bills_held(struct cw_node *node, const struct cw_member *from, const struct peer_bills *bills);
-void bills_settled(struct cw_node *node, const char *from, uint64_t boot,
-		   const struct peer_bills *bills);
-void bills_appended(struct cw_node *node, const struct cw_appended *appended);
-void bills_records(struct cw_node *node, const struct cw_records *records);
+void bills_store_mirrors(struct cw_node *node, const char *from, uint64_t boot,
+			 const struct peer_bills *bills);
+void bills_mark_mirrored(struct cw_node *node, const struct cw_member *from,
+			 const struct peer_bills *bills);
+void bills_settle_mirrors(struct cw_node *node, const char *from, uint64_t boot,
+			  const struct peer_bills *bills);
+void bills_handle_append(struct cw_node *node, const struct cw_appended *appended);
+void bills_handle_records(struct cw_node *node, const struct cw_records *records);
 void bills_tick(struct cw_node *node);
-int bills_are_done(const struct cw_node *node);
+int bills_allow_stop(const struct cw_node *node);
 
 /* node_gossip.c */
-void gossip_message(struct cw_node *node, const void *data, size_t size);
+void gossip_handle_message(struct cw_node *node, const void *data, size_t size);
 void gossip_tick(struct cw_node *node);
 void gossip_hurry(struct cw_node *node);
 void gossip_send(struct cw_node *node, const struct cw_member *member,
 		 struct peer_message *message);
-void gossip_heartbeats(struct cw_node *node); /* to everyone, now */
+void gossip_send_heartbeats(struct cw_node *node); /* to all members, at once */
 size_t gossip_push_binding(struct cw_node *node, const struct cw_binding *binding);
 size_t gossip_ask_binding(struct cw_node *node, uint64_t key, uint64_t handle);
-void gossip_rating(struct cw_node *node, uint64_t task, uint64_t common, uint64_t version,
-		   double score, unsigned int tokens);
+void gossip_add_rating(struct cw_node *node, uint64_t task, uint64_t common, uint64_t version,
+		       double score, unsigned int tokens);
 void gossip_tripped(struct cw_node *node, uint64_t version, const char *how);
 
-/* node_quarantine.c: requests that end the servers that run them */
+/* node_quarantine.c: poison requests, which crash the servers that run them */
 int quarantine_refuses(struct cw_node *node,
-		       struct request *request); /* 1: it was refused, it is held */
+		       struct request *request); /* 1: the request was quarantined and rejected */
 void quarantine_attempt_ended(struct cw_node *node, const struct request *request,
 			      const struct cw_server *server, const struct cw_attempt_end *end);
 void quarantine_left(struct cw_node *node, const struct request *request,
-		     const struct cw_server *server); /* given up; it may still run there */
+		     const struct cw_server *server); /* given up; the server may still run it */
 void quarantine_tick(struct cw_node *node);
-void quarantine_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms);
-void quarantine_appended(struct cw_node *node, const struct cw_appended *appended);
-void quarantine_tell(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_ENDS],
-		     struct peer_held held[CW_QUARANTINE_RECORDS],
-		     struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
-		     struct peer_heartbeat *beat); /* the beat points into the three */
-void quarantine_hear(struct cw_node *node, const struct peer_heartbeat *beat);
-char *quarantine_answer(struct cw_node *node); /* JSON, for operators; g_free */
-int quarantine_release(struct cw_node *node, const char *fingerprint); /* 0: it isn't held */
+void quarantine_apply_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms);
+void quarantine_handle_append(struct cw_node *node, const struct cw_appended *appended);
+void quarantine_announce(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_ENDS],
+			 struct peer_held held[CW_QUARANTINE_RECORDS],
+			 struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
+			 struct peer_heartbeat *heartbeat); /* points into the arrays */
+void quarantine_merge(struct cw_node *node, const struct peer_heartbeat *heartbeat);
+char *quarantine_to_json(struct cw_node *node); /* list for operators; g_free */
+int quarantine_release(struct cw_node *node, const char *fingerprint); /* 0: not quarantined */
 
 /* node_rollout.c */
 void rollout_tick(struct cw_node *node);
-void rollout_notice(struct cw_node *node, uint64_t offset, int64_t time_ms, const char *data);
-void rollout_appended(struct cw_node *node, const struct cw_appended *appended);
-void rollout_ordered(struct cw_node *node, uint64_t ticket, enum cw_status status);
+void rollout_apply_notice(struct cw_node *node, uint64_t offset, int64_t time_ms, const char *data);
+void rollout_handle_append(struct cw_node *node, const struct cw_appended *appended);
+void rollout_handle_order_result(struct cw_node *node, uint64_t ticket, enum cw_status status);
 
 #endif
--- a/packages/node/src/node_log.c
+++ b/packages/node/src/node_log.c
@@ -3,41 +3,41 @@
 
 #include <string.h>
 
-#define TAIL_WAIT_MS	 2000 /* long poll */
-#define READ_TIMEOUT_MS	 5000 /* a read unanswered this long: the stream counts as down */
-#define BACKOFF_FIRST_MS 50
-#define BACKOFF_MAX_MS	 1000
-#define SNAPSHOT_STEP_MS 500  /* between the turns of live instances to write one */
-#define SNAPSHOT_RECORDS 2000 /* a tail longer than this is worth a snapshot */
-
-static void rejoin_table(struct cw_node *node);
-static void take_drains(struct cw_node *node);
-static void feed_failed(struct cw_node *node, struct feed *feed);
-static void feed_expired(struct cw_node *node, struct feed *feed, uint64_t first);
-static void fold_record(struct cw_node *node, struct feed *feed,
-			const struct cw_log_record *record);
-static void keep_table_record(struct cw_node *node, const struct cw_log_record *from);
-static void table_changed(struct cw_node *node, uint64_t offset);
-static void note_age(struct cw_node *node, const struct cw_log_record *record);
-static void note_snapshot(struct cw_node *node, const struct cw_log_record *record);
-static void plan_snapshot(struct cw_node *node);
-static int wants_snapshot(const struct cw_node *node);
+#define LONG_POLL_MS		  2000 /* long poll */
+#define READ_TIMEOUT_MS		  5000 /* a read unanswered this long: the stream counts as down */
+#define BACKOFF_MIN_MS		  50
+#define BACKOFF_MAX_MS		  1000
+#define SNAPSHOT_RANK_DELAY_MS	  500  /* between the turns of live instances to write one */
+#define SNAPSHOT_MAX_TAIL_RECORDS 2000 /* a tail longer than this is worth a snapshot */
+
+static void sync_table_reader(struct cw_node *node);
+static void apply_drains(struct cw_node *node);
+static void reader_handle_failure(struct cw_node *node, struct log_reader *reader);
+static void reader_handle_expiry(struct cw_node *node, struct log_reader *reader, uint64_t first);
+static void apply_record(struct cw_node *node, struct log_reader *reader,
+			 const struct cw_log_record *record);
+static void store_table_record(struct cw_node *node, const struct cw_log_record *from);
+static void handle_table_change(struct cw_node *node, uint64_t offset);
+static void track_snapshot_age(struct cw_node *node, const struct cw_log_record *record);
+static void track_snapshot(struct cw_node *node, const struct cw_log_record *record);
+static void schedule_snapshot(struct cw_node *node);
+static int is_snapshot_due(const struct cw_node *node);
 
 void log_open(struct cw_node *node)
 {
 	for (int stream = 0; stream < CW_STREAM_BILLS; stream++) {
-		node->feeds[stream].stream = stream;
-		node->feeds[stream].next = 1;
-		node->feeds[stream].ok_ms = -1;
+		node->log_readers[stream].stream = stream;
+		node->log_readers[stream].next_offset = 1;
+		node->log_readers[stream].last_success_ms = -1;
 	}
 }
 
 void log_close(struct cw_node *node)
 {
-	struct kept_record *record;
+	struct table_record *record;
 
-	while ((record = STAILQ_FIRST(&node->table_tail))) {
-		STAILQ_REMOVE_HEAD(&node->table_tail, link);
+	while ((record = STAILQ_FIRST(&node->table_records))) {
+		STAILQ_REMOVE_HEAD(&node->table_records, link);
 		g_free(record->data);
 		g_free(record);
 	}
@@ -59,133 +59,133 @@
 	struct cw_effect *effect = node_effect(node, CW_EFFECT_APPEND, 0);
 
 	effect->append.stream = stream;
-	effect->append.ticket = node_ticket(node);
+	effect->append.ticket = node_new_ticket(node);
 	effect->append.data = data;
 	return effect->append.ticket;
 }
 
-void log_records(struct cw_node *node, const struct cw_records *records)
+void log_handle_records(struct cw_node *node, const struct cw_records *records)
 {
-	struct feed *feed;
+	struct log_reader *reader;
 
 	if (records->stream == CW_STREAM_BILLS) {
-		bills_records(node, records);
+		bills_handle_records(node, records);
 		return;
 	}
-	feed = &node->feeds[records->stream];
+	reader = &node->log_readers[records->stream];
 	/* An answer to a read that was given up: its records are read again. */
-	if (records->ticket != feed->ticket)
+	if (records->ticket != reader->read_ticket)
 		return;
-	feed->ticket = 0;
+	reader->read_ticket = 0;
 	if (records->status == CW_EXPIRED) {
-		feed_expired(node, feed, records->first);
+		reader_handle_expiry(node, reader, records->first);
 		return;
 	}
 	if (records->status != CW_OK) {
-		feed_failed(node, feed);
+		reader_handle_failure(node, reader);
 		return;
 	}
-	feed->ok_ms = node->now_ms;
-	feed->backoff_ms = 0;
-	feed->first = MAX(feed->first, records->first);
+	reader->last_success_ms = node->now_ms;
+	reader->backoff_ms = 0;
+	reader->oldest_offset = MAX(reader->oldest_offset, records->first);
 	for (size_t i = 0; i < records->count; i++)
-		fold_record(node, feed, &records->list[i]);
-	if (records->count == 0 && !feed->caught_up) {
-		feed->caught_up = 1;
+		apply_record(node, reader, &records->list[i]);
+	if (records->count == 0 && !reader->caught_up) {
+		reader->caught_up = 1;
 		node_event(node, "log", "caught_up", "stream=%s next=%" G_GUINT64_FORMAT,
-			   cw_stream_name(feed->stream), feed->next);
+			   cw_stream_name(reader->stream), reader->next_offset);
 	}
-	if (feed->stream == CW_STREAM_CLAIMS && records->count > 0)
-		claims_folded(node);
+	if (reader->stream == CW_STREAM_CLAIMS && records->count > 0)
+		claims_notify_requests(node);
 }
 
-void log_appended(struct cw_node *node, const struct cw_appended *appended)
+void log_handle_append(struct cw_node *node, const struct cw_appended *appended)
 {
 	if (appended->ticket == node->snapshot_ticket) {
 		node->snapshot_ticket = 0;
 		node->snapshot_due_ms = 0;
 	}
-	claims_appended(node, appended);
-	bills_appended(node, appended);
-	rollout_appended(node, appended);
-	quarantine_appended(node, appended);
+	claims_handle_append(node, appended);
+	bills_handle_append(node, appended);
+	rollout_handle_append(node, appended);
+	quarantine_handle_append(node, appended);
 }
 
 void log_tick(struct cw_node *node)
 {
 	for (int stream = 0; stream < CW_STREAM_BILLS; stream++) {
-		struct feed *feed = &node->feeds[stream];
+		struct log_reader *reader = &node->log_readers[stream];
 
-		if (feed->ticket && node->now_ms - feed->asked_ms > READ_TIMEOUT_MS)
-			feed_failed(node, feed);
-		if (feed->ticket || node->now_ms < feed->retry_ms)
+		if (reader->read_ticket && node->now_ms - reader->read_sent_ms > READ_TIMEOUT_MS)
+			reader_handle_failure(node, reader);
+		if (reader->read_ticket || node->now_ms < reader->next_read_ms)
 			continue;
-		feed->ticket = node_ticket(node);
-		feed->asked_ms = node->now_ms;
-		log_read(node, feed->stream, feed->ticket, feed->next,
-			 feed->caught_up ? TAIL_WAIT_MS : 0);
+		reader->read_ticket = node_new_ticket(node);
+		reader->read_sent_ms = node->now_ms;
+		log_read(node, reader->stream, reader->read_ticket, reader->next_offset,
+			 reader->caught_up ? LONG_POLL_MS : 0);
 	}
-	plan_snapshot(node);
+	schedule_snapshot(node);
 }
 
 /* Up: read to its end once, and answered lately. A frozen platform shows after the read's timeout.
  */
 int log_is_up(const struct cw_node *node, enum cw_stream stream)
 {
-	const struct feed *feed = &node->feeds[stream];
+	const struct log_reader *reader = &node->log_readers[stream];
 
-	return feed->caught_up && feed->backoff_ms == 0 && feed->ok_ms >= 0 &&
-	       node->now_ms - feed->ok_ms <= TAIL_WAIT_MS + READ_TIMEOUT_MS;
+	return reader->caught_up && reader->backoff_ms == 0 && reader->last_success_ms >= 0 &&
+	       node->now_ms - reader->last_success_ms <= LONG_POLL_MS + READ_TIMEOUT_MS;
 }
 
-void log_fold_table(struct cw_node *node, const struct cw_log_record *record)
+void log_apply_table_record(struct cw_node *node, const struct cw_log_record *record)
 {
 	uint64_t offset = record->offset;
 	struct cw_error error = {0};
-	enum cw_fold fold;
+	enum cw_fold outcome;
 
 	if (offset != cw_table_offset(node->table) + 1)
 		return;
-	cw_table_fold(node->table, offset, record->data, &fold, &error);
-	note_age(node, record);
-	keep_table_record(node, record);
-	rejoin_table(node);
-	switch (fold) {
+	cw_table_fold(node->table, offset, record->data, &outcome, &error);
+	track_snapshot_age(node, record);
+	store_table_record(node, record);
+	sync_table_reader(node);
+	switch (outcome) {
 	case CW_FOLD_APPLIED:
-		table_changed(node, offset);
+		handle_table_change(node, offset);
 		break;
 	case CW_FOLD_SNAPSHOT:
 		break;
 	default:
 		node_event(node, "table",
-			   fold == CW_FOLD_DUPLICATE ? "edit_repeated" : "edit_rejected",
+			   outcome == CW_FOLD_DUPLICATE ? "edit_repeated" : "edit_rejected",
 			   "offset=%" G_GUINT64_FORMAT " why=\"%s\"", offset, error.message);
 		break;
 	}
 }
 
-void log_load_table(struct cw_node *node, const char *snapshot)
+void log_load_table_snapshot(struct cw_node *node, const char *snapshot)
 {
-	struct kept_record *record;
+	struct table_record *record;
 
 	enum cw_status status = cw_table_load(node->table, snapshot, NULL);
 
 	/* Peers may have been quicker: then the table is at the snapshot's offset or past it
 	 * already. */
 	if (status == CW_REFUSED &&
-	    cw_table_offset(node->table) + 1 >= node->feeds[CW_STREAM_TABLE].first)
-		rejoin_table(node);
+	    cw_table_offset(node->table) + 1 >= node->log_readers[CW_STREAM_TABLE].oldest_offset)
+		sync_table_reader(node);
 	if (status != CW_OK)
 		return;
 	/* The tail must join the table without a gap: what stood before the snapshot goes. */
-	while ((record = STAILQ_FIRST(&node->table_tail))) {
-		STAILQ_REMOVE_HEAD(&node->table_tail, link);
+	while ((record = STAILQ_FIRST(&node->table_records))) {
+		STAILQ_REMOVE_HEAD(&node->table_records, link);
 		g_free(record->data);
 		g_free(record);
 	}
-	node->table_tail_length = 0;
-	rejoin_table(node);
-	take_drains(node);
+	node->table_record_count = 0;
+	sync_table_reader(node);
+	apply_drains(node);
 	/* Its records' ages are not known: unless the log shows a snapshot, one is due. */
 	if (!node->table_snapshot_wall_ms)
 		node->table_snapshot_wall_ms = 1;
@@ -199,20 +199,20 @@
  * for older records, or waits for a snapshot, would else skip what the table needs next and never
  * know; it shows as a table that stands still while the log is read.
  */
-static void rejoin_table(struct cw_node *node)
+static void sync_table_reader(struct cw_node *node)
 {
-	struct feed *feed = &node->feeds[CW_STREAM_TABLE];
+	struct log_reader *reader = &node->log_readers[CW_STREAM_TABLE];
 
 	if (cw_table_offset(node->table) == 0)
 		return;
-	if (feed->next != cw_table_offset(node->table) + 1)
-		feed->ticket = 0;
-	feed->next = cw_table_offset(node->table) + 1;
-	feed->needs_snapshot = 0;
+	if (reader->next_offset != cw_table_offset(node->table) + 1)
+		reader->read_ticket = 0;
+	reader->next_offset = cw_table_offset(node->table) + 1;
+	reader->needs_snapshot = 0;
 }
 
 /* The table is the fold of all orders; the pool takes those that are new to it. */
-static void take_drains(struct cw_node *node)
+static void apply_drains(struct cw_node *node)
 {
 	struct cw_drain_order orders[CW_DRAINS];
 	size_t count = cw_drains_tell(cw_table_drains(node->table), orders, CW_DRAINS);
@@ -225,88 +225,89 @@
 				   orders[i].offset);
 }
 
-static void feed_failed(struct cw_node *node, struct feed *feed)
+static void reader_handle_failure(struct cw_node *node, struct log_reader *reader)
 {
-	feed->ticket = 0;
-	if (feed->backoff_ms == 0)
-		node_event(node, "log", "unreachable", "stream=%s", cw_stream_name(feed->stream));
-	feed->backoff_ms =
-		feed->backoff_ms ? MIN(feed->backoff_ms * 2, BACKOFF_MAX_MS) : BACKOFF_FIRST_MS;
-	feed->retry_ms = node->now_ms + feed->backoff_ms / 2 +
-			 (int64_t)(node_random(node) % (uint64_t)feed->backoff_ms);
+	reader->read_ticket = 0;
+	if (reader->backoff_ms == 0)
+		node_event(node, "log", "unreachable", "stream=%s", cw_stream_name(reader->stream));
+	reader->backoff_ms =
+		reader->backoff_ms ? MIN(reader->backoff_ms * 2, BACKOFF_MAX_MS) : BACKOFF_MIN_MS;
+	reader->next_read_ms = node->now_ms + reader->backoff_ms / 2 +
+			       (int64_t)(node_random(node) % (uint64_t)reader->backoff_ms);
 }
 
 /* Records this instance lacks are gone: the table needs a snapshot, claims a later floor. */
-static void feed_expired(struct cw_node *node, struct feed *feed, uint64_t first)
+static void reader_handle_expiry(struct cw_node *node, struct log_reader *reader, uint64_t first)
 {
-	feed->ok_ms = node->now_ms;
-	if (first <= feed->next) {
-		feed_failed(node, feed);
+	reader->last_success_ms = node->now_ms;
+	if (first <= reader->next_offset) {
+		reader_handle_failure(node, reader);
 		return;
 	}
 	node_event(node, "log", "expired",
 		   "stream=%s next=%" G_GUINT64_FORMAT " first=%" G_GUINT64_FORMAT,
-		   cw_stream_name(feed->stream), feed->next, first);
-	feed->next = first;
-	feed->first = first;
-	if (feed->stream == CW_STREAM_TABLE)
-		feed->needs_snapshot = 1;
-	if (feed->stream == CW_STREAM_CLAIMS)
+		   cw_stream_name(reader->stream), reader->next_offset, first);
+	reader->next_offset = first;
+	reader->oldest_offset = first;
+	if (reader->stream == CW_STREAM_TABLE)
+		reader->needs_snapshot = 1;
+	if (reader->stream == CW_STREAM_CLAIMS)
 		cw_claims_start_at(node->claims, first);
 }
 
-static void fold_record(struct cw_node *node, struct feed *feed, const struct cw_log_record *record)
+static void apply_record(struct cw_node *node, struct log_reader *reader,
+			 const struct cw_log_record *record)
 {
 	uint64_t floor = cw_claims_floor(node->claims);
 
-	if (feed->stream == CW_STREAM_TABLE)
-		note_age(node, record);
-	if (feed->stream == CW_STREAM_CLAIMS && !node->kept_wall_ms)
-		node->kept_wall_ms = record->time_ms;
-	if (record->offset != feed->next)
+	if (reader->stream == CW_STREAM_TABLE)
+		track_snapshot_age(node, record);
+	if (reader->stream == CW_STREAM_CLAIMS && !node->checkpoint_wall_ms)
+		node->checkpoint_wall_ms = record->time_ms;
+	if (record->offset != reader->next_offset)
 		return;
-	feed->next = record->offset + 1;
-	switch (feed->stream) {
+	reader->next_offset = record->offset + 1;
+	switch (reader->stream) {
 	case CW_STREAM_TABLE:
-		if (feed->needs_snapshot)
-			log_load_table(node, record->data);
+		if (reader->needs_snapshot)
+			log_load_table_snapshot(node, record->data);
 		else
-			log_fold_table(node, record);
+			log_apply_table_record(node, record);
 		break;
 	case CW_STREAM_CLAIMS:
 		cw_claims_fold(node->claims, record->offset, record->time_ms, record->data, NULL);
 		if (cw_claims_floor(node->claims) > floor)
-			node->kept_wall_ms = record->time_ms;
+			node->checkpoint_wall_ms = record->time_ms;
 		break;
 	default:
-		rollout_notice(node, record->offset, record->time_ms, record->data);
+		rollout_apply_notice(node, record->offset, record->time_ms, record->data);
 		break;
 	}
 }
 
-static void keep_table_record(struct cw_node *node, const struct cw_log_record *from)
+static void store_table_record(struct cw_node *node, const struct cw_log_record *from)
 {
-	struct kept_record *record = g_new0(struct kept_record, 1);
+	struct table_record *record = g_new0(struct table_record, 1);
 
 	record->offset = from->offset;
 	record->time_ms = from->time_ms;
 	record->data = g_strdup(from->data);
-	STAILQ_INSERT_TAIL(&node->table_tail, record, link);
-	node->table_tail_length++;
-	if (node->table_tail_length <= CW_TABLE_WINDOW)
+	STAILQ_INSERT_TAIL(&node->table_records, record, link);
+	node->table_record_count++;
+	if (node->table_record_count <= CW_TABLE_WINDOW)
 		return;
-	record = STAILQ_FIRST(&node->table_tail);
-	STAILQ_REMOVE_HEAD(&node->table_tail, link);
+	record = STAILQ_FIRST(&node->table_records);
+	STAILQ_REMOVE_HEAD(&node->table_records, link);
 	g_free(record->data);
 	g_free(record);
-	node->table_tail_length--;
+	node->table_record_count--;
 }
 
-static void table_changed(struct cw_node *node, uint64_t offset)
+static void handle_table_change(struct cw_node *node, uint64_t offset)
 {
 	const struct cw_row *row;
 
-	take_drains(node);
+	apply_drains(node);
 	node_event(node, "table", "in_force", "offset=%" G_GUINT64_FORMAT, offset);
 	TAILQ_FOREACH(row, cw_table_rows(node->table), link) {
 		if (row->revision[CW_COLUMN_WEIGHT] != offset &&
@@ -323,15 +324,16 @@
  * instance's start, and whoever brought it: instances that are restarted often, or learn from peers
  * alone, would else put the snapshot off until the table has expired.
  */
-static void note_age(struct cw_node *node, const struct cw_log_record *record)
+static void track_snapshot_age(struct cw_node *node, const struct cw_log_record *record)
 {
 	if (!node->table_snapshot_wall_ms)
 		node->table_snapshot_wall_ms = record->time_ms;
-	if (record->offset > node->table_snapshot_record && strstr(record->data, "\"snapshot\""))
-		note_snapshot(node, record);
+	if (record->offset > node->table_snapshot_record_offset &&
+	    strstr(record->data, "\"snapshot\""))
+		track_snapshot(node, record);
 }
 
-static void note_snapshot(struct cw_node *node, const struct cw_log_record *record)
+static void track_snapshot(struct cw_node *node, const struct cw_log_record *record)
 {
 	struct json_object *parsed = json_tokener_parse(record->data);
 	struct json_object *snapshot;
@@ -339,9 +341,9 @@
 
 	if (json_object_object_get_ex(parsed, "snapshot", &snapshot) &&
 	    json_object_object_get_ex(snapshot, "offset", &offset)) {
-		node->table_snapshot_at =
-			MAX(node->table_snapshot_at, (uint64_t)json_object_get_int64(offset));
-		node->table_snapshot_record = record->offset;
+		node->table_snapshot_covered =
+			MAX(node->table_snapshot_covered, (uint64_t)json_object_get_int64(offset));
+		node->table_snapshot_record_offset = record->offset;
 		node->table_snapshot_wall_ms = record->time_ms;
 		node->snapshot_due_ms = 0;
 	}
@@ -353,21 +355,21 @@
  * record that is needed expires, one instance writes a snapshot; the turns go round by rendezvous,
  * so that the next one writes when the first does not. A second snapshot is harmless.
  */
-static void plan_snapshot(struct cw_node *node)
+static void schedule_snapshot(struct cw_node *node)
 {
 	size_t rank;
 
-	if (node->snapshot_ticket || !wants_snapshot(node)) {
+	if (node->snapshot_ticket || !is_snapshot_due(node)) {
 		if (!node->snapshot_ticket)
 			node->snapshot_due_ms = 0;
 		return;
 	}
 	if (node->snapshot_due_ms == 0) {
-		rank = cw_membership_rank(node->membership,
-					  cw_hash_text("snapshot", node->table_snapshot_record),
-					  node->now_ms);
-		node->snapshot_due_ms = node->now_ms + 1 + SNAPSHOT_STEP_MS * (int64_t)rank +
-					(int64_t)(node_random(node) % SNAPSHOT_STEP_MS / 2);
+		rank = cw_membership_rank(
+			node->membership,
+			cw_hash_text("snapshot", node->table_snapshot_record_offset), node->now_ms);
+		node->snapshot_due_ms = node->now_ms + 1 + SNAPSHOT_RANK_DELAY_MS * (int64_t)rank +
+					(int64_t)(node_random(node) % SNAPSHOT_RANK_DELAY_MS / 2);
 	}
 	if (node->now_ms < node->snapshot_due_ms)
 		return;
@@ -376,26 +378,27 @@
 		   cw_table_offset(node->table));
 }
 
-static int wants_snapshot(const struct cw_node *node)
+static int is_snapshot_due(const struct cw_node *node)
 {
-	const struct feed *feed = &node->feeds[CW_STREAM_TABLE];
-	uint64_t end = feed->next;
-	uint64_t folded = node->table_snapshot_at;
+	const struct log_reader *reader = &node->log_readers[CW_STREAM_TABLE];
+	uint64_t end = reader->next_offset;
+	uint64_t covered = node->table_snapshot_covered;
 	int64_t half_life_ms = node->config.log_retention_ms / 2;
 
-	if (!feed->caught_up || feed->needs_snapshot || cw_table_offset(node->table) == 0 ||
-	    feed->backoff_ms)
+	if (!reader->caught_up || reader->needs_snapshot || cw_table_offset(node->table) == 0 ||
+	    reader->backoff_ms)
 		return 0;
-	if (folded && feed->first > node->table_snapshot_record)
+	if (covered && reader->oldest_offset > node->table_snapshot_record_offset)
 		return 1;
 	/* Nothing but the snapshot itself stands behind what it folds: only its own age counts. */
-	if (node->table_snapshot_record && node->table_snapshot_record + 1 == end &&
-	    folded + 1 == node->table_snapshot_record)
+	if (node->table_snapshot_record_offset && node->table_snapshot_record_offset + 1 == end &&
+	    covered + 1 == node->table_snapshot_record_offset)
 		return node->table_snapshot_wall_ms &&
 		       node->wall_ms - node->table_snapshot_wall_ms > half_life_ms;
-	if (feed->first > 1 && folded + 1 < feed->first + (end - feed->first) / 2)
+	if (reader->oldest_offset > 1 &&
+	    covered + 1 < reader->oldest_offset + (end - reader->oldest_offset) / 2)
 		return 1;
-	if (end - folded > SNAPSHOT_RECORDS)
+	if (end - covered > SNAPSHOT_MAX_TAIL_RECORDS)
 		return 1;
 	return node->table_snapshot_wall_ms &&
 	       node->wall_ms - node->table_snapshot_wall_ms > half_life_ms;
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -6,17 +6,17 @@
 
 #include <string.h>
 
-#define STEP_MS	 400  /* between two instances that would write the same */
-#define AGAIN_MS 2000 /* after a write: its own record is folded by then, or was lost */
+#define WRITE_RANK_DELAY_MS 400	 /* between two instances that would write the same */
+#define WRITE_RETRY_MS	    2000 /* after a write: its own record is folded by then, or was lost */
 
 static int begin_trial(struct cw_node *node, struct request *request);
-static struct cw_quarantine_request as_quarantined(const struct request *request);
-static int64_t ran_ms(const struct cw_node *node, const struct request *request);
-static void log_change(struct cw_node *node, const struct cw_quarantine_change *change);
-static void stop_held(struct cw_node *node);
-static void write_next(struct cw_node *node);
-static struct json_object *as_json(const struct cw_quarantine_record *record);
-static const char *text_of(struct json_object *object, const char *key);
+static struct cw_quarantine_request to_quarantine_request(const struct request *request);
+static int64_t attempt_run_ms(const struct cw_node *node, const struct request *request);
+static void log_quarantine_change(struct cw_node *node, const struct cw_quarantine_change *change);
+static void abort_quarantined(struct cw_node *node);
+static void write_next_record(struct cw_node *node);
+static struct json_object *record_to_json(const struct cw_quarantine_record *record);
+static const char *get_text(struct json_object *object, const char *key);
 
 int quarantine_refuses(struct cw_node *node, struct request *request)
 {
@@ -47,7 +47,7 @@
 			      const struct cw_server *server, const struct cw_attempt_end *end)
 {
 	const struct attempt *attempt = &request->attempts[request->attempt_count - 1];
-	struct cw_quarantine_request quarantined = as_quarantined(request);
+	struct cw_quarantine_request quarantined = to_quarantine_request(request);
 
 	if (end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_PASSED)
 		cw_quarantine_heard(node->quarantine, server->id, attempt->sent_ms, node->now_ms);
@@ -59,7 +59,7 @@
 			break;
 		}
 		cw_quarantine_answered(node->quarantine, request->fingerprint, server->id,
-				       ran_ms(node, request), node->now_ms);
+				       attempt_run_ms(node, request), node->now_ms);
 		break;
 	case CW_ATTEMPT_BROKEN:
 		if (!end->is_cut || server->leaving || server->gone) {
@@ -67,7 +67,7 @@
 			break;
 		}
 		cw_quarantine_broke(node->quarantine, &quarantined, server->id,
-				    ran_ms(node, request), 0, node->now_ms);
+				    attempt_run_ms(node, request), 0, node->now_ms);
 		/* Nothing here tries a server's connections: its word is taken. */
 		cw_quarantine_gone(node->quarantine, server->id, node->now_ms);
 		gossip_hurry(node);
@@ -86,10 +86,10 @@
 		     const struct cw_server *server)
 {
 	cw_quarantine_left(node->quarantine, request->fingerprint, server->id,
-			   ran_ms(node, request), node->now_ms);
+			   attempt_run_ms(node, request), node->now_ms);
 }
 
-static struct cw_quarantine_request as_quarantined(const struct request *request)
+static struct cw_quarantine_request to_quarantine_request(const struct request *request)
 {
 	return (struct cw_quarantine_request){
 		.fingerprint = request->fingerprint,
@@ -99,7 +99,7 @@
 }
 
 /* The newest attempt. */
-static int64_t ran_ms(const struct cw_node *node, const struct request *request)
+static int64_t attempt_run_ms(const struct cw_node *node, const struct request *request)
 {
 	return node->now_ms - request->attempts[request->attempt_count - 1].sent_ms;
 }
@@ -112,24 +112,24 @@
 	cw_quarantine_tick(node->quarantine, node->now_ms);
 	while (cw_quarantine_next_change(node->quarantine, &change)) {
 		any = 1;
-		log_change(node, &change);
+		log_quarantine_change(node, &change);
 	}
 	if (any) {
-		stop_held(node);
+		abort_quarantined(node);
 		gossip_hurry(node);
 	}
-	write_next(node);
+	write_next_record(node);
 }
 
 /* Its age counts from the log's clock, so that a list that is read anew holds nothing longer. */
-void quarantine_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms)
+void quarantine_apply_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms)
 {
 	struct cw_quarantine_record record = {.is_written = 1};
 	struct json_object *value;
 
-	record.fingerprint = g_ascii_strtoull(text_of(notice, "fingerprint"), NULL, 16);
-	g_strlcpy(record.organisation, text_of(notice, "organisation"), CW_NAME_MAX);
-	g_strlcpy(record.target, text_of(notice, "target"), CW_NAME_MAX);
+	record.fingerprint = g_ascii_strtoull(get_text(notice, "fingerprint"), NULL, 16);
+	g_strlcpy(record.organisation, get_text(notice, "organisation"), CW_NAME_MAX);
+	g_strlcpy(record.target, get_text(notice, "target"), CW_NAME_MAX);
 	if (json_object_object_get_ex(notice, "ends", &value))
 		record.ends = (uint32_t)json_object_get_int64(value);
 	if (json_object_object_get_ex(notice, "released", &value))
@@ -141,16 +141,16 @@
 				      node->now_ms);
 }
 
-void quarantine_appended(struct cw_node *node, const struct cw_appended *appended)
+void quarantine_handle_append(struct cw_node *node, const struct cw_appended *appended)
 {
 	if (appended->ticket == node->quarantine_ticket)
 		node->quarantine_ticket = 0;
 }
 
-void quarantine_tell(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_ENDS],
-		     struct peer_held held[CW_QUARANTINE_RECORDS],
-		     struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
-		     struct peer_heartbeat *beat)
+void quarantine_announce(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_ENDS],
+			 struct peer_held held[CW_QUARANTINE_RECORDS],
+			 struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
+			 struct peer_heartbeat *heartbeat)
 {
 	struct cw_quarantine_end own[CW_QUARANTINE_ENDS];
 	size_t count =
@@ -166,8 +166,8 @@
 		ends[i].confirmed = (u_int)own[i].is_confirmed;
 		ends[i].answered_ms = own[i].answered_ms;
 	}
-	beat->ends.ends_len = (u_int)count;
-	beat->ends.ends_val = ends;
+	heartbeat->ends.ends_len = (u_int)count;
+	heartbeat->ends.ends_val = ends;
 	count = cw_quarantine_tell_records(node->quarantine, node->now_ms, records,
 					   CW_QUARANTINE_RECORDS);
 	for (size_t i = 0; i < count; i++) {
@@ -179,14 +179,14 @@
 		held[i].released = (u_int)records[i].is_released;
 		held[i].written = (u_int)records[i].is_written;
 	}
-	beat->held.held_len = (u_int)count;
-	beat->held.held_val = held;
+	heartbeat->held.held_len = (u_int)count;
+	heartbeat->held.held_val = held;
 }
 
-void quarantine_hear(struct cw_node *node, const struct peer_heartbeat *beat)
+void quarantine_merge(struct cw_node *node, const struct peer_heartbeat *heartbeat)
 {
-	for (u_int i = 0; i < beat->ends.ends_len; i++) {
-		const struct peer_end *peer = &beat->ends.ends_val[i];
+	for (u_int i = 0; i < heartbeat->ends.ends_len; i++) {
+		const struct peer_end *peer = &heartbeat->ends.ends_val[i];
 		struct cw_quarantine_end end = {
 			.fingerprint = peer->fingerprint,
 			.server = peer->server,
@@ -200,8 +200,8 @@
 
 		cw_quarantine_hear_end(node->quarantine, &end, node->now_ms);
 	}
-	for (u_int i = 0; i < beat->held.held_len; i++) {
-		const struct peer_held *peer = &beat->held.held_val[i];
+	for (u_int i = 0; i < heartbeat->held.held_len; i++) {
+		const struct peer_held *peer = &heartbeat->held.held_val[i];
 		struct cw_quarantine_record record = {
 			.fingerprint = peer->fingerprint,
 			.ends = peer->ends,
@@ -217,7 +217,7 @@
 	}
 }
 
-char *quarantine_answer(struct cw_node *node)
+char *quarantine_to_json(struct cw_node *node)
 {
 	struct cw_quarantine_record records[CW_QUARANTINE_HELD];
 	size_t count =
@@ -227,7 +227,7 @@
 	char *text;
 
 	for (size_t i = 0; i < count; i++)
-		json_object_array_add(list, as_json(&records[i]));
+		json_object_array_add(list, record_to_json(&records[i]));
 	json_object_object_add(answer, "quarantined", list);
 	text = g_strdup(json_object_to_json_string_ext(answer, JSON_C_TO_STRING_PLAIN));
 	json_object_put(answer);
@@ -243,7 +243,7 @@
 	       cw_quarantine_release(node->quarantine, number, node->now_ms);
 }
 
-static void log_change(struct cw_node *node, const struct cw_quarantine_change *change)
+static void log_quarantine_change(struct cw_node *node, const struct cw_quarantine_change *change)
 {
 	const struct cw_quarantine_record *record = &change->record;
 
@@ -256,7 +256,7 @@
 }
 
 /* A copy that waits in an engine's queue ends that engine too, unless it is taken out in time. */
-static void stop_held(struct cw_node *node)
+static void abort_quarantined(struct cw_node *node)
 {
 	struct request *request = LIST_FIRST(&node->requests);
 
@@ -276,7 +276,7 @@
 }
 
 /* Into the notices, where it outlives all instances; one instance at a time, by rank. */
-static void write_next(struct cw_node *node)
+static void write_next_record(struct cw_node *node)
 {
 	struct cw_quarantine_record record;
 	struct json_object *notice;
@@ -287,18 +287,18 @@
 	    !cw_quarantine_unwritten(node->quarantine, node->now_ms, &record))
 		return;
 	rank = cw_membership_rank(node->membership, record.fingerprint, node->now_ms);
-	if (record.age_ms < STEP_MS * rank)
+	if (record.age_ms < WRITE_RANK_DELAY_MS * rank)
 		return;
 	notice = json_object_new_object();
-	json_object_object_add(notice, "quarantine", as_json(&record));
-	node->quarantine_due_ms = node->now_ms + AGAIN_MS;
+	json_object_object_add(notice, "quarantine", record_to_json(&record));
+	node->quarantine_due_ms = node->now_ms + WRITE_RETRY_MS;
 	node->quarantine_ticket = log_append(
 		node, CW_STREAM_NOTICES,
 		g_strdup(json_object_to_json_string_ext(notice, JSON_C_TO_STRING_PLAIN)));
 	json_object_put(notice);
 }
 
-static struct json_object *as_json(const struct cw_quarantine_record *record)
+static struct json_object *record_to_json(const struct cw_quarantine_record *record)
 {
 	struct json_object *object = json_object_new_object();
 	char fingerprint[17];
@@ -315,7 +315,7 @@
 	return object;
 }
 
-static const char *text_of(struct json_object *object, const char *key)
+static const char *get_text(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
--- a/packages/node/src/node_rollout.c
+++ b/packages/node/src/node_rollout.c
@@ -8,49 +8,49 @@
 #include <math.h>
 #include <string.h>
 
-#define CHECK_MS       1000
-#define MARGIN_DIVISOR 4    /* of the lease's term: no order is sent in the last quarter */
-#define ORDER_MS       2000 /* an order is not sent, and not waited for, longer */
-#define LEASE_IDLE_MS  30000
-#define REPORT_WAIT_MS 2000 /* before trusting that a version is loaded nowhere */
+#define LEASE_CHECK_INTERVAL_MS 1000
+#define MARGIN_DIVISOR		4    /* of the lease's term: no order is sent in the last quarter */
+#define ORDER_TIMEOUT_MS	2000 /* an order is not sent, and not waited for, longer */
+#define CLAIMANT_ROTATION_MS	30000
+#define INITIAL_REPORTS_MS	2000 /* before trusting that a version is loaded nowhere */
 
 static int lease_is_own(const struct cw_node *node);
 static int lease_is_free(const struct cw_node *node);
 static void claim_lease(struct cw_node *node);
-static struct cw_server *place_for(struct cw_node *node);
-static const struct cw_row *missing_version(struct cw_node *node);
-static void give_order(struct cw_node *node, const struct cw_row *row);
-static void take_trip(struct cw_node *node, struct json_object *trip);
+static struct cw_server *choose_engine(struct cw_node *node);
+static const struct cw_row *find_missing_version(struct cw_node *node);
+static void send_order(struct cw_node *node, const struct cw_row *row);
+static void apply_trip(struct cw_node *node, struct json_object *trip);
 
 void rollout_tick(struct cw_node *node)
 {
 	const struct cw_row *row;
 
-	if (node->now_ms < node->lease_check_ms)
+	if (node->now_ms < node->lease_check_due_ms)
 		return;
-	node->lease_check_ms = node->now_ms + CHECK_MS;
+	node->lease_check_due_ms = node->now_ms + LEASE_CHECK_INTERVAL_MS;
 	if (node->stopping || node->order_ticket ||
-	    node->now_ms - node->started_ms < REPORT_WAIT_MS)
+	    node->now_ms - node->started_ms < INITIAL_REPORTS_MS)
 		return;
-	row = missing_version(node);
+	row = find_missing_version(node);
 	if (!row)
 		return;
 	if (lease_is_own(node))
-		give_order(node, row);
+		send_order(node, row);
 	else if (lease_is_free(node))
 		claim_lease(node);
 }
 
-void rollout_notice(struct cw_node *node, uint64_t offset, int64_t time_ms, const char *data)
+void rollout_apply_notice(struct cw_node *node, uint64_t offset, int64_t time_ms, const char *data)
 {
 	struct json_object *parsed = json_tokener_parse(data);
 	struct json_object *value;
 	struct json_object *lease;
 
 	if (json_object_object_get_ex(parsed, "trip", &value))
-		take_trip(node, value);
+		apply_trip(node, value);
 	if (json_object_object_get_ex(parsed, "quarantine", &value))
-		quarantine_notice(node, value, time_ms);
+		quarantine_apply_notice(node, value, time_ms);
 	if (json_object_object_get_ex(parsed, "lease", &lease)) {
 		const char *name = json_object_object_get_ex(lease, "name", &value)
 					   ? json_object_get_string(value)
@@ -72,10 +72,10 @@
 			node->lease.token = token;
 			node->lease.fencing = offset;
 			node->lease.claimed_ms = time_ms;
-			node->lease.seen_ms = node->now_ms;
+			node->lease.applied_ms = node->now_ms;
 			g_strlcpy(node->lease.holder, holder, CW_NAME_MAX);
 			/* The term is running: what waited for it goes out with the next tick. */
-			node->lease_check_ms = node->now_ms;
+			node->lease_check_due_ms = node->now_ms;
 			node_event(node, "rollout", "lease", "holder=%s fencing=%" G_GUINT64_FORMAT,
 				   holder, offset);
 		}
@@ -83,13 +83,13 @@
 	json_object_put(parsed);
 }
 
-void rollout_appended(struct cw_node *node, const struct cw_appended *appended)
+void rollout_handle_append(struct cw_node *node, const struct cw_appended *appended)
 {
 	if (appended->ticket == node->lease_ticket)
 		node->lease_ticket = 0;
 }
 
-void rollout_ordered(struct cw_node *node, uint64_t ticket, enum cw_status status)
+void rollout_handle_order_result(struct cw_node *node, uint64_t ticket, enum cw_status status)
 {
 	if (ticket != node->order_ticket)
 		return;
@@ -107,7 +107,7 @@
 	int64_t usable_ms = node->config.lease_ms - node->config.lease_ms / MARGIN_DIVISOR;
 
 	return node->lease.token && node->lease.token == node->lease_token &&
-	       node->now_ms - node->lease_asked_ms < usable_ms;
+	       node->now_ms - node->lease_claim_sent_ms < usable_ms;
 }
 
 /* One margin behind the term: a server that ignores fencing may still be handling the last order.
@@ -118,8 +118,8 @@
 		return 0;
 	if (!node->lease.fencing)
 		return 1;
-	return node->now_ms - node->lease.seen_ms >
-	       node->config.lease_ms + node->config.lease_ms / MARGIN_DIVISOR + ORDER_MS;
+	return node->now_ms - node->lease.applied_ms >
+	       node->config.lease_ms + node->config.lease_ms / MARGIN_DIVISOR + ORDER_TIMEOUT_MS;
 }
 
 static void claim_lease(struct cw_node *node)
@@ -127,13 +127,13 @@
 	char *record;
 
 	/* By turns of rendezvous, so that not every instance of the domain claims at once. */
-	if (cw_membership_rank(
-		    node->membership,
-		    cw_hash_text(node->failure_domain, (uint64_t)node->now_ms / LEASE_IDLE_MS),
-		    node->now_ms) > 2)
+	if (cw_membership_rank(node->membership,
+			       cw_hash_text(node->failure_domain,
+					    (uint64_t)node->now_ms / CLAIMANT_ROTATION_MS),
+			       node->now_ms) > 2)
 		return;
 	node->lease_token = node_random(node) | 1;
-	node->lease_asked_ms = node->now_ms;
+	node->lease_claim_sent_ms = node->now_ms;
 	record = g_strdup_printf(
 		"{\"lease\":{\"name\":\"%s\",\"holder\":\"%s\",\"token\":\"%016" G_GINT64_MODIFIER
 		"x\"}}",
@@ -142,7 +142,7 @@
 }
 
 /* An allowed version with a weight that no engine of this domain has loaded. */
-static const struct cw_row *missing_version(struct cw_node *node)
+static const struct cw_row *find_missing_version(struct cw_node *node)
 {
 	const struct cw_row *row;
 
@@ -170,20 +170,20 @@
 
 /* The order states the end wanted and is harmless twice or late: loading what is loaded changes
  * nothing. */
-static void give_order(struct cw_node *node, const struct cw_row *row)
+static void send_order(struct cw_node *node, const struct cw_row *row)
 {
-	struct cw_server *server = place_for(node);
+	struct cw_server *server = choose_engine(node);
 	struct cw_effect *effect;
 
 	if (!server)
 		return;
 	effect = node_effect(node, CW_EFFECT_ORDER, 0);
-	node->order_ticket = node_ticket(node);
+	node->order_ticket = node_new_ticket(node);
 	effect->order.ticket = node->order_ticket;
 	effect->order.order = "load_version";
 	effect->order.fencing = node->lease.fencing;
 	effect->order.table_offset = cw_table_offset(node->table);
-	effect->order.timeout_ms = ORDER_MS;
+	effect->order.timeout_ms = ORDER_TIMEOUT_MS;
 	g_strlcpy(effect->order.address, server->address, CW_ADDRESS_MAX);
 	g_snprintf(effect->order.target, sizeof(effect->order.target), "%s/%s", row->model,
 		   row->version);
@@ -193,7 +193,7 @@
 }
 
 /* The engine of the domain with the fewest versions, then the least load. */
-static struct cw_server *place_for(struct cw_node *node)
+static struct cw_server *choose_engine(struct cw_node *node)
 {
 	struct cw_server *best = NULL;
 	struct cw_server *server;
@@ -212,12 +212,12 @@
 	return best;
 }
 
-static void take_trip(struct cw_node *node, struct json_object *trip)
+static void apply_trip(struct cw_node *node, struct json_object *trip)
 {
 	struct json_object *value;
 	uint64_t version;
 
-	if (!node->config.health->pooled || !node->feeds[CW_STREAM_NOTICES].caught_up ||
+	if (!node->config.health->pooled || !node->log_readers[CW_STREAM_NOTICES].caught_up ||
 	    !json_object_object_get_ex(trip, "version_id", &value))
 		return;
 	version = g_ascii_strtoull(json_object_get_string(value), NULL, 16);
