--- a/packages/node/src/node_bills.c
+++ b/packages/node/src/node_bills.c
@@ -1,4 +1,7 @@
-/* Bills: mirrored before the answer ends, appended in batches, read back before any repeat. */
+/*
+ * Bills: mirrored on peers before the answer ends, appended to the log in batches, and read back
+ * from the log before an append is retried.
+ */
 #include "node_internal.h"
 
 #include <string.h>
@@ -7,8 +10,8 @@
 #define ORIGIN_QUERY_MS	  5000
 #define BILLS_RETRY_MS	  100
 #define BILL_MIRRORS	  2
-#define STOP_LOG_WAIT_MS  10000
-#define READ_BACK_WAIT_MS 0 /* no wait: only what is there */
+#define STOP_LOG_WAIT_MS  10000 /* after stop_grace_ms, for a log that does not answer */
+#define READ_BACK_WAIT_MS 0	/* no long poll: only records already in the log */
 
 static char *bill_to_json(struct request *request, const char *id);
 static void append_bills(struct cw_node *node);
@@ -49,13 +52,12 @@
 		gossip_send(node, mirrors[i], &message);
 	}
 	g_free(text);
-	/* Nobody is there to hold it: waiting would help nobody. */
+	/* No peer can hold a mirror, so the answer is not delayed for one. */
 	if (count == 0)
 		request_bill_safe(node, id);
 }
 
-/* Held for its origin, whose run the name carries: a restarted origin knows its old bills no more.
- */
+/* The origin's name includes its boot id, as a restarted origin has lost its earlier bills. */
 void bills_store_mirrors(struct cw_node *node, const char *from, uint64_t boot,
 			 const struct peer_bills *bills)
 {
@@ -75,9 +77,10 @@
 }
 
 /*
- * A peer holds these. One that stands in the log already is told back: the word that it had settled
- * may have been lost, or have come before the bill itself. The mirror would else hold it for ever,
- * and append it when this instance is gone.
+ * A peer reports that it holds mirrors of these bills. Bills that are already in the log are
+ * announced to the peer again as settled: the first announcement may have been lost, or have
+ * arrived before the bill itself. Otherwise the peer would hold the mirror for ever, and append it
+ * once this instance is unavailable.
  */
 void bills_mark_mirrored(struct cw_node *node, const struct cw_member *from,
 			 const struct peer_bills *bills)
@@ -103,7 +106,8 @@
 	gossip_send(node, from, &message);
 }
 
-/* Only the run that made a bill can know that it stands: a restarted origin knows none of them. */
+/* Only an origin with the same boot id knows that its bill is in the log: a restarted origin has
+ * lost the bills of its earlier start. */
 void bills_settle_mirrors(struct cw_node *node, const char *from, uint64_t boot,
 			  const struct peer_bills *bills)
 {
@@ -134,8 +138,9 @@
 	}
 	cw_ledger_append_failed(node->ledger, appended->ticket);
 	/*
-	 * The answer can be lost after the record was kept. Appending again would bill twice; it
-	 * shows as two offsets with one id. So read back first, from the end noted before the try.
+	 * The response can be lost after the record was stored. Appending the bills again would
+	 * bill twice: two records with the same bill id. So the stream is read back first, from the
+	 * end that was known before the append.
 	 */
 	if (appended->status == CW_UNKNOWN)
 		node->bills_need_read_back = 1;
@@ -163,7 +168,7 @@
 		read_back(node, node->bills_read_offset);
 		return;
 	}
-	/* The end: what is still held was not kept. */
+	/* End of the stream: the bills that remain in the ledger are not in the log. */
 	node->bills_end_offset = MAX(node->bills_end_offset, node->bills_read_offset);
 	node->bills_need_read_back = 0;
 	node->bills_state = BILLS_IDLE;
@@ -186,8 +191,8 @@
 		node->bills_due_ms = node->now_ms + node->config.bill_flush_ms;
 	if (node->bills_due_ms == 0 || (node->now_ms < node->bills_due_ms && !node->stopping))
 		return;
-	/* A stopping instance flushes without waiting, but never faster than a failing log allows.
-	 */
+	/* A stopping instance does not wait until the bills are due, unless that time is more than
+	 * bill_flush_ms away. */
 	if (node->stopping && node->bills_due_ms > node->now_ms + node->config.bill_flush_ms)
 		return;
 	g_free(node->bills_origin);
@@ -199,8 +204,9 @@
 }
 
 /*
- * A stopping instance waits for its bills to stand in the log. While the log is out for long it may
- * go all the same once every bill is held by a peer, which appends them when this instance is gone.
+ * A stopping instance waits until its bills are in the log. If the log does not answer for long,
+ * the instance may stop once a peer holds a mirror of every bill; the peer appends the bills when
+ * this instance is unavailable.
  */
 int bills_allow_stop(const struct cw_node *node)
 {
@@ -217,8 +223,7 @@
 	return 1;
 }
 
-/* Mirrors held for long: their origin is told again that they are held, and says what has settled.
- */
+/* Reports old mirrors to their origin again; the origin answers with those that have settled. */
 static void query_origins(struct cw_node *node)
 {
 	struct cw_bill *bill;
@@ -245,7 +250,7 @@
 	}
 }
 
-/* Mirrors of an origin that is gone: what the log lacks is appended here. */
+/* Appends the mirrored bills of an unavailable origin that are missing from the log. */
 static void take_over_mirrors(struct cw_node *node)
 {
 	const struct cw_bill *bill;
@@ -272,11 +277,11 @@
 	char **parts = g_strsplit(origin, "#", 2);
 	const struct cw_member *member = cw_membership_find(node->membership, parts[0]);
 	uint64_t boot = g_ascii_strtoull(parts[1], NULL, 10);
-	int gone = !member || member->boot != boot ||
-		   cw_membership_is_gone(node->membership, member, node->now_ms);
+	int is_unavailable = !member || member->boot != boot ||
+			     cw_membership_is_gone(node->membership, member, node->now_ms);
 
 	g_strfreev(parts);
-	return gone;
+	return is_unavailable;
 }
 
 static void append_bills(struct cw_node *node)
@@ -284,8 +289,7 @@
 	char *record;
 	uint64_t ticket;
 
-	/* The ticket must be known before the bills are marked with it: it is the next one given.
-	 */
+	/* The bills are marked with the ticket that log_append is going to draw. */
 	ticket = node->next_ticket;
 	if (cw_ledger_take(node->ledger, ticket, node->bills_origin, CW_BILL_BATCH, &record) == 0) {
 		g_free(record);
@@ -330,7 +334,8 @@
 	}
 }
 
-/* Only who was sent a bill need hear that it stands: at full size the others are hundreds. */
+/* Only the peers that were sent a bill are told that it settled: a large installation has hundreds
+ * of others. */
 static void announce_settled_to(struct cw_node *node, const struct cw_member *member,
 				const struct cw_bill_list *settled)
 {
@@ -365,14 +370,14 @@
 	for (unsigned int i = 0; i < request->attempt_count; i++) {
 		const struct attempt *attempt = &request->attempts[i];
 		struct json_object *item = json_object_new_object();
-		/* A broken attempt counts for what the caller was shown of it, not for its prompt
-		 * again. */
-		unsigned int asked =
+		/* A failed attempt is billed for the tokens sent to the caller, but not for its
+		 * prompt. */
+		unsigned int billed_prompt =
 			attempt->result == CW_ATTEMPT_ANSWERED ? attempt->prompt_tokens : 0;
 
-		prompt += asked;
+		prompt += billed_prompt;
 		completion += attempt->completion_tokens;
-		cost += (asked + attempt->completion_tokens) * attempt->cost_per_1k / 1000;
+		cost += (billed_prompt + attempt->completion_tokens) * attempt->cost_per_1k / 1000;
 		json_object_object_add(item, "attempt", json_object_new_int((int)i + 1));
 		json_object_object_add(item, "model", json_object_new_string(attempt->model));
 		json_object_object_add(item, "version", json_object_new_string(attempt->version));
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -1,11 +1,14 @@
-/* Messages between instances: heartbeats with pooled evidence, anti-entropy of the table, loans. */
+/*
+ * Messages between instances: heartbeats with pooled health evidence, anti-entropy of the table,
+ * session bindings, and loans of shares of the limits.
+ */
 #include "node_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define HEARTBEAT_FANOUT    8 /* heartbeats sent a period */
-#define SILENT_AFTER_ROUNDS 3 /* rounds of beats missed before a member counts as silent */
+#define HEARTBEAT_FANOUT    8 /* heartbeats per period */
+#define SILENT_AFTER_ROUNDS 3 /* rounds without a heartbeat until a member counts as silent */
 #define EXPEDITED_DELAY_MS  50
 #define EVIDENCE_MAX	    128
 #define WANTS_MAX	    32
@@ -44,7 +47,7 @@
 	struct peer_message message;
 	struct cw_member *member;
 
-	/* A forged or cut message must change nothing. */
+	/* A forged or truncated message must not change any state. */
 	if (cw_peer_open(node->config.peer_key, data, size, &message) != CW_OK) {
 		node_event(node, "peer", "message_rejected", "bytes=%zu", size);
 		return;
@@ -106,9 +109,9 @@
 }
 
 /*
- * Beats go to a few members in turns, and no faster than the budget of bytes allows: with many
- * members or versions each is heard less often, so the silence that counts as death grows with the
- * time a whole round takes.
+ * Heartbeats go to a few members at a time, round robin, and within the limit gossip_bytes_per_s.
+ * With many members or versions each member receives fewer heartbeats, so the timeout after which a
+ * member counts as silent grows with the duration of a whole round.
  */
 void gossip_tick(struct cw_node *node)
 {
@@ -136,7 +139,8 @@
 				 MAX(node->config.silent_ms, SILENT_AFTER_ROUNDS * round_ms));
 }
 
-/* Something a peer should hear sooner than the next beat, where the budget allows it. */
+/* Sends the next heartbeats within EXPEDITED_DELAY_MS, unless the last ones exceeded
+ * gossip_bytes_per_s. */
 void gossip_hurry(struct cw_node *node)
 {
 	if (node->heartbeat_in_budget)
@@ -221,7 +225,8 @@
 		gossip_tripped(node, version, "ratings");
 }
 
-/* A trip acts here at once, is told to peers with the next heartbeats, and goes to the log. */
+/* A trip takes effect at once on this instance, is announced to peers with the next heartbeats, and
+ * is appended to the log. */
 void gossip_tripped(struct cw_node *node, uint64_t version, const char *how)
 {
 	struct json_object *record = json_object_new_object();
@@ -377,7 +382,7 @@
 	}
 }
 
-/* Ratings come numbered, so that a message twice or out of turn teaches nothing twice. */
+/* Ratings are numbered, so that a repeated or reordered message adds no rating twice. */
 static void merge_ratings(struct cw_node *node, const struct cw_member *member,
 			  const struct peer_heartbeat *heartbeat)
 {
@@ -415,7 +420,7 @@
 
 		if (!server)
 			continue;
-		/* A smoothed sum: each beat replaces about its own part of it. */
+		/* An exponential moving average over all heartbeats that report the server. */
 		if (node->now_ms - server->peers_ms > 4 * node->config.heartbeat_ms)
 			server->peers_running = 0;
 		server->peers_running =
@@ -458,8 +463,8 @@
 	gossip_send(node, member, &message);
 }
 
-/* A peer cut off from the platform learns the table from whoever has it: the records, or a
- * snapshot. */
+/* A peer without a connection to the platform gets the table from a peer with a newer one: as
+ * records, or as a snapshot if the records it needs are no longer stored. */
 static void send_table(struct cw_node *node, const struct cw_member *member, uint64_t offset)
 {
 	struct peer_message message = {0};
--- a/packages/node/src/node_internal.h
+++ b/packages/node/src/node_internal.h
@@ -43,7 +43,7 @@
 	uint64_t row;	      /* id of the table row whose limits apply */
 	uint64_t version_id;  /* cw_pool_version */
 	uint64_t fingerprint; /* cw_quarantine_fingerprint */
-	int is_trial;	      /* quarantined, but sent once to test it */
+	int is_trial;	      /* a quarantined request that is sent once as a test */
 	double cost_per_1k;
 	double expected_tokens;
 	int admitted; /* counted against its limits until it ends */
@@ -72,9 +72,9 @@
 	char option_version[CW_MAX_VERSIONS][CW_NAME_MAX];
 	struct cw_cascade_in choice;
 	struct cw_plan plan;
-	int planned;
-	int escalated;
-	char *answer; /* text that is stored as the outcome of the claim */
+	int planned;   /* plan is set */
+	int escalated; /* the answer of the first model was rated too low */
+	char *answer;  /* text that is stored as the outcome of the claim */
 	int http_status;
 };
 
@@ -210,8 +210,7 @@
 	struct lease lease;	     /* of this failure domain, for orders to engines */
 	uint64_t lease_token;	     /* of the newest claim of this instance */
 	uint64_t lease_ticket;	     /* of the append of a claim in progress, 0 none */
-	int64_t lease_claim_sent_ms; /* set before the claim is sent; the own term counts from here
-				      */
+	int64_t lease_claim_sent_ms; /* before the claim is sent; the own term begins here */
 	int64_t lease_check_due_ms;
 	uint64_t order_ticket;
 
--- a/packages/node/src/node_log.c
+++ b/packages/node/src/node_log.c
@@ -1,14 +1,17 @@
-/* The platform's log: tailing its streams, the table's fold, snapshots before records expire. */
+/*
+ * The log of the platform: reads its streams continuously, applies the records of the table in
+ * order, and writes snapshots of the table before the records they cover expire.
+ */
 #include "node_internal.h"
 
 #include <string.h>
 
-#define LONG_POLL_MS		  2000 /* long poll */
-#define READ_TIMEOUT_MS		  5000 /* a read unanswered this long: the stream counts as down */
+#define LONG_POLL_MS		  2000 /* a read at the end of a stream waits this long for records */
+#define READ_TIMEOUT_MS		  5000 /* a stream whose read takes longer counts as unreachable */
 #define BACKOFF_MIN_MS		  50
 #define BACKOFF_MAX_MS		  1000
-#define SNAPSHOT_RANK_DELAY_MS	  500  /* between the turns of live instances to write one */
-#define SNAPSHOT_MAX_TAIL_RECORDS 2000 /* a tail longer than this is worth a snapshot */
+#define SNAPSHOT_RANK_DELAY_MS	  500  /* added delay for each rank among the live instances */
+#define SNAPSHOT_MAX_TAIL_RECORDS 2000 /* records after the newest snapshot */
 
 static void sync_table_reader(struct cw_node *node);
 static void apply_drains(struct cw_node *node);
@@ -73,7 +76,7 @@
 		return;
 	}
 	reader = &node->log_readers[records->stream];
-	/* An answer to a read that was given up: its records are read again. */
+	/* The answer to an abandoned read: its records are read again. */
 	if (records->ticket != reader->read_ticket)
 		return;
 	reader->read_ticket = 0;
@@ -128,8 +131,8 @@
 	schedule_snapshot(node);
 }
 
-/* Up: read to its end once, and answered lately. A frozen platform shows after the read's timeout.
- */
+/* A stream is up if it was read to its end once and the last read was answered recently. A platform
+ * that does not answer is noticed after the timeout of the read. */
 int log_is_up(const struct cw_node *node, enum cw_stream stream)
 {
 	const struct log_reader *reader = &node->log_readers[stream];
@@ -170,14 +173,14 @@
 
 	enum cw_status status = cw_table_load(node->table, snapshot, NULL);
 
-	/* Peers may have been quicker: then the table is at the snapshot's offset or past it
-	 * already. */
+	/* CW_REFUSED: records or a snapshot from a peer brought the table to the offset of this
+	 * snapshot, or past it. */
 	if (status == CW_REFUSED &&
 	    cw_table_offset(node->table) + 1 >= node->log_readers[CW_STREAM_TABLE].oldest_offset)
 		sync_table_reader(node);
 	if (status != CW_OK)
 		return;
-	/* The tail must join the table without a gap: what stood before the snapshot goes. */
+	/* The stored records must continue the table without a gap: older ones are dropped. */
 	while ((record = STAILQ_FIRST(&node->table_records))) {
 		STAILQ_REMOVE_HEAD(&node->table_records, link);
 		g_free(record->data);
@@ -186,7 +189,8 @@
 	node->table_record_count = 0;
 	sync_table_reader(node);
 	apply_drains(node);
-	/* Its records' ages are not known: unless the log shows a snapshot, one is due. */
+	/* The age of the records in the snapshot is unknown: a new snapshot is due, unless one was
+	 * read from the log. */
 	if (!node->table_snapshot_wall_ms)
 		node->table_snapshot_wall_ms = 1;
 	node->routing_changed_ms = node->now_ms;
@@ -195,9 +199,10 @@
 }
 
 /*
- * The table moved on, by the log or by a peer: the log is read on from there. A feed that had asked
- * for older records, or waits for a snapshot, would else skip what the table needs next and never
- * know; it shows as a table that stands still while the log is read.
+ * Continues reading the log after the last record of the table, whether the log or a peer brought
+ * that record. Otherwise a reader with an older read in progress, or one that waits for a snapshot,
+ * would skip the next records of the table unnoticed: the table would stay at its offset while the
+ * log is read.
  */
 static void sync_table_reader(struct cw_node *node)
 {
@@ -211,7 +216,7 @@
 	reader->needs_snapshot = 0;
 }
 
-/* The table is the fold of all orders; the pool takes those that are new to it. */
+/* The table holds all drain orders; the pool applies those that are new to it. */
 static void apply_drains(struct cw_node *node)
 {
 	struct cw_drain_order orders[CW_DRAINS];
@@ -236,7 +241,8 @@
 			       (int64_t)(node_random(node) % (uint64_t)reader->backoff_ms);
 }
 
-/* Records this instance lacks are gone: the table needs a snapshot, claims a later floor. */
+/* Records that this instance has not read were deleted from the log: the table needs a snapshot,
+ * the claims a later floor. */
 static void reader_handle_expiry(struct cw_node *node, struct log_reader *reader, uint64_t first)
 {
 	reader->last_success_ms = node->now_ms;
@@ -314,15 +320,16 @@
 		    row->revision[CW_COLUMN_STATE] != offset)
 			continue;
 		node->routing_changed_ms = node->now_ms;
-		/* The operator has looked at it: an edit overrides what evidence said before. */
+		/* An operator's edit of the version overrides the earlier health evidence. */
 		cw_health_clear(node->health, cw_pool_version(row->model, row->version));
 	}
 }
 
 /*
- * What must be written anew, and how old it is. Age counts from the record, not from this
- * instance's start, and whoever brought it: instances that are restarted often, or learn from peers
- * alone, would else put the snapshot off until the table has expired.
+ * Tracks the age of the records that the next snapshot must cover. The age counts from the time of
+ * the record, not from the start of this instance, for records from the log and from peers alike.
+ * Otherwise instances that are restarted often, or get the table from peers only, would delay the
+ * snapshot until the table has expired from the log.
  */
 static void track_snapshot_age(struct cw_node *node, const struct cw_log_record *record)
 {
@@ -351,9 +358,9 @@
 }
 
 /*
- * The table must be readable from the log when every instance has vanished. Before the oldest
- * record that is needed expires, one instance writes a snapshot; the turns go round by rendezvous,
- * so that the next one writes when the first does not. A second snapshot is harmless.
+ * The table must be readable from the log even if all instances are lost. Before the oldest record
+ * that is needed expires, one instance writes a snapshot: the first in the order of a rendezvous
+ * hash, or the next one if that instance does not write. A second snapshot is harmless.
  */
 static void schedule_snapshot(struct cw_node *node)
 {
@@ -383,23 +390,23 @@
 	const struct log_reader *reader = &node->log_readers[CW_STREAM_TABLE];
 	uint64_t end = reader->next_offset;
 	uint64_t covered = node->table_snapshot_covered;
-	int64_t half_life_ms = node->config.log_retention_ms / 2;
+	int64_t half_retention_ms = node->config.log_retention_ms / 2;
 
 	if (!reader->caught_up || reader->needs_snapshot || cw_table_offset(node->table) == 0 ||
 	    reader->backoff_ms)
 		return 0;
 	if (covered && reader->oldest_offset > node->table_snapshot_record_offset)
 		return 1;
-	/* Nothing but the snapshot itself stands behind what it folds: only its own age counts. */
+	/* The snapshot is the only record after the offsets it covers: only its own age counts. */
 	if (node->table_snapshot_record_offset && node->table_snapshot_record_offset + 1 == end &&
 	    covered + 1 == node->table_snapshot_record_offset)
 		return node->table_snapshot_wall_ms &&
-		       node->wall_ms - node->table_snapshot_wall_ms > half_life_ms;
+		       node->wall_ms - node->table_snapshot_wall_ms > half_retention_ms;
 	if (reader->oldest_offset > 1 &&
 	    covered + 1 < reader->oldest_offset + (end - reader->oldest_offset) / 2)
 		return 1;
 	if (end - covered > SNAPSHOT_MAX_TAIL_RECORDS)
 		return 1;
 	return node->table_snapshot_wall_ms &&
-	       node->wall_ms - node->table_snapshot_wall_ms > half_life_ms;
+	       node->wall_ms - node->table_snapshot_wall_ms > half_retention_ms;
 }
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -1,13 +1,14 @@
 /*
- * Requests that end the engines that run them: what the node tells the list, what it does about
- * those that are held, and the list in peers' messages, in the notices and for operators.
+ * Poison requests, which crash the engines that run them: reports the outcome of attempts to the
+ * quarantine, rejects quarantined requests, and exchanges the list of quarantined requests with
+ * peers, the notices stream and operators.
  */
 #include "node_internal.h"
 
 #include <string.h>
 
-#define WRITE_RANK_DELAY_MS 400	 /* between two instances that would write the same */
-#define WRITE_RETRY_MS	    2000 /* after a write: its own record is folded by then, or was lost */
+#define WRITE_RANK_DELAY_MS 400	 /* added delay for each rank among the live instances */
+#define WRITE_RETRY_MS	    2000 /* after an append: its record is read back by then, or was lost */
 
 static int begin_trial(struct cw_node *node, struct request *request);
 static struct cw_quarantine_request to_quarantine_request(const struct request *request);
@@ -28,7 +29,8 @@
 	return 1;
 }
 
-/* By one instance of all that hear of each other, and sent once: a trial may cost a server. */
+/* Only one of the instances that receive heartbeats of each other begins the trial, and sends the
+ * request once, as a trial may crash a server. */
 static int begin_trial(struct cw_node *node, struct request *request)
 {
 	if (request->is_trial)
@@ -42,7 +44,7 @@
 	return 1;
 }
 
-/* Called with the attempt's end, before the server and its version are judged by it. */
+/* Must be called before the attempt counts for the health of the server and of its version. */
 void quarantine_attempt_ended(struct cw_node *node, const struct request *request,
 			      const struct cw_server *server, const struct cw_attempt_end *end)
 {
@@ -68,7 +70,7 @@
 		}
 		cw_quarantine_broke(node->quarantine, &quarantined, server->id,
 				    attempt_run_ms(node, request), 0, node->now_ms);
-		/* Nothing here tries a server's connections: its word is taken. */
+		/* The node does not probe servers: a closed connection counts as a crash. */
 		cw_quarantine_gone(node->quarantine, server->id, node->now_ms);
 		gossip_hurry(node);
 		break;
@@ -98,7 +100,7 @@
 	};
 }
 
-/* The newest attempt. */
+/* Time since the newest attempt was sent. */
 static int64_t attempt_run_ms(const struct cw_node *node, const struct request *request)
 {
 	return node->now_ms - request->attempts[request->attempt_count - 1].sent_ms;
@@ -121,7 +123,8 @@
 	write_next_record(node);
 }
 
-/* Its age counts from the log's clock, so that a list that is read anew holds nothing longer. */
+/* The age of the record counts from its time in the log, so that reading the notices again does not
+ * prolong a quarantine. */
 void quarantine_apply_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms)
 {
 	struct cw_quarantine_record record = {.is_written = 1};
@@ -255,7 +258,8 @@
 		   record->age_ms, cw_quarantine_source_name(change->source));
 }
 
-/* A copy that waits in an engine's queue ends that engine too, unless it is taken out in time. */
+/* A quarantined request that still waits in the queue of an engine would crash that engine too,
+ * unless it is cancelled in time. */
 static void abort_quarantined(struct cw_node *node)
 {
 	struct request *request = LIST_FIRST(&node->requests);
@@ -275,7 +279,8 @@
 	}
 }
 
-/* Into the notices, where it outlives all instances; one instance at a time, by rank. */
+/* Appends the oldest unwritten record to the notices, where the record outlives all instances. The
+ * instances take turns by rank, so that usually one of them writes the record. */
 static void write_next_record(struct cw_node *node)
 {
 	struct cw_quarantine_record record;
--- a/packages/node/src/node_rollout.c
+++ b/packages/node/src/node_rollout.c
@@ -1,7 +1,7 @@
 /*
- * Orders to engines: a version that has a share of traffic and is loaded nowhere in this domain is
- * ordered loaded, by the one instance that holds the lease of the domain. The lease is a claim in
- * the notices; its fencing number is the claim's offset, so it only grows.
+ * Orders to engines: a version that has a weight but is loaded on no engine of this failure domain
+ * is ordered to be loaded, by the instance that holds the lease of the domain. The lease is a claim
+ * in the notices stream; its fencing number is the offset of the claim, so the number only grows.
  */
 #include "node_internal.h"
 
@@ -9,10 +9,10 @@
 #include <string.h>
 
 #define LEASE_CHECK_INTERVAL_MS 1000
-#define MARGIN_DIVISOR		4    /* of the lease's term: no order is sent in the last quarter */
-#define ORDER_TIMEOUT_MS	2000 /* an order is not sent, and not waited for, longer */
+#define LEASE_MARGIN_DIVISOR	4    /* of the lease term: no order is sent in its last quarter */
+#define ORDER_TIMEOUT_MS	2000 /* for sending an order and waiting for its result */
 #define CLAIMANT_ROTATION_MS	30000
-#define INITIAL_REPORTS_MS	2000 /* before trusting that a version is loaded nowhere */
+#define INITIAL_REPORTS_MS	2000 /* after the start, for the load reports of the engines */
 
 static int lease_is_own(const struct cw_node *node);
 static int lease_is_free(const struct cw_node *node);
@@ -63,8 +63,8 @@
 					     : "";
 
 		/*
-		 * Decided by the log's own clock, alike on every instance: a claim counts only when
-		 * the one before it has run out. The fencing number is its offset.
+		 * A claim is granted only after the term of the previous lease. The clock of the
+		 * log decides, so that every instance comes to the same result.
 		 */
 		if (!strcmp(name, node->failure_domain) &&
 		    (!node->lease.fencing ||
@@ -74,7 +74,7 @@
 			node->lease.claimed_ms = time_ms;
 			node->lease.applied_ms = node->now_ms;
 			g_strlcpy(node->lease.holder, holder, CW_NAME_MAX);
-			/* The term is running: what waited for it goes out with the next tick. */
+			/* The term has begun: a waiting order is sent with the next tick. */
 			node->lease_check_due_ms = node->now_ms;
 			node_event(node, "rollout", "lease", "holder=%s fencing=%" G_GUINT64_FORMAT,
 				   holder, offset);
@@ -99,19 +99,20 @@
 }
 
 /*
- * The term counts from before the claim was sent, so this instance stops before anyone else may
- * start, whatever the claim's answer took; a pause shows in the clock before the next order.
+ * The term counts from before the claim was sent, so this instance stops sending orders before
+ * another instance may start, however long the append of the claim took. A pause of the process is
+ * noticed, as the clock is compared before each order.
  */
 static int lease_is_own(const struct cw_node *node)
 {
-	int64_t usable_ms = node->config.lease_ms - node->config.lease_ms / MARGIN_DIVISOR;
+	int64_t usable_ms = node->config.lease_ms - node->config.lease_ms / LEASE_MARGIN_DIVISOR;
 
 	return node->lease.token && node->lease.token == node->lease_token &&
 	       node->now_ms - node->lease_claim_sent_ms < usable_ms;
 }
 
-/* One margin behind the term: a server that ignores fencing may still be handling the last order.
- */
+/* The lease is free one margin and one order time-out after its term, as a server that ignores
+ * fencing numbers may still execute the last order. */
 static int lease_is_free(const struct cw_node *node)
 {
 	if (node->lease_ticket || !log_is_up(node, CW_STREAM_NOTICES))
@@ -119,14 +120,17 @@
 	if (!node->lease.fencing)
 		return 1;
 	return node->now_ms - node->lease.applied_ms >
-	       node->config.lease_ms + node->config.lease_ms / MARGIN_DIVISOR + ORDER_TIMEOUT_MS;
+	       node->config.lease_ms + node->config.lease_ms / LEASE_MARGIN_DIVISOR +
+		       ORDER_TIMEOUT_MS;
 }
 
 static void claim_lease(struct cw_node *node)
 {
 	char *record;
 
-	/* By turns of rendezvous, so that not every instance of the domain claims at once. */
+	/* Only an instance with one of the first three ranks among all live instances claims, so
+	 * that not every instance of the failure domain claims at once. Its rank changes every
+	 * CLAIMANT_ROTATION_MS of its own clock. */
 	if (cw_membership_rank(node->membership,
 			       cw_hash_text(node->failure_domain,
 					    (uint64_t)node->now_ms / CLAIMANT_ROTATION_MS),
@@ -141,7 +145,7 @@
 	node->lease_ticket = log_append(node, CW_STREAM_NOTICES, record);
 }
 
-/* An allowed version with a weight that no engine of this domain has loaded. */
+/* Finds an allowed version with a weight that no engine of this failure domain has loaded. */
 static const struct cw_row *find_missing_version(struct cw_node *node)
 {
 	const struct cw_row *row;
@@ -158,7 +162,7 @@
 			    strcmp(server->failure_domain, node->failure_domain) != 0 ||
 			    server->leaving)
 				continue;
-			/* What is not known to be missing is not ordered. */
+			/* Only engines that have reported their versions count. */
 			engines += server->versions_known;
 			loaded |= cw_pool_serves(server, cw_pool_version(row->model, row->version));
 		}
@@ -168,8 +172,8 @@
 	return NULL;
 }
 
-/* The order states the end wanted and is harmless twice or late: loading what is loaded changes
- * nothing. */
+/* The order is idempotent, so a repeated or late one is harmless: loading a version that is loaded
+ * already changes nothing. */
 static void send_order(struct cw_node *node, const struct cw_row *row)
 {
 	struct cw_server *server = choose_engine(node);
@@ -192,7 +196,7 @@
 		   row->model, row->version, server->name, node->lease.fencing);
 }
 
-/* The engine of the domain with the fewest versions, then the least load. */
+/* Chooses the engine of the failure domain with the fewest versions, then the least load. */
 static struct cw_server *choose_engine(struct cw_node *node)
 {
 	struct cw_server *best = NULL;
