--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -39,7 +39,7 @@
 static void send_table(struct cw_node *node, const struct cw_member *member, uint64_t offset);
 static void merge_binding(struct cw_node *node, const struct peer_binding *bind, uint64_t handle);
 static void send_binding(struct cw_node *node, const struct cw_member *member,
-			 const struct peer_binding *ask);
+			 const struct peer_binding *query);
 static uint64_t *new_u64(uint64_t value);
 
 void gossip_handle_message(struct cw_node *node, const void *data, size_t size)
@@ -227,7 +227,7 @@
 
 /* A trip takes effect at once on this instance, is announced to peers with the next heartbeats, and
  * is appended to the log. */
-void gossip_tripped(struct cw_node *node, uint64_t version, const char *how)
+void gossip_tripped(struct cw_node *node, uint64_t version, const char *cause)
 {
 	struct json_object *record = json_object_new_object();
 	struct json_object *trip = json_object_new_object();
@@ -237,14 +237,14 @@
 	g_snprintf(id, sizeof(id), "%016" G_GINT64_MODIFIER "x", version);
 	json_object_object_add(trip, "version_id", json_object_new_string(id));
 	json_object_object_add(trip, "by", json_object_new_string(node->instance));
-	json_object_object_add(trip, "how", json_object_new_string(how));
+	json_object_object_add(trip, "how", json_object_new_string(cause));
 	TAILQ_FOREACH(row, cw_table_rows(node->table), link) {
 		if (cw_pool_version(row->model, row->version) != version)
 			continue;
 		json_object_object_add(trip, "model", json_object_new_string(row->model));
 		json_object_object_add(trip, "version", json_object_new_string(row->version));
 		node_event(node, "health", "trip", "model=%s version=%s how=%s", row->model,
-			   row->version, how);
+			   row->version, cause);
 		break;
 	}
 	json_object_object_add(record, "trip", trip);
@@ -507,15 +507,15 @@
 }
 
 static void send_binding(struct cw_node *node, const struct cw_member *member,
-			 const struct peer_binding *ask)
+			 const struct peer_binding *query)
 {
-	const struct cw_binding *known = cw_session_find(node->sessions, ask->key, node->now_ms);
+	const struct cw_binding *known = cw_session_find(node->sessions, query->key, node->now_ms);
 	struct peer_message message = {0};
 	struct peer_binding *answer = &message.body.peer_body_u.binding;
 
 	message.body.kind = PEER_BINDING;
-	answer->key = ask->key;
-	answer->asker = ask->asker;
+	answer->key = query->key;
+	answer->asker = query->asker;
 	answer->bound_at = known ? known->bound_at : 0;
 	answer->row = known ? known->row : 0;
 	answer->model = (char *)(known ? known->model : "");
--- a/packages/node/src/node_internal.h
+++ b/packages/node/src/node_internal.h
@@ -67,7 +67,7 @@
 	unsigned int shown; /* chunks sent to the caller */
 	int resumed;	    /* the stream was resumed once on its current server */
 
-	struct cw_option options[CW_MAX_VERSIONS]; /* of "auto" */
+	struct cw_option options[CW_MAX_VERSIONS]; /* for the target "auto" */
 	char option_model[CW_MAX_VERSIONS][CW_NAME_MAX];
 	char option_version[CW_MAX_VERSIONS][CW_NAME_MAX];
 	struct cw_cascade_in choice;
@@ -90,7 +90,7 @@
 	int64_t backoff_ms;	 /* 0 after a successful read */
 	int64_t last_success_ms; /* when a read was last answered, -1 never */
 	int caught_up;		 /* the end of the stream was reached once since the start */
-	int needs_snapshot;	 /* records were missed: the next one must be a snapshot */
+	int needs_snapshot;	 /* records were missed: the table waits for a snapshot */
 };
 
 struct claim_entry { /* a claim, outcome or release to append to the claims stream */
@@ -115,9 +115,9 @@
 
 struct rating {
 	uint64_t task;
-	uint64_t common;
+	uint64_t common; /* hash of the task alone, shared by all organisations */
 	uint64_t version;
-	unsigned int score;
+	unsigned int score; /* in thousandths */
 	unsigned int tokens;
 };
 
@@ -145,15 +145,14 @@
 	int64_t wall_ms;
 	int64_t started_ms; /* -1 before the first event */
 	struct cw_effects *effects;
-	uint64_t next_ticket;
+	uint64_t next_ticket; /* a ticket ties the result of an effect to the effect */
 
 	struct cw_table *table;
 	struct table_record_list table_records; /* newest records, sent to peers that lag */
 	size_t table_record_count;
 	uint64_t table_snapshot_covered; /* last offset covered by the newest snapshot, 0 none */
 	uint64_t table_snapshot_record_offset; /* offset of the newest snapshot itself */
-	int64_t table_snapshot_wall_ms; /* time of the newest snapshot, or of the first record read
-					 */
+	int64_t table_snapshot_wall_ms; /* time of the newest snapshot, else of the first record */
 	int64_t routing_changed_ms;	/* last change of weights or states, on the node's clock */
 	uint64_t snapshot_ticket;
 	int64_t snapshot_due_ms; /* 0: none scheduled */
@@ -192,8 +191,8 @@
 	int64_t quarantine_due_ms;  /* no append before this time */
 
 	struct request_list requests;
-	struct request_list free_requests;
-	GHashTable *by_handle;
+	struct request_list free_requests; /* reused by new requests */
+	GHashTable *by_handle;		   /* handle -> struct request */
 	size_t running;
 
 	struct rating ratings[RATINGS_RING_LENGTH];
@@ -215,7 +214,7 @@
 	uint64_t order_ticket;
 
 	int stopping;
-	int64_t stop_ms;
+	int64_t stop_ms; /* when the stop began */
 	int stopped;
 };
 
@@ -306,7 +305,7 @@
 size_t gossip_ask_binding(struct cw_node *node, uint64_t key, uint64_t handle);
 void gossip_add_rating(struct cw_node *node, uint64_t task, uint64_t common, uint64_t version,
 		       double score, unsigned int tokens);
-void gossip_tripped(struct cw_node *node, uint64_t version, const char *how);
+void gossip_tripped(struct cw_node *node, uint64_t version, const char *cause);
 
 /* node_quarantine.c: poison requests, which crash the servers that run them */
 int quarantine_refuses(struct cw_node *node,
