--- a/packages/node/include/cw_node.h
+++ b/packages/node/include/cw_node.h
@@ -27,9 +27,9 @@
 #include <sys/queue.h>
 
 enum cw_stream {
-	CW_STREAM_TABLE,
-	CW_STREAM_CLAIMS,
-	CW_STREAM_NOTICES,
+	CW_STREAM_TABLE,   /* edits and snapshots of the table */
+	CW_STREAM_CLAIMS,  /* claims of idempotency keys, their outcomes and releases */
+	CW_STREAM_NOTICES, /* trips, quarantine records and leases */
 	CW_STREAM_BILLS,
 	CW_STREAMS,
 };
