--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -477,7 +477,7 @@
 	struct json_object *answer = json_object_new_object();
 	struct json_object *members = json_object_new_array();
 	struct json_object *servers = json_object_new_array();
-	struct cw_quarantine_record held[CW_QUARANTINE_HELD];
+	struct cw_quarantine_record quarantined[CW_QUARANTINE_HELD];
 	const struct cw_member *member;
 	const struct cw_server *server;
 	char *text;
@@ -495,9 +495,10 @@
 			       json_object_new_int64((int64_t)cw_node_bills_held(node)));
 	json_object_object_add(answer, "sessions",
 			       json_object_new_int64((int64_t)cw_session_count(node->sessions)));
-	json_object_object_add(answer, "quarantined",
-			       json_object_new_int64((int64_t)cw_quarantine_list(
-				       node->quarantine, node->now_ms, held, CW_QUARANTINE_HELD)));
+	json_object_object_add(
+		answer, "quarantined",
+		json_object_new_int64((int64_t)cw_quarantine_list(
+			node->quarantine, node->now_ms, quarantined, CW_QUARANTINE_HELD)));
 	json_object_object_add(
 		answer, "platform",
 		json_object_new_string(log_is_up(node, CW_STREAM_TABLE) ? "up" : "down"));
--- a/packages/node/src/node_bills.c
+++ b/packages/node/src/node_bills.c
@@ -334,8 +334,8 @@
 	}
 }
 
-/* Only the peers that were sent a bill are told that it settled: a large installation has hundreds
- * of others. */
+/* A settled bill is announced only to the peers that hold its mirror, as a large installation has
+ * hundreds of other peers. */
 static void announce_settled_to(struct cw_node *node, const struct cw_member *member,
 				const struct cw_bill_list *settled)
 {
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -262,8 +262,8 @@
 	struct peer_load loads[LOADS_MAX];
 	struct peer_want wants[WANTS_MAX];
 	struct peer_rating ratings[RATINGS_PER_MESSAGE];
-	struct peer_end ends[CW_QUARANTINE_ENDS];
-	struct peer_held held[CW_QUARANTINE_RECORDS];
+	struct peer_end crashes[CW_QUARANTINE_ENDS];
+	struct peer_held quarantined[CW_QUARANTINE_RECORDS];
 	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS];
 	uint64_t rows[WANTS_MAX];
 	uint32_t parts[WANTS_MAX];
@@ -306,7 +306,7 @@
 	heartbeat->ratings.ratings_len =
 		(u_int)fill_ratings(node, member, ratings, (uint64_t *)&heartbeat->first_rating);
 	heartbeat->ratings.ratings_val = ratings;
-	quarantine_announce(node, ends, held, records, heartbeat);
+	quarantine_announce(node, crashes, quarantined, records, heartbeat);
 	gossip_send(node, member, &message);
 }
 
--- a/packages/node/src/node_internal.h
+++ b/packages/node/src/node_internal.h
@@ -317,8 +317,8 @@
 void quarantine_tick(struct cw_node *node);
 void quarantine_apply_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms);
 void quarantine_handle_append(struct cw_node *node, const struct cw_appended *appended);
-void quarantine_announce(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_ENDS],
-			 struct peer_held held[CW_QUARANTINE_RECORDS],
+void quarantine_announce(struct cw_node *node, struct peer_end crashes[CW_QUARANTINE_ENDS],
+			 struct peer_held quarantined[CW_QUARANTINE_RECORDS],
 			 struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
 			 struct peer_heartbeat *heartbeat); /* points into the arrays */
 void quarantine_merge(struct cw_node *node, const struct peer_heartbeat *heartbeat);
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -150,8 +150,8 @@
 		node->quarantine_ticket = 0;
 }
 
-void quarantine_announce(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_ENDS],
-			 struct peer_held held[CW_QUARANTINE_RECORDS],
+void quarantine_announce(struct cw_node *node, struct peer_end crashes[CW_QUARANTINE_ENDS],
+			 struct peer_held quarantined[CW_QUARANTINE_RECORDS],
 			 struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
 			 struct peer_heartbeat *heartbeat)
 {
@@ -160,37 +160,37 @@
 		cw_quarantine_tell_ends(node->quarantine, node->now_ms, own, CW_QUARANTINE_ENDS);
 
 	for (size_t i = 0; i < count; i++) {
-		ends[i].fingerprint = own[i].fingerprint;
-		ends[i].server = own[i].server;
-		ends[i].alive = (u_int)own[i].is_alive;
-		ends[i].age_ms = own[i].age_ms;
-		ends[i].ran_ms = own[i].ran_ms;
-		ends[i].running = (u_int)own[i].is_running;
-		ends[i].confirmed = (u_int)own[i].is_confirmed;
-		ends[i].answered_ms = own[i].answered_ms;
+		crashes[i].fingerprint = own[i].fingerprint;
+		crashes[i].server = own[i].server;
+		crashes[i].alive = (u_int)own[i].is_alive;
+		crashes[i].age_ms = own[i].age_ms;
+		crashes[i].ran_ms = own[i].ran_ms;
+		crashes[i].running = (u_int)own[i].is_running;
+		crashes[i].confirmed = (u_int)own[i].is_confirmed;
+		crashes[i].answered_ms = own[i].answered_ms;
 	}
 	heartbeat->ends.ends_len = (u_int)count;
-	heartbeat->ends.ends_val = ends;
+	heartbeat->ends.ends_val = crashes;
 	count = cw_quarantine_tell_records(node->quarantine, node->now_ms, records,
 					   CW_QUARANTINE_RECORDS);
 	for (size_t i = 0; i < count; i++) {
-		held[i].fingerprint = records[i].fingerprint;
-		held[i].organisation = records[i].organisation;
-		held[i].target = records[i].target;
-		held[i].ends = records[i].ends;
-		held[i].age_ms = records[i].age_ms;
-		held[i].released = (u_int)records[i].is_released;
-		held[i].written = (u_int)records[i].is_written;
+		quarantined[i].fingerprint = records[i].fingerprint;
+		quarantined[i].organisation = records[i].organisation;
+		quarantined[i].target = records[i].target;
+		quarantined[i].ends = records[i].ends;
+		quarantined[i].age_ms = records[i].age_ms;
+		quarantined[i].released = (u_int)records[i].is_released;
+		quarantined[i].written = (u_int)records[i].is_written;
 	}
 	heartbeat->held.held_len = (u_int)count;
-	heartbeat->held.held_val = held;
+	heartbeat->held.held_val = quarantined;
 }
 
 void quarantine_merge(struct cw_node *node, const struct peer_heartbeat *heartbeat)
 {
 	for (u_int i = 0; i < heartbeat->ends.ends_len; i++) {
 		const struct peer_end *peer = &heartbeat->ends.ends_val[i];
-		struct cw_quarantine_end end = {
+		struct cw_quarantine_end crash = {
 			.fingerprint = peer->fingerprint,
 			.server = peer->server,
 			.is_alive = peer->alive != 0,
@@ -201,7 +201,7 @@
 			.answered_ms = peer->answered_ms,
 		};
 
-		cw_quarantine_hear_end(node->quarantine, &end, node->now_ms);
+		cw_quarantine_hear_end(node->quarantine, &crash, node->now_ms);
 	}
 	for (u_int i = 0; i < heartbeat->held.held_len; i++) {
 		const struct peer_held *peer = &heartbeat->held.held_val[i];
