--- a/packages/node/include/cw_node.h
+++ b/packages/node/include/cw_node.h
@@ -205,7 +205,7 @@
 	CW_EFFECT_APPEND,   /* append a record to a stream of the log */
 	CW_EFFECT_SEND,	    /* send a message to a peer */
 	CW_EFFECT_RATE,	    /* have the quality of an answer rated */
-	CW_EFFECT_ORDER,    /* send a load or unload order to an engine */
+	CW_EFFECT_ORDER,    /* order an engine to load a version */
 	CW_EFFECT_POLL,	    /* request the load report of a backend server */
 	CW_EFFECT_EVENT,    /* write an entry to the timeline */
 	CW_EFFECT_STOPPED,  /* the graceful stop is complete */
@@ -273,7 +273,7 @@
 		struct {
 			uint64_t ticket;
 			char address[CW_ADDRESS_MAX];
-			const char *order; /* "load_version" or "unload_version" */
+			const char *order; /* "load_version", the only order so far */
 			char target[2 * CW_NAME_MAX];
 			uint64_t fencing;
 			uint64_t table_offset;
