--- a/packages/node/src/node_bills.c
+++ b/packages/node/src/node_bills.c
@@ -1,66 +1,68 @@
-/* Bills: mirrored before the answer ends, appended in batches, read back before any repeat. */
+/*
+ * Bills: mirrored on peers before the answer ends, appended to the log in batches, and read back
+ * from the log before an append is retried.
+ */
 #include "node_internal.h"
 
 #include <string.h>
 
-#define MIRROR_CHECK_MS	 1000
-#define ASK_ORIGIN_MS	 5000
-#define BILLS_RETRY_MS	 100
-#define BILL_HOMES	 2
-#define STOP_PATIENCE_MS 10000
-#define READ_BACK_LIMIT	 0 /* no wait: only what is there */
+#define MIRROR_CHECK_MS	  1000
+#define ORIGIN_QUERY_MS	  5000
+#define BILLS_RETRY_MS	  100
+#define BILL_MIRRORS	  2
+#define STOP_LOG_WAIT_MS  10000 /* after stop_grace_ms, for a log that does not answer */
+#define READ_BACK_WAIT_MS 0	/* no long poll: only records already in the log */
 
-static char *bill_text(struct request *request, const char *id);
-static void send_bills(struct cw_node *node);
+static char *bill_to_json(struct request *request, const char *id);
+static void append_bills(struct cw_node *node);
 static void read_back(struct cw_node *node, uint64_t from);
-static void ask_origins(struct cw_node *node);
-static void take_over(struct cw_node *node);
-static char *origin_name(const char *instance, uint64_t boot); /* g_free */
-static int origin_is_gone(struct cw_node *node, const char *origin);
-static void tell_settled(struct cw_node *node, struct cw_bill_list *settled);
-static void tell_home(struct cw_node *node, const struct cw_member *member,
-		      const struct cw_bill_list *settled);
-static void bills_retry(struct cw_node *node);
+static void query_origins(struct cw_node *node);
+static void take_over_mirrors(struct cw_node *node);
+static char *format_origin(const char *instance, uint64_t boot); /* g_free */
+static int is_origin_unavailable(struct cw_node *node, const char *origin);
+static void announce_settled(struct cw_node *node, struct cw_bill_list *settled);
+static void announce_settled_to(struct cw_node *node, const struct cw_member *member,
+				const struct cw_bill_list *settled);
+static void schedule_bills_retry(struct cw_node *node);
 
 void bills_add(struct cw_node *node, struct request *request)
 {
-	struct cw_member *homes[BILL_HOMES];
+	struct cw_member *mirrors[BILL_MIRRORS];
 	char id[CW_NAME_MAX + CW_ID_MAX + 2];
-	char *text = bill_text(request, request->in.request_id);
+	char *text = bill_to_json(request, request->in.request_id);
 	struct peer_message message = {0};
 	struct peer_bill item;
 	struct cw_bill *bill;
 	size_t count;
 
 	g_snprintf(id, sizeof(id), "%s/%s", request->organisation, request->in.request_id);
-	bill = cw_ledger_add(node->ledger, id, text, "", node->bills_end, node->now_ms);
+	bill = cw_ledger_add(node->ledger, id, text, "", node->bills_end_offset, node->now_ms);
 	if (node->bills_due_ms == 0)
 		node->bills_due_ms = node->now_ms + node->config.bill_flush_ms;
 	item.id = id;
 	item.text = text;
 	message.body.kind = PEER_BILLS;
-	message.body.peer_body_u.bills.noted = node->bills_end;
+	message.body.peer_body_u.bills.noted = node->bills_end_offset;
 	message.body.peer_body_u.bills.list.list_len = 1;
 	message.body.peer_body_u.bills.list.list_val = &item;
-	count = cw_membership_find_owners(node->membership, cw_hash_text(id, 8), node->now_ms,
-					  homes, BILL_HOMES);
+	count = cw_membership_homes(node->membership, cw_hash_text(id, 8), node->now_ms, mirrors,
+				    BILL_MIRRORS);
 	for (size_t i = 0; i < count; i++) {
-		bill->homes[i] = homes[i]->id;
-		gossip_send(node, homes[i], &message);
+		bill->homes[i] = mirrors[i]->id;
+		gossip_send(node, mirrors[i], &message);
 	}
 	g_free(text);
-	/* Nobody is there to hold it: waiting would help nobody. */
+	/* No peer can hold a mirror, so the answer is not delayed for one. */
 	if (count == 0)
 		request_bill_safe(node, id);
 }
 
-/* Held for its origin, whose run the name carries: a restarted origin knows its old bills no more.
- */
-void bills_mirrored(struct cw_node *node, const char *from, uint64_t boot,
-		    const struct peer_bills *bills)
+/* The origin's name includes its boot id, as a restarted origin has lost its earlier bills. */
+void bills_store_mirrors(struct cw_node *node, const char *from, uint64_t boot,
+			 const struct peer_bills *bills)
 {
 	struct cw_member *member = cw_membership_find(node->membership, from);
-	char *origin = origin_name(from, boot);
+	char *origin = format_origin(from, boot);
 	struct peer_message message = {0};
 
 	for (u_int i = 0; i < bills->list.list_len; i++)
@@ -75,11 +77,13 @@
 }
 
 /*
- * A peer holds these. One that stands in the log already is told back: the word that it had settled
- * may have been lost, or have come before the bill itself. The mirror would else hold it for ever,
- * and append it when this instance is gone.
+ * A peer reports that it holds mirrors of these bills. Bills that are already in the log are
+ * announced to the peer again as settled: the first announcement may have been lost, or have
+ * arrived before the bill itself. Otherwise the peer would hold the mirror for ever, and append it
+ * once this instance is unavailable.
  */
-void bills_held(struct cw_node *node, const struct cw_member *from, const struct peer_bills *bills)
+void bills_mark_mirrored(struct cw_node *node, const struct cw_member *from,
+			 const struct peer_bills *bills)
 {
 	struct peer_message message = {0};
 	struct peer_bill settled[CW_BILL_BATCH];
@@ -102,11 +106,12 @@
 	gossip_send(node, from, &message);
 }
 
-/* Only the run that made a bill can know that it stands: a restarted origin knows none of them. */
-void bills_settled(struct cw_node *node, const char *from, uint64_t boot,
-		   const struct peer_bills *bills)
+/* Only an origin with the same boot id knows that its bill is in the log: a restarted origin has
+ * lost the bills of its earlier start. */
+void bills_settle_mirrors(struct cw_node *node, const char *from, uint64_t boot,
+			  const struct peer_bills *bills)
 {
-	char *origin = origin_name(from, boot);
+	char *origin = format_origin(from, boot);
 
 	for (u_int i = 0; i < bills->list.list_len; i++) {
 		struct cw_bill *bill = cw_ledger_find(node->ledger, bills->list.list_val[i].id);
@@ -117,7 +122,7 @@
 	g_free(origin);
 }
 
-void bills_appended(struct cw_node *node, const struct cw_appended *appended)
+void bills_handle_append(struct cw_node *node, const struct cw_appended *appended)
 {
 	struct cw_bill_list settled = TAILQ_HEAD_INITIALIZER(settled);
 
@@ -125,59 +130,60 @@
 		return;
 	node->bills_state = BILLS_IDLE;
 	if (appended->status == CW_OK) {
-		node->bills_end = MAX(node->bills_end, appended->offset + 1);
+		node->bills_end_offset = MAX(node->bills_end_offset, appended->offset + 1);
 		cw_ledger_append_done(node->ledger, appended->ticket, &settled);
-		tell_settled(node, &settled);
+		announce_settled(node, &settled);
 		node->bills_due_ms = 0;
 		return;
 	}
 	cw_ledger_append_failed(node->ledger, appended->ticket);
 	/*
-	 * The answer can be lost after the record was kept. Appending again would bill twice; it
-	 * shows as two offsets with one id. So read back first, from the end noted before the try.
+	 * The response can be lost after the record was stored. Appending the bills again would
+	 * bill twice: two records with the same bill id. So the stream is read back first, from the
+	 * end that was known before the append.
 	 */
 	if (appended->status == CW_UNKNOWN)
-		node->bills_uncertain = 1;
-	bills_retry(node);
+		node->bills_need_read_back = 1;
+	schedule_bills_retry(node);
 }
 
-void bills_records(struct cw_node *node, const struct cw_records *records)
+void bills_handle_records(struct cw_node *node, const struct cw_records *records)
 {
 	if (node->bills_state != BILLS_READING_BACK || records->ticket != node->bills_ticket)
 		return;
-	if (records->status == CW_EXPIRED && records->first > node->bills_from) {
+	if (records->status == CW_EXPIRED && records->first > node->bills_read_offset) {
 		read_back(node, records->first);
 		return;
 	}
 	if (records->status != CW_OK) {
 		node->bills_state = BILLS_IDLE;
-		bills_retry(node);
+		schedule_bills_retry(node);
 		return;
 	}
 	for (size_t i = 0; i < records->count; i++) {
 		cw_ledger_settle_record(node->ledger, records->list[i].data);
-		node->bills_from = MAX(node->bills_from, records->list[i].offset + 1);
+		node->bills_read_offset = MAX(node->bills_read_offset, records->list[i].offset + 1);
 	}
 	if (records->count > 0) {
-		read_back(node, node->bills_from);
+		read_back(node, node->bills_read_offset);
 		return;
 	}
-	/* The end: what is still held was not kept. */
-	node->bills_end = MAX(node->bills_end, node->bills_from);
-	node->bills_uncertain = 0;
+	/* End of the stream: the bills that remain in the ledger are not in the log. */
+	node->bills_end_offset = MAX(node->bills_end_offset, node->bills_read_offset);
+	node->bills_need_read_back = 0;
 	node->bills_state = BILLS_IDLE;
-	send_bills(node);
+	append_bills(node);
 }
 
 void bills_tick(struct cw_node *node)
 {
 	if (node->bills_state != BILLS_IDLE)
 		return;
-	if (node->now_ms >= node->mirror_due_ms) {
-		node->mirror_due_ms = node->now_ms + MIRROR_CHECK_MS +
-				      (int64_t)(node_random(node) % MIRROR_CHECK_MS);
-		ask_origins(node);
-		take_over(node);
+	if (node->now_ms >= node->mirror_check_due_ms) {
+		node->mirror_check_due_ms = node->now_ms + MIRROR_CHECK_MS +
+					    (int64_t)(node_random(node) % MIRROR_CHECK_MS);
+		query_origins(node);
+		take_over_mirrors(node);
 		if (node->bills_state != BILLS_IDLE)
 			return;
 	}
@@ -185,29 +191,30 @@
 		node->bills_due_ms = node->now_ms + node->config.bill_flush_ms;
 	if (node->bills_due_ms == 0 || (node->now_ms < node->bills_due_ms && !node->stopping))
 		return;
-	/* A stopping instance flushes without waiting, but never faster than a failing log allows.
-	 */
+	/* A stopping instance does not wait until the bills are due, unless that time is more than
+	 * bill_flush_ms away. */
 	if (node->stopping && node->bills_due_ms > node->now_ms + node->config.bill_flush_ms)
 		return;
 	g_free(node->bills_origin);
 	node->bills_origin = g_strdup("");
-	if (node->bills_uncertain)
+	if (node->bills_need_read_back)
 		read_back(node, cw_ledger_oldest_noted(node->ledger, ""));
 	else
-		send_bills(node);
+		append_bills(node);
 }
 
 /*
- * A stopping instance waits for its bills to stand in the log. While the log is out for long it may
- * go all the same once every bill is held by a peer, which appends them when this instance is gone.
+ * A stopping instance waits until its bills are in the log. If the log does not answer for long,
+ * the instance may stop once a peer holds a mirror of every bill; the peer appends the bills when
+ * this instance is unavailable.
  */
-int bills_are_done(const struct cw_node *node)
+int bills_allow_stop(const struct cw_node *node)
 {
 	const struct cw_bill *bill;
 
 	if (cw_ledger_count(node->ledger, "") == 0)
 		return node->bills_state == BILLS_IDLE;
-	if (node->now_ms - node->stop_ms < node->config.stop_grace_ms + STOP_PATIENCE_MS)
+	if (node->now_ms - node->stop_ms < node->config.stop_grace_ms + STOP_LOG_WAIT_MS)
 		return 0;
 	TAILQ_FOREACH(bill, cw_ledger_bills(node->ledger), link) {
 		if (!*bill->origin && !bill->mirrored)
@@ -216,9 +223,8 @@
 	return 1;
 }
 
-/* Mirrors held for long: their origin is told again that they are held, and says what has settled.
- */
-static void ask_origins(struct cw_node *node)
+/* Reports old mirrors to their origin again; the origin answers with those that have settled. */
+static void query_origins(struct cw_node *node)
 {
 	struct cw_bill *bill;
 
@@ -228,8 +234,8 @@
 		struct cw_member *origin;
 		char **parts;
 
-		if (!*bill->origin || origin_is_gone(node, bill->origin) ||
-		    node->now_ms - MAX(bill->asked_ms, bill->made_ms) < ASK_ORIGIN_MS)
+		if (!*bill->origin || is_origin_unavailable(node, bill->origin) ||
+		    node->now_ms - MAX(bill->asked_ms, bill->made_ms) < ORIGIN_QUERY_MS)
 			continue;
 		bill->asked_ms = node->now_ms;
 		parts = g_strsplit(bill->origin, "#", 2);
@@ -244,13 +250,13 @@
 	}
 }
 
-/* Mirrors of an origin that is gone: what the log lacks is appended here. */
-static void take_over(struct cw_node *node)
+/* Appends the mirrored bills of an unavailable origin that are missing from the log. */
+static void take_over_mirrors(struct cw_node *node)
 {
 	const struct cw_bill *bill;
 
 	TAILQ_FOREACH(bill, cw_ledger_bills(node->ledger), link) {
-		if (!*bill->origin || !origin_is_gone(node, bill->origin))
+		if (!*bill->origin || !is_origin_unavailable(node, bill->origin))
 			continue;
 		g_free(node->bills_origin);
 		node->bills_origin = g_strdup(bill->origin);
@@ -261,30 +267,29 @@
 	}
 }
 
-static char *origin_name(const char *instance, uint64_t boot)
+static char *format_origin(const char *instance, uint64_t boot)
 {
 	return g_strdup_printf("%s#%" G_GUINT64_FORMAT, instance, boot);
 }
 
-static int origin_is_gone(struct cw_node *node, const char *origin)
+static int is_origin_unavailable(struct cw_node *node, const char *origin)
 {
 	char **parts = g_strsplit(origin, "#", 2);
 	const struct cw_member *member = cw_membership_find(node->membership, parts[0]);
 	uint64_t boot = g_ascii_strtoull(parts[1], NULL, 10);
-	int gone = !member || member->boot != boot ||
-		   cw_membership_is_unreachable(node->membership, member, node->now_ms);
+	int is_unavailable = !member || member->boot != boot ||
+			     cw_membership_is_gone(node->membership, member, node->now_ms);
 
 	g_strfreev(parts);
-	return gone;
+	return is_unavailable;
 }
 
-static void send_bills(struct cw_node *node)
+static void append_bills(struct cw_node *node)
 {
 	char *record;
 	uint64_t ticket;
 
-	/* The ticket must be known before the bills are marked with it: it is the next one given.
-	 */
+	/* The bills are marked with the ticket that log_append is going to draw. */
 	ticket = node->next_ticket;
 	if (cw_ledger_take(node->ledger, ticket, node->bills_origin, CW_BILL_BATCH, &record) == 0) {
 		g_free(record);
@@ -298,29 +303,30 @@
 static void read_back(struct cw_node *node, uint64_t from)
 {
 	if (from == UINT64_MAX) {
-		node->bills_uncertain = 0;
+		node->bills_need_read_back = 0;
 		node->bills_state = BILLS_IDLE;
 		return;
 	}
-	node->bills_from = MAX(from, 1);
-	node->bills_ticket = node_ticket(node);
+	node->bills_read_offset = MAX(from, 1);
+	node->bills_ticket = node_new_ticket(node);
 	node->bills_state = BILLS_READING_BACK;
-	log_read(node, CW_STREAM_BILLS, node->bills_ticket, node->bills_from, READ_BACK_LIMIT);
+	log_read(node, CW_STREAM_BILLS, node->bills_ticket, node->bills_read_offset,
+		 READ_BACK_WAIT_MS);
 }
 
-static void bills_retry(struct cw_node *node)
+static void schedule_bills_retry(struct cw_node *node)
 {
 	node->bills_due_ms =
 		node->now_ms + BILLS_RETRY_MS + (int64_t)(node_random(node) % BILLS_RETRY_MS);
 }
 
-static void tell_settled(struct cw_node *node, struct cw_bill_list *settled)
+static void announce_settled(struct cw_node *node, struct cw_bill_list *settled)
 {
 	const struct cw_member *member;
 	struct cw_bill *bill;
 
 	TAILQ_FOREACH(member, cw_membership_members(node->membership), link)
-		tell_home(node, member, settled);
+		announce_settled_to(node, member, settled);
 	while ((bill = TAILQ_FIRST(settled))) {
 		TAILQ_REMOVE(settled, bill, link);
 		request_bill_safe(node, bill->id);
@@ -328,9 +334,10 @@
 	}
 }
 
-/* Only who was sent a bill need hear that it stands: at full size the others are hundreds. */
-static void tell_home(struct cw_node *node, const struct cw_member *member,
-		      const struct cw_bill_list *settled)
+/* A settled bill is announced only to the peers that hold its mirror, as a large installation has
+ * hundreds of other peers. */
+static void announce_settled_to(struct cw_node *node, const struct cw_member *member,
+				const struct cw_bill_list *settled)
 {
 	struct peer_message message = {0};
 	struct peer_bill items[CW_BILL_BATCH];
@@ -351,7 +358,7 @@
 	gossip_send(node, member, &message);
 }
 
-static char *bill_text(struct request *request, const char *id)
+static char *bill_to_json(struct request *request, const char *id)
 {
 	struct json_object *bill = json_object_new_object();
 	struct json_object *attempts = json_object_new_array();
@@ -363,14 +370,14 @@
 	for (unsigned int i = 0; i < request->attempt_count; i++) {
 		const struct attempt *attempt = &request->attempts[i];
 		struct json_object *item = json_object_new_object();
-		/* A broken attempt counts for what the caller was shown of it, not for its prompt
-		 * again. */
-		unsigned int asked =
+		/* A failed attempt is billed for the tokens sent to the caller, but not for its
+		 * prompt. */
+		unsigned int billed_prompt =
 			attempt->result == CW_ATTEMPT_ANSWERED ? attempt->prompt_tokens : 0;
 
-		prompt += asked;
+		prompt += billed_prompt;
 		completion += attempt->completion_tokens;
-		cost += (asked + attempt->completion_tokens) * attempt->cost_per_1k / 1000;
+		cost += (billed_prompt + attempt->completion_tokens) * attempt->cost_per_1k / 1000;
 		json_object_object_add(item, "attempt", json_object_new_int((int)i + 1));
 		json_object_object_add(item, "model", json_object_new_string(attempt->model));
 		json_object_object_add(item, "version", json_object_new_string(attempt->version));
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -1,22 +1,23 @@
 /*
- * Requests that end the engines that run them: what the node tells the list, what it does about
- * those that are held, and the list in peers' messages, in the notices and for operators.
+ * Poison requests, which crash the engines that run them: reports the outcome of attempts to the
+ * quarantine, rejects quarantined requests, and exchanges the list of quarantined requests with
+ * peers, the notices stream and operators.
  */
 #include "node_internal.h"
 
 #include <string.h>
 
-#define STEP_MS	 400  /* between two instances that would write the same */
-#define AGAIN_MS 2000 /* after a write: its own record is folded by then, or was lost */
+#define WRITE_RANK_DELAY_MS 400	 /* added delay for each rank among the live instances */
+#define WRITE_RETRY_MS	    2000 /* after an append: its record is read back by then, or was lost */
 
 static int begin_trial(struct cw_node *node, struct request *request);
-static struct cw_quarantine_request as_quarantined(const struct request *request);
-static int64_t ran_ms(const struct cw_node *node, const struct request *request);
-static void log_change(struct cw_node *node, const struct cw_quarantine_change *change);
-static void stop_held(struct cw_node *node);
-static void write_next(struct cw_node *node);
-static struct json_object *as_json(const struct cw_quarantine_record *record);
-static const char *text_of(struct json_object *object, const char *key);
+static struct cw_quarantine_request to_quarantine_request(const struct request *request);
+static int64_t attempt_run_ms(const struct cw_node *node, const struct request *request);
+static void log_quarantine_change(struct cw_node *node, const struct cw_quarantine_change *change);
+static void abort_quarantined(struct cw_node *node);
+static void write_next_record(struct cw_node *node);
+static struct json_object *record_to_json(const struct cw_quarantine_record *record);
+static const char *get_text(struct json_object *object, const char *key);
 
 int quarantine_refuses(struct cw_node *node, struct request *request)
 {
@@ -28,7 +29,8 @@
 	return 1;
 }
 
-/* By one instance of all that hear of each other, and sent once: a trial may cost a server. */
+/* Only one of the instances that receive heartbeats of each other begins the trial, and sends the
+ * request once, as a trial may crash a server. */
 static int begin_trial(struct cw_node *node, struct request *request)
 {
 	if (request->is_trial)
@@ -42,12 +44,12 @@
 	return 1;
 }
 
-/* Called with the attempt's end, before the server and its version are judged by it. */
+/* Must be called before the attempt counts for the health of the server and of its version. */
 void quarantine_attempt_ended(struct cw_node *node, const struct request *request,
 			      const struct cw_server *server, const struct cw_attempt_end *end)
 {
 	const struct attempt *attempt = &request->attempts[request->attempt_count - 1];
-	struct cw_quarantine_request quarantined = as_quarantined(request);
+	struct cw_quarantine_request quarantined = to_quarantine_request(request);
 
 	if (end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_PASSED)
 		cw_quarantine_note_received(node->quarantine, server->id, attempt->sent_ms,
@@ -59,18 +61,18 @@
 			quarantine_left(node, request, server);
 			break;
 		}
-		cw_quarantine_note_answer(node->quarantine, request->fingerprint, server->id,
-					  ran_ms(node, request), node->now_ms);
+		cw_quarantine_answered(node->quarantine, request->fingerprint, server->id,
+				       attempt_run_ms(node, request), node->now_ms);
 		break;
 	case CW_ATTEMPT_BROKEN:
 		if (!end->is_cut || server->leaving || server->is_removed) {
 			quarantine_left(node, request, server);
 			break;
 		}
-		cw_quarantine_note_break(node->quarantine, &quarantined, server->id,
-					 ran_ms(node, request), 0, node->now_ms);
-		/* Nothing here tries a server's connections: its word is taken. */
-		cw_quarantine_note_unreachable(node->quarantine, server->id, node->now_ms);
+		cw_quarantine_broke(node->quarantine, &quarantined, server->id,
+				    attempt_run_ms(node, request), 0, node->now_ms);
+		/* The node does not probe servers: a closed connection counts as a crash. */
+		cw_quarantine_gone(node->quarantine, server->id, node->now_ms);
 		gossip_hurry(node);
 		break;
 	case CW_ATTEMPT_FAILED:
@@ -86,11 +88,11 @@
 void quarantine_left(struct cw_node *node, const struct request *request,
 		     const struct cw_server *server)
 {
-	cw_quarantine_note_finished(node->quarantine, request->fingerprint, server->id,
-				    ran_ms(node, request), node->now_ms);
+	cw_quarantine_left(node->quarantine, request->fingerprint, server->id,
+			   attempt_run_ms(node, request), node->now_ms);
 }
 
-static struct cw_quarantine_request as_quarantined(const struct request *request)
+static struct cw_quarantine_request to_quarantine_request(const struct request *request)
 {
 	return (struct cw_quarantine_request){
 		.fingerprint = request->fingerprint,
@@ -99,8 +101,8 @@
 	};
 }
 
-/* The newest attempt. */
-static int64_t ran_ms(const struct cw_node *node, const struct request *request)
+/* Time since the newest attempt was sent. */
+static int64_t attempt_run_ms(const struct cw_node *node, const struct request *request)
 {
 	return node->now_ms - request->attempts[request->attempt_count - 1].sent_ms;
 }
@@ -113,24 +115,25 @@
 	cw_quarantine_tick(node->quarantine, node->now_ms);
 	while (cw_quarantine_next_change(node->quarantine, &change)) {
 		any = 1;
-		log_change(node, &change);
+		log_quarantine_change(node, &change);
 	}
 	if (any) {
-		stop_held(node);
+		abort_quarantined(node);
 		gossip_hurry(node);
 	}
-	write_next(node);
+	write_next_record(node);
 }
 
-/* Its age counts from the log's clock, so that a list that is read anew holds nothing longer. */
-void quarantine_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms)
+/* The age of the record counts from its time in the log, so that reading the notices again does not
+ * prolong a quarantine. */
+void quarantine_apply_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms)
 {
 	struct cw_quarantine_record record = {.is_written = 1};
 	struct json_object *value;
 
-	record.fingerprint = g_ascii_strtoull(text_of(notice, "fingerprint"), NULL, 16);
-	g_strlcpy(record.organisation, text_of(notice, "organisation"), CW_NAME_MAX);
-	g_strlcpy(record.target, text_of(notice, "target"), CW_NAME_MAX);
+	record.fingerprint = g_ascii_strtoull(get_text(notice, "fingerprint"), NULL, 16);
+	g_strlcpy(record.organisation, get_text(notice, "organisation"), CW_NAME_MAX);
+	g_strlcpy(record.target, get_text(notice, "target"), CW_NAME_MAX);
 	if (json_object_object_get_ex(notice, "ends", &value))
 		record.ends = (uint32_t)json_object_get_int64(value);
 	if (json_object_object_get_ex(notice, "released", &value))
@@ -142,53 +145,53 @@
 					   node->now_ms);
 }
 
-void quarantine_appended(struct cw_node *node, const struct cw_appended *appended)
+void quarantine_handle_append(struct cw_node *node, const struct cw_appended *appended)
 {
 	if (appended->ticket == node->quarantine_ticket)
 		node->quarantine_ticket = 0;
 }
 
-void quarantine_tell(struct cw_node *node, struct peer_end ends[CW_QUARANTINE_CRASHES_MAX],
-		     struct peer_held held[CW_QUARANTINE_RECORDS_MAX],
-		     struct cw_quarantine_record records[CW_QUARANTINE_RECORDS_MAX],
-		     struct peer_heartbeat *beat)
+void quarantine_announce(struct cw_node *node, struct peer_end crashes[CW_QUARANTINE_ENDS],
+			 struct peer_held quarantined[CW_QUARANTINE_RECORDS],
+			 struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
+			 struct peer_heartbeat *heartbeat)
 {
 	struct cw_quarantine_crash own[CW_QUARANTINE_CRASHES_MAX];
 	size_t count = cw_quarantine_announce_crashes(node->quarantine, node->now_ms, own,
 						      CW_QUARANTINE_CRASHES_MAX);
 
 	for (size_t i = 0; i < count; i++) {
-		ends[i].fingerprint = own[i].fingerprint;
-		ends[i].server = own[i].server;
-		ends[i].alive = (u_int)own[i].is_alive;
-		ends[i].age_ms = own[i].age_ms;
-		ends[i].ran_ms = own[i].ran_ms;
-		ends[i].running = (u_int)own[i].is_running;
-		ends[i].confirmed = (u_int)own[i].is_confirmed;
-		ends[i].answered_ms = own[i].answered_ms;
+		crashes[i].fingerprint = own[i].fingerprint;
+		crashes[i].server = own[i].server;
+		crashes[i].alive = (u_int)own[i].is_alive;
+		crashes[i].age_ms = own[i].age_ms;
+		crashes[i].ran_ms = own[i].ran_ms;
+		crashes[i].running = (u_int)own[i].is_running;
+		crashes[i].confirmed = (u_int)own[i].is_confirmed;
+		crashes[i].answered_ms = own[i].answered_ms;
 	}
-	beat->ends.ends_len = (u_int)count;
-	beat->ends.ends_val = ends;
-	count = cw_quarantine_announce_records(node->quarantine, node->now_ms, records,
-					       CW_QUARANTINE_RECORDS_MAX);
+	heartbeat->ends.ends_len = (u_int)count;
+	heartbeat->ends.ends_val = crashes;
+	count = cw_quarantine_tell_records(node->quarantine, node->now_ms, records,
+					   CW_QUARANTINE_RECORDS);
 	for (size_t i = 0; i < count; i++) {
-		held[i].fingerprint = records[i].fingerprint;
-		held[i].organisation = records[i].organisation;
-		held[i].target = records[i].target;
-		held[i].ends = records[i].ends;
-		held[i].age_ms = records[i].age_ms;
-		held[i].released = (u_int)records[i].is_released;
-		held[i].written = (u_int)records[i].is_written;
+		quarantined[i].fingerprint = records[i].fingerprint;
+		quarantined[i].organisation = records[i].organisation;
+		quarantined[i].target = records[i].target;
+		quarantined[i].ends = records[i].ends;
+		quarantined[i].age_ms = records[i].age_ms;
+		quarantined[i].released = (u_int)records[i].is_released;
+		quarantined[i].written = (u_int)records[i].is_written;
 	}
-	beat->held.held_len = (u_int)count;
-	beat->held.held_val = held;
+	heartbeat->held.held_len = (u_int)count;
+	heartbeat->held.held_val = quarantined;
 }
 
-void quarantine_hear(struct cw_node *node, const struct peer_heartbeat *beat)
+void quarantine_merge(struct cw_node *node, const struct peer_heartbeat *heartbeat)
 {
-	for (u_int i = 0; i < beat->ends.ends_len; i++) {
-		const struct peer_end *peer = &beat->ends.ends_val[i];
-		struct cw_quarantine_crash end = {
+	for (u_int i = 0; i < heartbeat->ends.ends_len; i++) {
+		const struct peer_end *peer = &heartbeat->ends.ends_val[i];
+		struct cw_quarantine_end crash = {
 			.fingerprint = peer->fingerprint,
 			.server = peer->server,
 			.is_alive = peer->alive != 0,
@@ -199,10 +202,10 @@
 			.answered_ms = peer->answered_ms,
 		};
 
-		cw_quarantine_merge_crash(node->quarantine, &end, node->now_ms);
+		cw_quarantine_hear_end(node->quarantine, &crash, node->now_ms);
 	}
-	for (u_int i = 0; i < beat->held.held_len; i++) {
-		const struct peer_held *peer = &beat->held.held_val[i];
+	for (u_int i = 0; i < heartbeat->held.held_len; i++) {
+		const struct peer_held *peer = &heartbeat->held.held_val[i];
 		struct cw_quarantine_record record = {
 			.fingerprint = peer->fingerprint,
 			.ends = peer->ends,
@@ -218,7 +221,7 @@
 	}
 }
 
-char *quarantine_answer(struct cw_node *node)
+char *quarantine_to_json(struct cw_node *node)
 {
 	struct cw_quarantine_record records[CW_QUARANTINE_MAX];
 	size_t count =
@@ -228,7 +231,7 @@
 	char *text;
 
 	for (size_t i = 0; i < count; i++)
-		json_object_array_add(list, as_json(&records[i]));
+		json_object_array_add(list, record_to_json(&records[i]));
 	json_object_object_add(answer, "quarantined", list);
 	text = g_strdup(json_object_to_json_string_ext(answer, JSON_C_TO_STRING_PLAIN));
 	json_object_put(answer);
@@ -244,7 +247,7 @@
 	       cw_quarantine_release(node->quarantine, number, node->now_ms);
 }
 
-static void log_change(struct cw_node *node, const struct cw_quarantine_change *change)
+static void log_quarantine_change(struct cw_node *node, const struct cw_quarantine_change *change)
 {
 	const struct cw_quarantine_record *record = &change->record;
 
@@ -256,8 +259,9 @@
 		   record->age_ms, cw_quarantine_source_name(change->source));
 }
 
-/* A copy that waits in an engine's queue ends that engine too, unless it is taken out in time. */
-static void stop_held(struct cw_node *node)
+/* A quarantined request that still waits in the queue of an engine would crash that engine too,
+ * unless it is cancelled in time. */
+static void abort_quarantined(struct cw_node *node)
 {
 	struct request *request = LIST_FIRST(&node->requests);
 
@@ -276,8 +280,9 @@
 	}
 }
 
-/* Into the notices, where it outlives all instances; one instance at a time, by rank. */
-static void write_next(struct cw_node *node)
+/* Appends the oldest unwritten record to the notices, where the record outlives all instances. The
+ * instances take turns by rank, so that usually one of them writes the record. */
+static void write_next_record(struct cw_node *node)
 {
 	struct cw_quarantine_record record;
 	struct json_object *notice;
@@ -288,18 +293,18 @@
 	    !cw_quarantine_find_unwritten(node->quarantine, node->now_ms, &record))
 		return;
 	rank = cw_membership_rank(node->membership, record.fingerprint, node->now_ms);
-	if (record.age_ms < STEP_MS * rank)
+	if (record.age_ms < WRITE_RANK_DELAY_MS * rank)
 		return;
 	notice = json_object_new_object();
-	json_object_object_add(notice, "quarantine", as_json(&record));
-	node->quarantine_due_ms = node->now_ms + AGAIN_MS;
+	json_object_object_add(notice, "quarantine", record_to_json(&record));
+	node->quarantine_due_ms = node->now_ms + WRITE_RETRY_MS;
 	node->quarantine_ticket = log_append(
 		node, CW_STREAM_NOTICES,
 		g_strdup(json_object_to_json_string_ext(notice, JSON_C_TO_STRING_PLAIN)));
 	json_object_put(notice);
 }
 
-static struct json_object *as_json(const struct cw_quarantine_record *record)
+static struct json_object *record_to_json(const struct cw_quarantine_record *record)
 {
 	struct json_object *object = json_object_new_object();
 	char fingerprint[17];
@@ -316,7 +321,7 @@
 	return object;
 }
 
-static const char *text_of(struct json_object *object, const char *key)
+static const char *get_text(struct json_object *object, const char *key)
 {
 	struct json_object *value;
 
