--- a/apps/corianderwalk/callers.c
+++ b/apps/corianderwalk/callers.c
@@ -23,17 +23,17 @@
 			  struct cw_http_out *out);
 static int read_key(const struct cw_http_in *in, char key_sha256[CW_SHA256_HEX],
 		    struct cw_http_out *out);
-static int read_headers(const struct cw_http_in *in, struct cw_request_in *request,
+static int read_headers(const struct cw_http_in *in, struct cw_node_request *request,
 			struct cw_http_out *out);
 static int read_header(const struct cw_http_in *in, const char *name, const char *extra_characters,
 		       char *text, size_t size, struct cw_http_out *out);
-static int read_deadline(const struct cw_http_in *in, struct cw_request_in *request,
+static int read_deadline(const struct cw_http_in *in, struct cw_node_request *request,
 			 struct cw_http_out *out);
-static int read_priority(const struct cw_http_in *in, struct cw_request_in *request,
+static int read_priority(const struct cw_http_in *in, struct cw_node_request *request,
 			 struct cw_http_out *out);
 static int read_completion(const struct cw_http_in *in, struct job_in *job,
 			   struct cw_http_out *out);
-static const char *validate_completion(struct json_object *body, struct cw_request_in *request);
+static const char *validate_completion(struct json_object *body, struct cw_node_request *request);
 static uint64_t hash_prompt_prefix(struct json_object *messages);
 static void generate_request_id(char *id, size_t size);
 static int is_idempotent(const struct cw_http_in *in);
@@ -71,19 +71,19 @@
 	}
 }
 
-void callers_write_error(struct cw_http_out *out, enum cw_code code, enum cw_run run,
+void callers_write_error(struct cw_http_out *out, enum cw_error_code code, enum cw_run run,
 			 int64_t retry_after_ms, const char *message)
 {
 	struct json_object *body = json_object_new_object();
 	struct json_object *error = json_object_new_object();
 	char seconds[32];
 
-	json_object_object_add(error, "code", json_object_new_string(cw_code_name(code)));
+	json_object_object_add(error, "code", json_object_new_string(cw_error_code_name(code)));
 	json_object_object_add(error, "message", json_object_new_string(message));
 	json_object_object_add(error, "run", json_object_new_string(cw_run_name(run)));
 	json_object_object_add(error, "retry_after_ms", json_object_new_int64(retry_after_ms));
 	json_object_object_add(body, "error", error);
-	cw_http_out_json(out, cw_code_http(code),
+	cw_http_out_json(out, cw_error_code_http_status(code),
 			 g_strdup(json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN)));
 	json_object_put(body);
 	if (retry_after_ms <= 0)
@@ -168,7 +168,7 @@
 	return 1;
 }
 
-static int read_headers(const struct cw_http_in *in, struct cw_request_in *request,
+static int read_headers(const struct cw_http_in *in, struct cw_node_request *request,
 			struct cw_http_out *out)
 {
 	const char *token = cw_http_header(in, "X-Session-Token");
@@ -214,7 +214,7 @@
 	return 1;
 }
 
-static int read_deadline(const struct cw_http_in *in, struct cw_request_in *request,
+static int read_deadline(const struct cw_http_in *in, struct cw_node_request *request,
 			 struct cw_http_out *out)
 {
 	const char *value = cw_http_header(in, "X-Deadline-Ms");
@@ -232,7 +232,7 @@
 	return 1;
 }
 
-static int read_priority(const struct cw_http_in *in, struct cw_request_in *request,
+static int read_priority(const struct cw_http_in *in, struct cw_node_request *request,
 			 struct cw_http_out *out)
 {
 	const char *value = cw_http_header(in, "X-Priority");
@@ -271,7 +271,7 @@
 }
 
 /* Returns the message for the first fault of the body, or NULL for a valid body. */
-static const char *validate_completion(struct json_object *body, struct cw_request_in *request)
+static const char *validate_completion(struct json_object *body, struct cw_node_request *request)
 {
 	struct json_object *value;
 	int64_t max_tokens;
--- a/apps/corianderwalk/core.c
+++ b/apps/corianderwalk/core.c
@@ -122,7 +122,7 @@
 	case CW_EFFECT_DISPATCH:
 		deliver_to_job(daemon, effect, 0);
 		break;
-	case CW_EFFECT_REFUSE:
+	case CW_EFFECT_REJECT:
 	case CW_EFFECT_RELEASE:
 	case CW_EFFECT_REPLAY:
 	case CW_EFFECT_REPLY:
@@ -175,9 +175,10 @@
 	case CW_EFFECT_REPLAY:
 		cw_count("replays_total", "", 1);
 		break;
-	case CW_EFFECT_REFUSE:
+	case CW_EFFECT_REJECT:
 		g_snprintf(label, sizeof(label), "code=\"%s\",run=\"%s\"",
-			   cw_code_name(effect->refuse.code), cw_run_name(effect->refuse.run));
+			   cw_error_code_name(effect->reject.code),
+			   cw_run_name(effect->reject.run));
 		cw_count("refusals_total", label, 1);
 		break;
 	case CW_EFFECT_SEND:
--- a/apps/corianderwalk/daemon.h
+++ b/apps/corianderwalk/daemon.h
@@ -22,13 +22,13 @@
 struct message {	       /* an event for the core thread, with the data it points to */
 	struct cw_event event; /* now_ms and wall_ms are set by the core thread */
 	struct job *job;       /* registered by the core for a request or a query, else NULL */
-	struct cw_request_in request;
+	struct cw_node_request request;
 	struct cw_attempt_end attempt;
-	struct cw_records records;
+	struct cw_read_result records;
 	struct cw_platform_read_result read; /* owns the data of the log records in record_list */
 	struct cw_log_record *record_list;
-	struct cw_appended appended;
-	struct cw_listed *listed;
+	struct cw_append_result appended;
+	struct cw_list_entry *listed;
 	struct cw_load load;
 	char **versions;
 	char *text; /* owns the text or bytes that the event points to */
@@ -69,7 +69,7 @@
 
 /* callers.c */
 void callers_handle_request(void *context, const struct cw_http_in *in, struct cw_http_out *out);
-void callers_write_error(struct cw_http_out *out, enum cw_code code, enum cw_run run,
+void callers_write_error(struct cw_http_out *out, enum cw_error_code code, enum cw_run run,
 			 int64_t retry_after_ms, const char *message);
 
 /* operators.c */
--- a/apps/corianderwalk/duties.c
+++ b/apps/corianderwalk/duties.c
@@ -354,9 +354,9 @@
 	if (cw_member_list_http.list(daemon->settings->platform, &members, &count, NULL) != CW_OK)
 		return;
 	message = message_create(CW_EVENT_LIST);
-	message->listed = g_new0(struct cw_listed, count + 1);
+	message->listed = g_new0(struct cw_list_entry, count + 1);
 	for (size_t i = 0; i < count; i++) {
-		struct cw_listed *listed = &message->listed[i];
+		struct cw_list_entry *listed = &message->listed[i];
 
 		g_strlcpy(listed->name, members[i].name, CW_NAME_MAX);
 		g_strlcpy(listed->address, members[i].address, CW_ADDRESS_MAX);
@@ -442,7 +442,7 @@
 
 static enum worker_kind worker_kind_of(const struct cw_effect *effect)
 {
-	static const enum worker_kind read_kinds[CW_STREAMS] = {
+	static const enum worker_kind read_kinds[CW_STREAM_COUNT] = {
 		WORKER_READ_TABLE, WORKER_READ_CLAIMS, WORKER_READ_NOTICES, WORKER_BILLS};
 
 	switch (effect->kind) {
--- a/apps/corianderwalk/job.c
+++ b/apps/corianderwalk/job.c
@@ -65,7 +65,7 @@
 
 void job_deliver(struct job *job, struct cw_effect *effect)
 {
-	if (effect->kind == CW_EFFECT_REFUSE)
+	if (effect->kind == CW_EFFECT_REJECT)
 		__atomic_store_n(&job->is_refused, 1, __ATOMIC_RELEASE);
 	if (cw_ring_push(job->mailbox, effect, 0) != CW_OK)
 		cw_effect_destroy(effect);
@@ -142,7 +142,7 @@
 		case CW_EFFECT_DISPATCH:
 			job_run_attempt(job, effect);
 			break;
-		case CW_EFFECT_REFUSE:
+		case CW_EFFECT_REJECT:
 			send_refusal(job, effect);
 			final = 1;
 			break;
@@ -182,11 +182,11 @@
 	/* The core's ring is full: the core did not get the request, so nothing ran. */
 	message_destroy(message);
 	effect = g_new0(struct cw_effect, 1);
-	effect->kind = CW_EFFECT_REFUSE;
-	effect->refuse.code = CW_CODE_OVERLOADED;
-	effect->refuse.run = CW_RUN_NOT;
-	effect->refuse.retry_after_ms = HEAD_WAIT_MS;
-	g_strlcpy(effect->refuse.message, "this instance is behind", CW_MESSAGE_MAX);
+	effect->kind = CW_EFFECT_REJECT;
+	effect->reject.code = CW_CODE_OVERLOADED;
+	effect->reject.run = CW_RUN_NOT;
+	effect->reject.retry_after_ms = HEAD_WAIT_MS;
+	g_strlcpy(effect->reject.message, "this instance is behind", CW_MESSAGE_MAX);
 	job_deliver(job, effect);
 }
 
@@ -224,8 +224,8 @@
 	struct cw_http_out refusal = {0};
 	char *event;
 
-	callers_write_error(&refusal, effect->refuse.code, effect->refuse.run,
-			    effect->refuse.retry_after_ms, effect->refuse.message);
+	callers_write_error(&refusal, effect->reject.code, effect->reject.run,
+			    effect->reject.retry_after_ms, effect->reject.message);
 	if (job->is_head_sent) {
 		/* The stream has begun: without an explicit error event its end would look like
 		 * the end of a complete answer. */
--- a/apps/corianderwalk/job.h
+++ b/apps/corianderwalk/job.h
@@ -7,7 +7,7 @@
 #include <json-c/json.h>
 
 struct job_in {
-	struct cw_request_in request;
+	struct cw_node_request request;
 	char *method; /* of a request to a plain service */
 	char *path;   /* of a request to a plain service, with its query string */
 	char *content_type;
--- a/apps/corianderwalk/job_attempt.c
+++ b/apps/corianderwalk/job_attempt.c
@@ -87,7 +87,7 @@
 		job->result = status == CW_OK && answer.status == 200 && !job->has_foreign_id
 				      ? CW_ATTEMPT_ANSWERED
 				      : classify_response(job, status);
-	if (job->result == CW_ATTEMPT_CANCELLED || job->result == CW_ATTEMPT_BROKEN)
+	if (job->result == CW_ATTEMPT_CANCELLED || job->result == CW_ATTEMPT_INTERRUPTED)
 		cancel_upstream(job, effect);
 	report_attempt(job, effect, &answer);
 	for (size_t i = 0; headers[i]; i++)
@@ -182,13 +182,13 @@
 	if (has_caller_left(job))
 		return CW_ATTEMPT_CANCELLED;
 	if (status == CW_UNREACHABLE)
-		return CW_ATTEMPT_UNSENT;
+		return CW_ATTEMPT_NOT_SENT;
 	if (job->has_foreign_id || status == CW_FULL || status == CW_CLOSED)
 		return job->upstream_status >= 400 ? classify_error_status(job->upstream_status)
 						   : CW_ATTEMPT_FAILED;
 	if (job->upstream_status >= 400)
 		return classify_error_status(job->upstream_status);
-	return CW_ATTEMPT_BROKEN;
+	return CW_ATTEMPT_INTERRUPTED;
 }
 
 static enum cw_attempt_result parse_completion(struct job *job, enum cw_status status,
@@ -204,13 +204,13 @@
 static enum cw_attempt_result classify_response(const struct job *job, enum cw_status status)
 {
 	if (status == CW_UNREACHABLE)
-		return CW_ATTEMPT_UNSENT;
+		return CW_ATTEMPT_NOT_SENT;
 	if (status == CW_FULL || job->has_foreign_id)
 		return CW_ATTEMPT_FAILED;
 	if (status == CW_CLOSED)
 		return CW_ATTEMPT_CANCELLED;
 	if (status != CW_OK)
-		return CW_ATTEMPT_BROKEN;
+		return CW_ATTEMPT_INTERRUPTED;
 	return job->upstream_answer.status < 400
 		       ? CW_ATTEMPT_ANSWERED
 		       : classify_error_status(job->upstream_answer.status);
@@ -222,7 +222,7 @@
 {
 	if (status == 429 || status == 503)
 		return CW_ATTEMPT_BUSY;
-	return status >= 500 || status == 408 ? CW_ATTEMPT_FAILED : CW_ATTEMPT_PASSED;
+	return status >= 500 || status == 408 ? CW_ATTEMPT_FAILED : CW_ATTEMPT_CLIENT_ERROR;
 }
 
 /* The caller's body with the dispatched model; a continuation adds the text already shown. */
--- a/apps/corianderwalk/main.c
+++ b/apps/corianderwalk/main.c
@@ -189,7 +189,7 @@
 static void fill_config(const struct cw_settings *settings, struct cw_node_config *config,
 			struct cw_node_peer *peers, struct cw_node_server *servers)
 {
-	cw_node_defaults(config);
+	cw_node_set_defaults(config);
 	config->instance = settings->instance;
 	config->failure_domain = settings->failure_domain;
 	config->peer_address = settings->peer_address;
--- a/packages/node/include/cw_node.h
+++ b/packages/node/include/cw_node.h
@@ -31,10 +31,10 @@
 	CW_STREAM_CLAIMS,  /* claims of idempotency keys, their outcomes and releases */
 	CW_STREAM_NOTICES, /* trips, quarantine records and leases */
 	CW_STREAM_BILLS,
-	CW_STREAMS,
+	CW_STREAM_COUNT,
 };
 
-enum cw_code {
+enum cw_error_code {
 	CW_CODE_UNAUTHORISED,
 	CW_CODE_NOT_ALLOWED,
 	CW_CODE_BAD_REQUEST,
@@ -47,7 +47,7 @@
 	CW_CODE_UPSTREAM_FAILED,
 	CW_CODE_DEADLINE,
 	CW_CODE_QUARANTINED, /* the request is sent to no server: it crashed servers before */
-	CW_CODES,
+	CW_CODE_COUNT,
 };
 
 enum cw_request_flag {
@@ -57,7 +57,7 @@
 	CW_REQUEST_BATCH = 8,	/* a longer predicted wait is accepted */
 };
 
-struct cw_request_in {
+struct cw_node_request {
 	uint64_t handle; /* set by the program that drives the node; never reused */
 	unsigned int flags;
 	char key_sha256[CW_SHA256_HEX];
@@ -75,13 +75,13 @@
 };
 
 enum cw_attempt_result {
-	CW_ATTEMPT_ANSWERED,  /* complete and well-formed answer */
-	CW_ATTEMPT_PASSED,    /* other 4xx of the server: forwarded to the caller, not billed */
-	CW_ATTEMPT_UNSENT,    /* no byte reached the server */
-	CW_ATTEMPT_BUSY,      /* 429 or 503 before anything ran */
-	CW_ATTEMPT_FAILED,    /* 5xx or 408, malformed or too long answer */
-	CW_ATTEMPT_BROKEN,    /* connection lost, answer stalled or timed out */
-	CW_ATTEMPT_CANCELLED, /* the caller disconnected */
+	CW_ATTEMPT_ANSWERED,	 /* complete and well-formed answer */
+	CW_ATTEMPT_CLIENT_ERROR, /* other 4xx of the server: forwarded to the caller, not billed */
+	CW_ATTEMPT_NOT_SENT,	 /* no byte reached the server */
+	CW_ATTEMPT_BUSY,	 /* 429 or 503 before anything ran */
+	CW_ATTEMPT_FAILED,	 /* 5xx or 408, malformed or too long answer */
+	CW_ATTEMPT_INTERRUPTED,	 /* connection lost, answer stalled or timed out */
+	CW_ATTEMPT_CANCELLED,	 /* the caller disconnected */
 };
 
 struct cw_attempt_end {
@@ -104,7 +104,7 @@
 	const char *data;
 };
 
-struct cw_records {
+struct cw_read_result {
 	enum cw_stream stream;
 	uint64_t ticket;       /* of the READ effect */
 	enum cw_status status; /* CW_OK, CW_EXPIRED: the records are deleted; else failed */
@@ -113,13 +113,13 @@
 	size_t count;
 };
 
-struct cw_appended {
+struct cw_append_result {
 	uint64_t ticket;
 	enum cw_status status; /* CW_OK; CW_REFUSED, CW_UNREACHABLE: not kept; CW_UNKNOWN: maybe */
 	uint64_t offset;
 };
 
-struct cw_listed {
+struct cw_list_entry {
 	char name[CW_NAME_MAX];
 	int is_instance;
 	char address[CW_ADDRESS_MAX];	   /* where requests are sent */
@@ -158,17 +158,17 @@
 	int64_t now_ms;	 /* monotonic */
 	int64_t wall_ms; /* compared with record times, only to judge the age of records */
 	union {
-		const struct cw_request_in *request;
+		const struct cw_node_request *request;
 		const struct cw_attempt_end *attempt;
 		uint64_t disconnected_handle;
-		const struct cw_records *records;
-		const struct cw_appended *appended;
+		const struct cw_read_result *records;
+		const struct cw_append_result *appended;
 		struct {
 			const void *data;
 			size_t size;
 		} peer;
 		struct {
-			const struct cw_listed *members;
+			const struct cw_list_entry *members;
 			size_t count;
 		} list;
 		struct {
@@ -197,7 +197,7 @@
 
 enum cw_effect_kind {
 	CW_EFFECT_DISPATCH, /* send the request to a backend server */
-	CW_EFFECT_REFUSE,   /* answer the request with an error */
+	CW_EFFECT_REJECT,   /* answer the request with an error */
 	CW_EFFECT_RELEASE,  /* complete the answer: its bill is mirrored, or bill_hold_ms is over */
 	CW_EFFECT_REPLAY,   /* answer with the stored outcome of the same request */
 	CW_EFFECT_REPLY,    /* answer a query */
@@ -233,11 +233,11 @@
 			int64_t timeout_ms; /* until the deadline */
 		} dispatch;
 		struct {
-			enum cw_code code;
+			enum cw_error_code code;
 			enum cw_run run;
 			int64_t retry_after_ms; /* 0: a retry does not help */
 			char message[CW_MESSAGE_MAX];
-		} refuse;
+		} reject;
 		struct {
 			int status;
 			char *answer;
@@ -345,23 +345,23 @@
 
 struct cw_node;
 
-void cw_node_defaults(struct cw_node_config *config); /* clears it, sets timings and policies */
+void cw_node_set_defaults(struct cw_node_config *config); /* clears it, sets timings and policies */
 struct cw_node *cw_node_create(const struct cw_node_config *config);
 void cw_node_destroy(struct cw_node *node);
 void cw_node_step(struct cw_node *node, const struct cw_event *event, struct cw_effects *effects);
-int cw_node_is_ready(const struct cw_node *node);   /* has table and limit share, not stopping */
-size_t cw_node_running(const struct cw_node *node); /* requests in progress */
+int cw_node_is_ready(const struct cw_node *node); /* has table and limit share, not stopping */
+size_t cw_node_count_running(const struct cw_node *node); /* requests in progress */
 size_t
-cw_node_bills_held(const struct cw_node *node); /* own and mirrored, not yet found in the log */
+cw_node_count_bills(const struct cw_node *node); /* own and mirrored, not yet found in the log */
 const struct cw_table *cw_node_table(const struct cw_node *node);
-size_t cw_node_bytes(const struct cw_node *node); /* estimated memory use */
+size_t cw_node_memory_bytes(const struct cw_node *node); /* estimated memory use */
 
 void cw_effects_open(struct cw_effects *effects);
 struct cw_effect *cw_effects_pop(struct cw_effects *effects); /* NULL: queue is empty */
 void cw_effect_destroy(struct cw_effect *effect);
 const char *cw_stream_name(enum cw_stream stream);
-const char *cw_code_name(enum cw_code code);
-int cw_code_http(enum cw_code code);
+const char *cw_error_code_name(enum cw_error_code code);
+int cw_error_code_http_status(enum cw_error_code code);
 const char *cw_run_name(enum cw_run run);
 
 #endif
--- a/packages/node/src/effects.c
+++ b/packages/node/src/effects.c
@@ -1,6 +1,6 @@
 #include "node_internal.h"
 
-static const char *const stream_names[CW_STREAMS] = {
+static const char *const stream_names[CW_STREAM_COUNT] = {
 	[CW_STREAM_TABLE] = "table",
 	[CW_STREAM_CLAIMS] = "claims",
 	[CW_STREAM_NOTICES] = "notices",
@@ -10,7 +10,7 @@
 static const struct {
 	const char *name;
 	int http;
-} codes[CW_CODES] = {
+} codes[CW_CODE_COUNT] = {
 	[CW_CODE_UNAUTHORISED] = {"unauthorised", 401},
 	[CW_CODE_NOT_ALLOWED] = {"not_allowed", 403},
 	[CW_CODE_BAD_REQUEST] = {"bad_request", 400},
@@ -69,12 +69,12 @@
 	return stream_names[stream];
 }
 
-const char *cw_code_name(enum cw_code code)
+const char *cw_error_code_name(enum cw_error_code code)
 {
 	return codes[code].name;
 }
 
-int cw_code_http(enum cw_code code)
+int cw_error_code_http_status(enum cw_error_code code)
 {
 	return codes[code].http;
 }
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -9,9 +9,10 @@
 #define JOIN_DELAY_MS	    3000   /* before a new instance gets a share of the limits */
 
 static void node_apply_settings(struct cw_node *node);
-static void node_apply_list(struct cw_node *node, const struct cw_listed *members, size_t count);
-static void apply_listed_server(struct cw_node *node, const struct cw_listed *listed);
-static void apply_listed_instance(struct cw_node *node, const struct cw_listed *listed);
+static void node_apply_list(struct cw_node *node, const struct cw_list_entry *members,
+			    size_t count);
+static void apply_listed_server(struct cw_node *node, const struct cw_list_entry *listed);
+static void apply_listed_instance(struct cw_node *node, const struct cw_list_entry *listed);
 static void node_apply_load_report(struct cw_node *node, uint64_t server,
 				   const struct cw_load *load);
 static void node_poll_loads(struct cw_node *node);
@@ -24,7 +25,7 @@
 static char *models_to_json(struct cw_node *node, const char *organisation);
 static char *status_to_json(struct cw_node *node);
 
-void cw_node_defaults(struct cw_node_config *config)
+void cw_node_set_defaults(struct cw_node_config *config)
 {
 	memset(config, 0, sizeof(*config));
 	config->choice = &cw_choice_affinity;
@@ -199,12 +200,12 @@
 	       cw_limits_has_share(node->limits);
 }
 
-size_t cw_node_running(const struct cw_node *node)
+size_t cw_node_count_running(const struct cw_node *node)
 {
 	return node->running;
 }
 
-size_t cw_node_bills_held(const struct cw_node *node)
+size_t cw_node_count_bills(const struct cw_node *node)
 {
 	return cw_ledger_count(node->ledger, NULL);
 }
@@ -214,7 +215,7 @@
 	return node->table;
 }
 
-size_t cw_node_bytes(const struct cw_node *node)
+size_t cw_node_memory_bytes(const struct cw_node *node)
 {
 	return sizeof(*node) + cw_table_memory_bytes(node->table) +
 	       cw_claims_count(node->claims) * 160 + cw_session_count(node->sessions) * 220 +
@@ -223,7 +224,7 @@
 	       node->running * sizeof(struct request);
 }
 
-struct cw_effect *node_effect(struct cw_node *node, enum cw_effect_kind kind, uint64_t handle)
+struct cw_effect *node_add_effect(struct cw_node *node, enum cw_effect_kind kind, uint64_t handle)
 {
 	struct cw_effect *effect = g_new0(struct cw_effect, 1);
 
@@ -233,15 +234,15 @@
 	return effect;
 }
 
-void node_event(struct cw_node *node, const char *module, const char *event, const char *format,
-		...)
+void node_log_event(struct cw_node *node, const char *module, const char *event, const char *format,
+		    ...)
 {
 	struct cw_effect *effect;
 	va_list args;
 
 	if (!node->config.events)
 		return;
-	effect = node_effect(node, CW_EFFECT_EVENT, 0);
+	effect = node_add_effect(node, CW_EFFECT_EVENT, 0);
 	effect->event.module = module;
 	effect->event.event = event;
 	va_start(args, format);
@@ -259,7 +260,7 @@
 	return node->next_ticket++;
 }
 
-int node_refuses_new(const struct cw_node *node)
+int node_rejects_requests(const struct cw_node *node)
 {
 	return node->stopping && node->now_ms - node->stop_ms >= node->config.stop_grace_ms;
 }
@@ -286,7 +287,7 @@
 	cw_pool_select_tracked(node->pool, node->id, node->failure_domain);
 }
 
-static void node_apply_list(struct cw_node *node, const struct cw_listed *members, size_t count)
+static void node_apply_list(struct cw_node *node, const struct cw_list_entry *members, size_t count)
 {
 	for (size_t i = 0; i < count; i++) {
 		if (members[i].is_instance)
@@ -297,7 +298,7 @@
 	cw_pool_select_tracked(node->pool, node->id, node->failure_domain);
 }
 
-static void apply_listed_instance(struct cw_node *node, const struct cw_listed *listed)
+static void apply_listed_instance(struct cw_node *node, const struct cw_list_entry *listed)
 {
 	struct cw_member *member = cw_membership_upsert(
 		node->membership, listed->name, listed->failure_domain, listed->peer_address);
@@ -306,7 +307,7 @@
 		cw_membership_mark_listed(member, listed->leaving, node->now_ms);
 }
 
-static void apply_listed_server(struct cw_node *node, const struct cw_listed *listed)
+static void apply_listed_server(struct cw_node *node, const struct cw_list_entry *listed)
 {
 	struct cw_server *server =
 		cw_pool_add(node->pool, listed->name, listed->service, listed->address,
@@ -315,8 +316,9 @@
 	if (!server)
 		return;
 	if (server->leaving != listed->leaving)
-		node_event(node, "membership", listed->leaving ? "server_leaving" : "server_live",
-			   "server=%s", listed->name);
+		node_log_event(node, "membership",
+			       listed->leaving ? "server_leaving" : "server_live", "server=%s",
+			       listed->name);
 	server->leaving = listed->leaving;
 	server->listed_ms = node->now_ms;
 }
@@ -343,7 +345,7 @@
 		server->poll_due_ms = node->now_ms + node->config.load_poll_ms * 3 / 4 +
 				      (int64_t)(node_random(node) %
 						(uint64_t)(node->config.load_poll_ms / 2 + 1));
-		effect = node_effect(node, CW_EFFECT_POLL, 0);
+		effect = node_add_effect(node, CW_EFFECT_POLL, 0);
 		effect->poll.server = server->id;
 		g_strlcpy(effect->poll.address, server->address, CW_ADDRESS_MAX);
 	}
@@ -361,7 +363,7 @@
 	size_t rank = 0;
 
 	if (node->now_ms - node->started_ms < JOIN_DELAY_MS &&
-	    cw_membership_live(node->membership, node->now_ms) <
+	    cw_membership_count_live(node->membership, node->now_ms) <
 		    cw_membership_size(node->membership)) {
 		cw_limits_divide(node->limits, 0, 0);
 		return;
@@ -379,14 +381,14 @@
 		return;
 	node->expire_due_ms = node->now_ms + SWEEP_INTERVAL_MS;
 	cw_session_expire(node->sessions, node->now_ms, node->config.session_idle_ms);
-	cw_membership_forget(node->membership, node->now_ms, MEMBER_RETENTION_MS);
+	cw_membership_remove_stale(node->membership, node->now_ms, MEMBER_RETENTION_MS);
 	server = TAILQ_FIRST(cw_pool_servers(node->pool));
 	while (server) {
 		struct cw_server *next = TAILQ_NEXT(server, link);
 
 		if (!server->configured && server->own_running == 0 && server->listed_ms >= 0 &&
 		    node->now_ms - server->listed_ms > MEMBER_RETENTION_MS)
-			cw_pool_forget(node->pool, server);
+			cw_pool_remove(node->pool, server);
 		server = next;
 	}
 }
@@ -397,27 +399,27 @@
 		return;
 	node->stopping = 1;
 	node->stop_ms = node->now_ms;
-	node_event(node, "node", "leaving", "running=%zu", node->running);
+	node_log_event(node, "node", "leaving", "running=%zu", node->running);
 	gossip_send_heartbeats(node);
 }
 
 static void node_finish_stop(struct cw_node *node)
 {
-	if (!node_refuses_new(node) || node->stopped || node->running > 0 ||
+	if (!node_rejects_requests(node) || node->stopped || node->running > 0 ||
 	    !bills_allow_stop(node))
 		return;
 	if (!STAILQ_EMPTY(&node->claim_entries) || !STAILQ_EMPTY(&node->claim_entries_sent))
 		return;
 	node->stopped = 1;
-	node_event(node, "node", "stopped", "took_ms=%" G_GINT64_FORMAT,
-		   node->now_ms - node->stop_ms);
-	node_effect(node, CW_EFFECT_STOPPED, 0);
+	node_log_event(node, "node", "stopped", "took_ms=%" G_GINT64_FORMAT,
+		       node->now_ms - node->stop_ms);
+	node_add_effect(node, CW_EFFECT_STOPPED, 0);
 }
 
 static void node_answer_query(struct cw_node *node, uint64_t handle, enum cw_query query,
 			      const char *text)
 {
-	struct cw_effect *effect = node_effect(node, CW_EFFECT_REPLY, handle);
+	struct cw_effect *effect = node_add_effect(node, CW_EFFECT_REPLY, handle);
 	const char *organisation;
 
 	effect->replay.status = 200;
@@ -478,7 +480,7 @@
 	struct json_object *answer = json_object_new_object();
 	struct json_object *members = json_object_new_array();
 	struct json_object *servers = json_object_new_array();
-	struct cw_quarantine_record quarantined[CW_QUARANTINE_HELD];
+	struct cw_quarantine_record quarantined[CW_QUARANTINE_MAX];
 	const struct cw_member *member;
 	const struct cw_server *server;
 	char *text;
@@ -493,13 +495,13 @@
 			       json_object_new_int64((int64_t)cw_claims_offset(node->claims)));
 	json_object_object_add(answer, "running", json_object_new_int64((int64_t)node->running));
 	json_object_object_add(answer, "bills_held",
-			       json_object_new_int64((int64_t)cw_node_bills_held(node)));
+			       json_object_new_int64((int64_t)cw_node_count_bills(node)));
 	json_object_object_add(answer, "sessions",
 			       json_object_new_int64((int64_t)cw_session_count(node->sessions)));
 	json_object_object_add(
 		answer, "quarantined",
-		json_object_new_int64((int64_t)cw_quarantine_list(
-			node->quarantine, node->now_ms, quarantined, CW_QUARANTINE_HELD)));
+		json_object_new_int64((int64_t)cw_quarantine_list(node->quarantine, node->now_ms,
+								  quarantined, CW_QUARANTINE_MAX)));
 	json_object_object_add(
 		answer, "platform",
 		json_object_new_string(log_is_up(node, CW_STREAM_TABLE) ? "up" : "down"));
--- a/packages/node/src/node_bills.c
+++ b/packages/node/src/node_bills.c
@@ -45,8 +45,8 @@
 	message.body.peer_body_u.bills.noted = node->bills_end_offset;
 	message.body.peer_body_u.bills.list.list_len = 1;
 	message.body.peer_body_u.bills.list.list_val = &item;
-	count = cw_membership_homes(node->membership, cw_hash_text(id, 8), node->now_ms, mirrors,
-				    BILL_MIRRORS);
+	count = cw_membership_find_owners(node->membership, cw_hash_text(id, 8), node->now_ms,
+					  mirrors, BILL_MIRRORS);
 	for (size_t i = 0; i < count; i++) {
 		bill->homes[i] = mirrors[i]->id;
 		gossip_send(node, mirrors[i], &message);
@@ -122,7 +122,7 @@
 	g_free(origin);
 }
 
-void bills_handle_append(struct cw_node *node, const struct cw_appended *appended)
+void bills_handle_append(struct cw_node *node, const struct cw_append_result *appended)
 {
 	struct cw_bill_list settled = TAILQ_HEAD_INITIALIZER(settled);
 
@@ -147,7 +147,7 @@
 	schedule_bills_retry(node);
 }
 
-void bills_handle_records(struct cw_node *node, const struct cw_records *records)
+void bills_handle_records(struct cw_node *node, const struct cw_read_result *records)
 {
 	if (node->bills_state != BILLS_READING_BACK || records->ticket != node->bills_ticket)
 		return;
@@ -260,8 +260,8 @@
 			continue;
 		g_free(node->bills_origin);
 		node->bills_origin = g_strdup(bill->origin);
-		node_event(node, "bills", "take_over", "origin=%s held=%zu", node->bills_origin,
-			   cw_ledger_count(node->ledger, node->bills_origin));
+		node_log_event(node, "bills", "take_over", "origin=%s held=%zu", node->bills_origin,
+			       cw_ledger_count(node->ledger, node->bills_origin));
 		read_back(node, cw_ledger_oldest_noted(node->ledger, node->bills_origin));
 		return;
 	}
@@ -278,7 +278,7 @@
 	const struct cw_member *member = cw_membership_find(node->membership, parts[0]);
 	uint64_t boot = g_ascii_strtoull(parts[1], NULL, 10);
 	int is_unavailable = !member || member->boot != boot ||
-			     cw_membership_is_gone(node->membership, member, node->now_ms);
+			     cw_membership_is_unreachable(node->membership, member, node->now_ms);
 
 	g_strfreev(parts);
 	return is_unavailable;
--- a/packages/node/src/node_claims.c
+++ b/packages/node/src/node_claims.c
@@ -18,8 +18,8 @@
 static int is_checkpoint_due(const struct cw_node *node);
 static void append_checkpoint(struct cw_node *node);
 
-void log_line(struct cw_node *node, const struct cw_claim *claim, int kind, int status,
-	      const char *answer)
+void claims_enqueue(struct cw_node *node, const struct cw_claim *claim, int kind, int status,
+		    const char *answer)
 {
 	struct claim_entry *entry = claim_entry_create(claim, kind, status, answer);
 
@@ -34,7 +34,7 @@
 	schedule_checkpoint(node);
 }
 
-void claims_handle_append(struct cw_node *node, const struct cw_appended *appended)
+void claims_handle_append(struct cw_node *node, const struct cw_append_result *appended)
 {
 	struct claim_entry *entry;
 
@@ -92,9 +92,9 @@
 	while (count < CW_CLAIM_BATCH && (entry = STAILQ_FIRST(&node->claim_entries))) {
 		STAILQ_REMOVE_HEAD(&node->claim_entries, link);
 		STAILQ_INSERT_TAIL(&node->claim_entries_sent, entry, link);
-		if (entry->kind == LINE_CLAIM)
+		if (entry->kind == CLAIM_ENTRY_CLAIM)
 			cw_claims_add_claim(record, &entry->claim);
-		else if (entry->kind == LINE_OUTCOME)
+		else if (entry->kind == CLAIM_ENTRY_OUTCOME)
 			cw_claims_add_outcome(record, &entry->claim, entry->status, entry->answer);
 		else
 			cw_claims_add_release(record, &entry->claim);
@@ -179,8 +179,8 @@
 	if (cw_claims_add_kept(node->claims, record, node->checkpoint_after, CHECKPOINT_BATCH_KEYS,
 			       &last) == 0) {
 		cw_claims_add_floor(record, node->checkpoint_floor);
-		node_event(node, "claims", "floor", "floor=%" G_GUINT64_FORMAT,
-			   node->checkpoint_floor);
+		node_log_event(node, "claims", "floor", "floor=%" G_GUINT64_FORMAT,
+			       node->checkpoint_floor);
 		node->checkpoint_floor = 0;
 	}
 	node->checkpoint_after = last;
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -49,7 +49,7 @@
 
 	/* A forged or truncated message must not change any state. */
 	if (cw_peer_open(node->config.peer_key, data, size, &message) != CW_OK) {
-		node_event(node, "peer", "message_rejected", "bytes=%zu", size);
+		node_log_event(node, "peer", "message_rejected", "bytes=%zu", size);
 		return;
 	}
 	member = cw_membership_upsert(node->membership, message.from, message.failure_domain,
@@ -135,13 +135,13 @@
 			     HEARTBEAT_FANOUT);
 	node->heartbeat_due_ms = node->now_ms + period_ms;
 	node->heartbeat_in_budget = period_ms == node->config.heartbeat_ms;
-	cw_membership_set_silent(node->membership,
-				 MAX(node->config.silent_ms, SILENT_AFTER_ROUNDS * round_ms));
+	cw_membership_set_timeout(node->membership,
+				  MAX(node->config.silent_ms, SILENT_AFTER_ROUNDS * round_ms));
 }
 
 /* Sends the next heartbeats within EXPEDITED_DELAY_MS, unless the last ones exceeded
  * gossip_bytes_per_s. */
-void gossip_hurry(struct cw_node *node)
+void gossip_expedite_heartbeats(struct cw_node *node)
 {
 	if (node->heartbeat_in_budget)
 		node->heartbeat_due_ms =
@@ -168,18 +168,18 @@
 	message->sequence = ++node->sequence;
 	if (!*member->address || cw_peer_seal(node->config.peer_key, message, &bytes) != CW_OK)
 		return;
-	effect = node_effect(node, CW_EFFECT_SEND, 0);
+	effect = node_add_effect(node, CW_EFFECT_SEND, 0);
 	g_strlcpy(effect->send.address, member->address, CW_ADDRESS_MAX);
 	effect->send.bytes = bytes;
 	node->gossip_bytes += bytes.size;
 }
 
-size_t gossip_push_binding(struct cw_node *node, const struct cw_binding *binding)
+size_t gossip_announce_binding(struct cw_node *node, const struct cw_binding *binding)
 {
 	struct cw_member *owners[BINDING_OWNERS];
 	struct peer_message message = {0};
-	size_t count = cw_membership_homes(node->membership, binding->key, node->now_ms, owners,
-					   BINDING_OWNERS);
+	size_t count = cw_membership_find_owners(node->membership, binding->key, node->now_ms,
+						 owners, BINDING_OWNERS);
 
 	message.body.kind = PEER_BIND;
 	message.body.peer_body_u.bind.key = binding->key;
@@ -192,12 +192,12 @@
 	return count;
 }
 
-size_t gossip_ask_binding(struct cw_node *node, uint64_t key, uint64_t handle)
+size_t gossip_request_binding(struct cw_node *node, uint64_t key, uint64_t handle)
 {
 	struct cw_member *owners[BINDING_OWNERS];
 	struct peer_message message = {0};
-	size_t count =
-		cw_membership_homes(node->membership, key, node->now_ms, owners, BINDING_OWNERS);
+	size_t count = cw_membership_find_owners(node->membership, key, node->now_ms, owners,
+						 BINDING_OWNERS);
 
 	message.body.kind = PEER_ASK_BINDING;
 	message.body.peer_body_u.ask.key = key;
@@ -222,12 +222,12 @@
 	node->next_rating++;
 	cw_cascade_add_rating(node->cascade, task, common, version, score);
 	if (cw_health_add_rating(node->health, version, score, node->now_ms))
-		gossip_tripped(node, version, "ratings");
+		gossip_announce_trip(node, version, "ratings");
 }
 
 /* A trip takes effect at once on this instance, is announced to peers with the next heartbeats, and
  * is appended to the log. */
-void gossip_tripped(struct cw_node *node, uint64_t version, const char *cause)
+void gossip_announce_trip(struct cw_node *node, uint64_t version, const char *cause)
 {
 	struct json_object *record = json_object_new_object();
 	struct json_object *trip = json_object_new_object();
@@ -243,15 +243,15 @@
 			continue;
 		json_object_object_add(trip, "model", json_object_new_string(row->model));
 		json_object_object_add(trip, "version", json_object_new_string(row->version));
-		node_event(node, "health", "trip", "model=%s version=%s how=%s", row->model,
-			   row->version, cause);
+		node_log_event(node, "health", "trip", "model=%s version=%s how=%s", row->model,
+			       row->version, cause);
 		break;
 	}
 	json_object_object_add(record, "trip", trip);
 	log_append(node, CW_STREAM_NOTICES,
 		   g_strdup(json_object_to_json_string_ext(record, JSON_C_TO_STRING_PLAIN)));
 	json_object_put(record);
-	gossip_hurry(node);
+	gossip_expedite_heartbeats(node);
 }
 
 static void send_heartbeat(struct cw_node *node, const struct cw_member *member)
@@ -262,9 +262,9 @@
 	struct peer_load loads[LOADS_MAX];
 	struct peer_want wants[WANTS_MAX];
 	struct peer_rating ratings[RATINGS_PER_MESSAGE];
-	struct peer_end crashes[CW_QUARANTINE_ENDS];
-	struct peer_held quarantined[CW_QUARANTINE_RECORDS];
-	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS];
+	struct peer_end crashes[CW_QUARANTINE_CRASHES_MAX];
+	struct peer_held quarantined[CW_QUARANTINE_RECORDS_MAX];
+	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS_MAX];
 	uint64_t rows[WANTS_MAX];
 	uint32_t parts[WANTS_MAX];
 	struct peer_message message = {0};
@@ -295,7 +295,7 @@
 		loads[heartbeat->loads.loads_len++].running = server->own_running;
 	}
 	heartbeat->loads.loads_val = loads;
-	count = cw_limits_wanted(node->limits, node->now_ms, rows, parts, WANTS_MAX);
+	count = cw_limits_loan_requests(node->limits, node->now_ms, rows, parts, WANTS_MAX);
 	for (size_t i = 0; i < count; i++) {
 		wants[i].row = rows[i];
 		wants[i].parts = parts[i];
@@ -345,11 +345,12 @@
 	const struct peer_heartbeat *heartbeat = &message->body.peer_body_u.heartbeat;
 	int was_live = cw_membership_is_live(node->membership, member, node->now_ms);
 
-	cw_membership_heard(member, message->boot, heartbeat->leaving != 0, node->now_ms);
+	cw_membership_mark_seen(member, message->boot, heartbeat->leaving != 0, node->now_ms);
 	member->table_offset = heartbeat->table_offset;
 	if (was_live != cw_membership_is_live(node->membership, member, node->now_ms))
-		node_event(node, "membership", was_live ? "peer_leaving" : "peer_live",
-			   "peer=%s failure_domain=%s", member->instance, member->failure_domain);
+		node_log_event(node, "membership", was_live ? "peer_leaving" : "peer_live",
+			       "peer=%s failure_domain=%s", member->instance,
+			       member->failure_domain);
 	merge_evidence(node, member, heartbeat);
 	merge_ratings(node, member, heartbeat);
 	merge_loads(node, heartbeat);
@@ -364,7 +365,7 @@
 {
 	for (u_int i = 0; i < heartbeat->evidence.evidence_len; i++) {
 		const struct peer_evidence *peer = &heartbeat->evidence.evidence_val[i];
-		struct cw_evidence evidence = {
+		struct cw_health_evidence evidence = {
 			.version = peer->model_version,
 			.good = peer->good,
 			.bad = peer->bad,
@@ -376,10 +377,10 @@
 
 		if (cw_health_merge_evidence(node->health, member->id, member->boot, &evidence,
 					     node->now_ms))
-			gossip_tripped(node, evidence.version, "pooled");
+			gossip_announce_trip(node, evidence.version, "pooled");
 		if (peer->tripped && node->config.health->pooled &&
 		    cw_health_trip(node->health, evidence.version, node->now_ms))
-			node_event(node, "health", "trip_heard", "peer=%s", member->instance);
+			node_log_event(node, "health", "trip_heard", "peer=%s", member->instance);
 	}
 }
 
@@ -406,10 +407,10 @@
 		if (heartbeat->first_rating + i < received->next)
 			continue;
 		received->next = heartbeat->first_rating + i + 1;
-		cw_cascade_rated(node->cascade, rating->task, rating->common, rating->model_version,
-				 rating->score / SCORE_SCALE);
-		cw_cascade_cost(node->cascade, rating->task, rating->common, rating->model_version,
-				rating->tokens);
+		cw_cascade_add_rating(node->cascade, rating->task, rating->common,
+				      rating->model_version, rating->score / SCORE_SCALE);
+		cw_cascade_add_cost(node->cascade, rating->task, rating->common,
+				    rating->model_version, rating->tokens);
 	}
 }
 
@@ -439,7 +440,7 @@
 
 	for (u_int i = 0; i < heartbeat->wants.wants_len && count < WANTS_MAX; i++) {
 		const struct peer_want *want = &heartbeat->wants.wants_val[i];
-		const struct cw_row *row = cw_table_row_by_id(node->table, want->row);
+		const struct cw_row *row = cw_table_find_row_by_id(node->table, want->row);
 		struct cw_limit limit;
 		uint32_t parts;
 
--- a/packages/node/src/node_internal.h
+++ b/packages/node/src/node_internal.h
@@ -35,13 +35,13 @@
 
 struct request {
 	LIST_ENTRY(request) link;
-	struct cw_request_in in;
+	struct cw_node_request in;
 	enum request_state state;
 	char organisation[CW_NAME_MAX];
 	char model[CW_NAME_MAX];
 	char version[CW_NAME_MAX];
 	uint64_t row;	      /* id of the table row whose limits apply */
-	uint64_t version_id;  /* cw_pool_version */
+	uint64_t version_id;  /* cw_pool_version_hash */
 	uint64_t fingerprint; /* cw_quarantine_fingerprint */
 	int is_trial;	      /* a quarantined request that is sent once as a test */
 	double cost_per_1k;
@@ -67,7 +67,7 @@
 	unsigned int shown; /* chunks sent to the caller */
 	int resumed;	    /* the stream was resumed once on its current server */
 
-	struct cw_option options[CW_MAX_VERSIONS]; /* for the target "auto" */
+	struct cw_cascade_option options[CW_MAX_VERSIONS]; /* for the target "auto" */
 	char option_model[CW_MAX_VERSIONS][CW_NAME_MAX];
 	char option_version[CW_MAX_VERSIONS][CW_NAME_MAX];
 	struct cw_cascade_request choice;
@@ -96,7 +96,7 @@
 struct claim_entry { /* a claim, outcome or release to append to the claims stream */
 	STAILQ_ENTRY(claim_entry) link;
 	struct cw_claim claim;
-	enum { LINE_CLAIM, LINE_OUTCOME, LINE_RELEASE } kind;
+	enum { CLAIM_ENTRY_CLAIM, CLAIM_ENTRY_OUTCOME, CLAIM_ENTRY_RELEASE } kind;
 	int status;
 	char *answer;
 	uint64_t ticket; /* unused */
@@ -219,15 +219,15 @@
 };
 
 /* node.c */
-struct cw_effect *node_effect(struct cw_node *node, enum cw_effect_kind kind, uint64_t handle);
-void node_event(struct cw_node *node, const char *module, const char *event, const char *format,
-		...) __attribute__((format(printf, 4, 5)));
+struct cw_effect *node_add_effect(struct cw_node *node, enum cw_effect_kind kind, uint64_t handle);
+void node_log_event(struct cw_node *node, const char *module, const char *event, const char *format,
+		    ...) __attribute__((format(printf, 4, 5)));
 uint64_t node_random(struct cw_node *node);
 uint64_t node_new_ticket(struct cw_node *node);
-int node_refuses_new(const struct cw_node *node);
+int node_rejects_requests(const struct cw_node *node);
 
 /* node_request.c */
-void request_begin(struct cw_node *node, const struct cw_request_in *in);
+void request_begin(struct cw_node *node, const struct cw_node_request *in);
 void request_attempt_end(struct cw_node *node, const struct cw_attempt_end *end);
 void request_caller_gone(struct cw_node *node, uint64_t handle);
 void request_rated(struct cw_node *node, uint64_t handle, double score);
@@ -241,7 +241,7 @@
 void request_destroy(struct cw_node *node, struct request *request);
 void request_abandon(struct cw_node *node, struct request *request);
 void request_keep_binding(struct cw_node *node, struct request *request);
-void request_refuse(struct cw_node *node, struct request *request, enum cw_code code,
+void request_refuse(struct cw_node *node, struct request *request, enum cw_error_code code,
 		    int64_t retry_after_ms, const char *format, ...)
 	__attribute__((format(printf, 5, 6)));
 
@@ -262,14 +262,14 @@
 /* node_log.c */
 void log_open(struct cw_node *node);
 void log_close(struct cw_node *node);
-void log_handle_records(struct cw_node *node, const struct cw_records *records);
-void log_handle_append(struct cw_node *node, const struct cw_appended *appended);
+void log_handle_records(struct cw_node *node, const struct cw_read_result *records);
+void log_handle_append(struct cw_node *node, const struct cw_append_result *appended);
 void log_tick(struct cw_node *node);
 int log_is_up(const struct cw_node *node, enum cw_stream stream);
 void log_apply_table_record(struct cw_node *node, const struct cw_log_record *record);
 void log_load_table_snapshot(struct cw_node *node, const char *snapshot);
-void log_line(struct cw_node *node, const struct cw_claim *claim, int kind, int status,
-	      const char *answer);
+void claims_enqueue(struct cw_node *node, const struct cw_claim *claim, int kind, int status,
+		    const char *answer);
 uint64_t log_append(struct cw_node *node, enum cw_stream stream,
 		    char *data); /* frees data later; returns the ticket */
 void log_read(struct cw_node *node, enum cw_stream stream, uint64_t ticket, uint64_t from,
@@ -277,7 +277,7 @@
 
 /* node_claims.c */
 void claims_tick(struct cw_node *node);
-void claims_handle_append(struct cw_node *node, const struct cw_appended *appended);
+void claims_handle_append(struct cw_node *node, const struct cw_append_result *appended);
 void claims_notify_requests(struct cw_node *node);
 void claims_close(struct cw_node *node);
 
@@ -289,37 +289,38 @@
 			 const struct peer_bills *bills);
 void bills_settle_mirrors(struct cw_node *node, const char *from, uint64_t boot,
 			  const struct peer_bills *bills);
-void bills_handle_append(struct cw_node *node, const struct cw_appended *appended);
-void bills_handle_records(struct cw_node *node, const struct cw_records *records);
+void bills_handle_append(struct cw_node *node, const struct cw_append_result *appended);
+void bills_handle_records(struct cw_node *node, const struct cw_read_result *records);
 void bills_tick(struct cw_node *node);
 int bills_allow_stop(const struct cw_node *node);
 
 /* node_gossip.c */
 void gossip_handle_message(struct cw_node *node, const void *data, size_t size);
 void gossip_tick(struct cw_node *node);
-void gossip_hurry(struct cw_node *node);
+void gossip_expedite_heartbeats(struct cw_node *node);
 void gossip_send(struct cw_node *node, const struct cw_member *member,
 		 struct peer_message *message);
 void gossip_send_heartbeats(struct cw_node *node); /* to all members, at once */
-size_t gossip_push_binding(struct cw_node *node, const struct cw_binding *binding);
-size_t gossip_ask_binding(struct cw_node *node, uint64_t key, uint64_t handle);
+size_t gossip_announce_binding(struct cw_node *node, const struct cw_binding *binding);
+size_t gossip_request_binding(struct cw_node *node, uint64_t key, uint64_t handle);
 void gossip_add_rating(struct cw_node *node, uint64_t task, uint64_t common, uint64_t version,
 		       double score, unsigned int tokens);
-void gossip_tripped(struct cw_node *node, uint64_t version, const char *cause);
+void gossip_announce_trip(struct cw_node *node, uint64_t version, const char *cause);
 
 /* node_quarantine.c: poison requests, which crash the servers that run them */
-int quarantine_refuses(struct cw_node *node,
-		       struct request *request); /* 1: the request was quarantined and rejected */
-void quarantine_attempt_ended(struct cw_node *node, const struct request *request,
-			      const struct cw_server *server, const struct cw_attempt_end *end);
-void quarantine_left(struct cw_node *node, const struct request *request,
-		     const struct cw_server *server); /* given up; the server may still run it */
+int quarantine_reject(struct cw_node *node,
+		      struct request *request); /* 1: the request was quarantined and rejected */
+void quarantine_record_attempt(struct cw_node *node, const struct request *request,
+			       const struct cw_server *server, const struct cw_attempt_end *end);
+void quarantine_note_abandoned(
+	struct cw_node *node, const struct request *request,
+	const struct cw_server *server); /* given up; the server may still run it */
 void quarantine_tick(struct cw_node *node);
 void quarantine_apply_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms);
-void quarantine_handle_append(struct cw_node *node, const struct cw_appended *appended);
-void quarantine_announce(struct cw_node *node, struct peer_end crashes[CW_QUARANTINE_ENDS],
-			 struct peer_held quarantined[CW_QUARANTINE_RECORDS],
-			 struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
+void quarantine_handle_append(struct cw_node *node, const struct cw_append_result *appended);
+void quarantine_announce(struct cw_node *node, struct peer_end crashes[CW_QUARANTINE_CRASHES_MAX],
+			 struct peer_held quarantined[CW_QUARANTINE_RECORDS_MAX],
+			 struct cw_quarantine_record records[CW_QUARANTINE_RECORDS_MAX],
 			 struct peer_heartbeat *heartbeat); /* points into the arrays */
 void quarantine_merge(struct cw_node *node, const struct peer_heartbeat *heartbeat);
 char *quarantine_to_json(struct cw_node *node); /* list for operators; g_free */
@@ -328,7 +329,7 @@
 /* node_rollout.c */
 void rollout_tick(struct cw_node *node);
 void rollout_apply_notice(struct cw_node *node, uint64_t offset, int64_t time_ms, const char *data);
-void rollout_handle_append(struct cw_node *node, const struct cw_appended *appended);
+void rollout_handle_append(struct cw_node *node, const struct cw_append_result *appended);
 void rollout_handle_order_result(struct cw_node *node, uint64_t ticket, enum cw_status status);
 
 #endif
--- a/packages/node/src/node_log.c
+++ b/packages/node/src/node_log.c
@@ -49,7 +49,7 @@
 void log_read(struct cw_node *node, enum cw_stream stream, uint64_t ticket, uint64_t from,
 	      int wait_ms)
 {
-	struct cw_effect *effect = node_effect(node, CW_EFFECT_READ, 0);
+	struct cw_effect *effect = node_add_effect(node, CW_EFFECT_READ, 0);
 
 	effect->read.stream = stream;
 	effect->read.ticket = ticket;
@@ -59,7 +59,7 @@
 
 uint64_t log_append(struct cw_node *node, enum cw_stream stream, char *data)
 {
-	struct cw_effect *effect = node_effect(node, CW_EFFECT_APPEND, 0);
+	struct cw_effect *effect = node_add_effect(node, CW_EFFECT_APPEND, 0);
 
 	effect->append.stream = stream;
 	effect->append.ticket = node_new_ticket(node);
@@ -67,7 +67,7 @@
 	return effect->append.ticket;
 }
 
-void log_handle_records(struct cw_node *node, const struct cw_records *records)
+void log_handle_records(struct cw_node *node, const struct cw_read_result *records)
 {
 	struct log_reader *reader;
 
@@ -95,14 +95,14 @@
 		apply_record(node, reader, &records->list[i]);
 	if (records->count == 0 && !reader->caught_up) {
 		reader->caught_up = 1;
-		node_event(node, "log", "caught_up", "stream=%s next=%" G_GUINT64_FORMAT,
-			   cw_stream_name(reader->stream), reader->next_offset);
+		node_log_event(node, "log", "caught_up", "stream=%s next=%" G_GUINT64_FORMAT,
+			       cw_stream_name(reader->stream), reader->next_offset);
 	}
 	if (reader->stream == CW_STREAM_CLAIMS && records->count > 0)
 		claims_notify_requests(node);
 }
 
-void log_handle_append(struct cw_node *node, const struct cw_appended *appended)
+void log_handle_append(struct cw_node *node, const struct cw_append_result *appended)
 {
 	if (appended->ticket == node->snapshot_ticket) {
 		node->snapshot_ticket = 0;
@@ -145,24 +145,24 @@
 {
 	uint64_t offset = record->offset;
 	struct cw_error error = {0};
-	enum cw_fold outcome;
+	enum cw_table_result outcome;
 
 	if (offset != cw_table_offset(node->table) + 1)
 		return;
-	cw_table_fold(node->table, offset, record->data, &outcome, &error);
+	cw_table_apply_record(node->table, offset, record->data, &outcome, &error);
 	track_snapshot_age(node, record);
 	store_table_record(node, record);
 	sync_table_reader(node);
 	switch (outcome) {
-	case CW_FOLD_APPLIED:
+	case CW_TABLE_APPLIED:
 		handle_table_change(node, offset);
 		break;
 	case CW_TABLE_SNAPSHOT:
 		break;
 	default:
-		node_event(node, "table",
-			   outcome == CW_FOLD_DUPLICATE ? "edit_repeated" : "edit_rejected",
-			   "offset=%" G_GUINT64_FORMAT " why=\"%s\"", offset, error.message);
+		node_log_event(node, "table",
+			       outcome == CW_TABLE_DUPLICATE ? "edit_repeated" : "edit_rejected",
+			       "offset=%" G_GUINT64_FORMAT " why=\"%s\"", offset, error.message);
 		break;
 	}
 }
@@ -194,8 +194,8 @@
 	if (!node->table_snapshot_wall_ms)
 		node->table_snapshot_wall_ms = 1;
 	node->routing_changed_ms = node->now_ms;
-	node_event(node, "table", "snapshot_loaded", "offset=%" G_GUINT64_FORMAT,
-		   cw_table_offset(node->table));
+	node_log_event(node, "table", "snapshot_loaded", "offset=%" G_GUINT64_FORMAT,
+		       cw_table_offset(node->table));
 }
 
 /*
@@ -224,17 +224,18 @@
 
 	for (size_t i = 0; i < count; i++)
 		if (cw_pool_drain(node->pool, &orders[i], node->now_ms))
-			node_event(node, "table",
-				   orders[i].is_drained ? "domain_drained" : "domain_restored",
-				   "domain=%s offset=%" G_GUINT64_FORMAT, orders[i].failure_domain,
-				   orders[i].offset);
+			node_log_event(node, "table",
+				       orders[i].is_drained ? "domain_drained" : "domain_restored",
+				       "domain=%s offset=%" G_GUINT64_FORMAT,
+				       orders[i].failure_domain, orders[i].offset);
 }
 
 static void reader_handle_failure(struct cw_node *node, struct log_reader *reader)
 {
 	reader->read_ticket = 0;
 	if (reader->backoff_ms == 0)
-		node_event(node, "log", "unreachable", "stream=%s", cw_stream_name(reader->stream));
+		node_log_event(node, "log", "unreachable", "stream=%s",
+			       cw_stream_name(reader->stream));
 	reader->backoff_ms =
 		reader->backoff_ms ? MIN(reader->backoff_ms * 2, BACKOFF_MAX_MS) : BACKOFF_MIN_MS;
 	reader->next_read_ms = node->now_ms + reader->backoff_ms / 2 +
@@ -250,9 +251,9 @@
 		reader_handle_failure(node, reader);
 		return;
 	}
-	node_event(node, "log", "expired",
-		   "stream=%s next=%" G_GUINT64_FORMAT " first=%" G_GUINT64_FORMAT,
-		   cw_stream_name(reader->stream), reader->next_offset, first);
+	node_log_event(node, "log", "expired",
+		       "stream=%s next=%" G_GUINT64_FORMAT " first=%" G_GUINT64_FORMAT,
+		       cw_stream_name(reader->stream), reader->next_offset, first);
 	reader->next_offset = first;
 	reader->oldest_offset = first;
 	if (reader->stream == CW_STREAM_TABLE)
@@ -314,14 +315,14 @@
 	const struct cw_row *row;
 
 	apply_drains(node);
-	node_event(node, "table", "in_force", "offset=%" G_GUINT64_FORMAT, offset);
+	node_log_event(node, "table", "in_force", "offset=%" G_GUINT64_FORMAT, offset);
 	TAILQ_FOREACH(row, cw_table_rows(node->table), link) {
 		if (row->revision[CW_COLUMN_WEIGHT] != offset &&
 		    row->revision[CW_COLUMN_STATE] != offset)
 			continue;
 		node->routing_changed_ms = node->now_ms;
 		/* An operator's edit of the version overrides the earlier health evidence. */
-		cw_health_clear(node->health, cw_pool_version(row->model, row->version));
+		cw_health_clear(node->health, cw_pool_version_hash(row->model, row->version));
 	}
 }
 
@@ -382,8 +383,8 @@
 		return;
 	node->snapshot_ticket =
 		log_append(node, CW_STREAM_TABLE, cw_table_create_snapshot(node->table));
-	node_event(node, "table", "snapshot_written", "offset=%" G_GUINT64_FORMAT,
-		   cw_table_offset(node->table));
+	node_log_event(node, "table", "snapshot_written", "offset=%" G_GUINT64_FORMAT,
+		       cw_table_offset(node->table));
 }
 
 static int is_snapshot_due(const struct cw_node *node)
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -19,7 +19,7 @@
 static struct json_object *record_to_json(const struct cw_quarantine_record *record);
 static const char *get_text(struct json_object *object, const char *key);
 
-int quarantine_refuses(struct cw_node *node, struct request *request)
+int quarantine_reject(struct cw_node *node, struct request *request)
 {
 	if (!cw_quarantine_contains(node->quarantine, request->fingerprint) ||
 	    begin_trial(node, request))
@@ -45,51 +45,51 @@
 }
 
 /* Must be called before the attempt counts for the health of the server and of its version. */
-void quarantine_attempt_ended(struct cw_node *node, const struct request *request,
-			      const struct cw_server *server, const struct cw_attempt_end *end)
+void quarantine_record_attempt(struct cw_node *node, const struct request *request,
+			       const struct cw_server *server, const struct cw_attempt_end *end)
 {
 	const struct attempt *attempt = &request->attempts[request->attempt_count - 1];
 	struct cw_quarantine_request quarantined = to_quarantine_request(request);
 
-	if (end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_PASSED)
+	if (end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_CLIENT_ERROR)
 		cw_quarantine_note_received(node->quarantine, server->id, attempt->sent_ms,
 					    node->now_ms);
 	switch (end->result) {
 	case CW_ATTEMPT_ANSWERED:
-	case CW_ATTEMPT_PASSED:
+	case CW_ATTEMPT_CLIENT_ERROR:
 		if (attempt->mode != CW_DISPATCH_FRESH) {
-			quarantine_left(node, request, server);
+			quarantine_note_abandoned(node, request, server);
 			break;
 		}
-		cw_quarantine_answered(node->quarantine, request->fingerprint, server->id,
-				       attempt_run_ms(node, request), node->now_ms);
+		cw_quarantine_note_answer(node->quarantine, request->fingerprint, server->id,
+					  attempt_run_ms(node, request), node->now_ms);
 		break;
-	case CW_ATTEMPT_BROKEN:
+	case CW_ATTEMPT_INTERRUPTED:
 		if (!end->is_cut || server->leaving || server->is_removed) {
-			quarantine_left(node, request, server);
+			quarantine_note_abandoned(node, request, server);
 			break;
 		}
-		cw_quarantine_broke(node->quarantine, &quarantined, server->id,
-				    attempt_run_ms(node, request), 0, node->now_ms);
+		cw_quarantine_note_break(node->quarantine, &quarantined, server->id,
+					 attempt_run_ms(node, request), 0, node->now_ms);
 		/* The node does not probe servers: a closed connection counts as a crash. */
-		cw_quarantine_gone(node->quarantine, server->id, node->now_ms);
-		gossip_hurry(node);
+		cw_quarantine_note_unreachable(node->quarantine, server->id, node->now_ms);
+		gossip_expedite_heartbeats(node);
 		break;
 	case CW_ATTEMPT_FAILED:
 	case CW_ATTEMPT_CANCELLED:
-		quarantine_left(node, request, server);
+		quarantine_note_abandoned(node, request, server);
 		break;
-	case CW_ATTEMPT_UNSENT:
+	case CW_ATTEMPT_NOT_SENT:
 	case CW_ATTEMPT_BUSY:
 		break;
 	}
 }
 
-void quarantine_left(struct cw_node *node, const struct request *request,
-		     const struct cw_server *server)
+void quarantine_note_abandoned(struct cw_node *node, const struct request *request,
+			       const struct cw_server *server)
 {
-	cw_quarantine_left(node->quarantine, request->fingerprint, server->id,
-			   attempt_run_ms(node, request), node->now_ms);
+	cw_quarantine_note_finished(node->quarantine, request->fingerprint, server->id,
+				    attempt_run_ms(node, request), node->now_ms);
 }
 
 static struct cw_quarantine_request to_quarantine_request(const struct request *request)
@@ -119,7 +119,7 @@
 	}
 	if (any) {
 		abort_quarantined(node);
-		gossip_hurry(node);
+		gossip_expedite_heartbeats(node);
 	}
 	write_next_record(node);
 }
@@ -145,15 +145,15 @@
 					   node->now_ms);
 }
 
-void quarantine_handle_append(struct cw_node *node, const struct cw_appended *appended)
+void quarantine_handle_append(struct cw_node *node, const struct cw_append_result *appended)
 {
 	if (appended->ticket == node->quarantine_ticket)
 		node->quarantine_ticket = 0;
 }
 
-void quarantine_announce(struct cw_node *node, struct peer_end crashes[CW_QUARANTINE_ENDS],
-			 struct peer_held quarantined[CW_QUARANTINE_RECORDS],
-			 struct cw_quarantine_record records[CW_QUARANTINE_RECORDS],
+void quarantine_announce(struct cw_node *node, struct peer_end crashes[CW_QUARANTINE_CRASHES_MAX],
+			 struct peer_held quarantined[CW_QUARANTINE_RECORDS_MAX],
+			 struct cw_quarantine_record records[CW_QUARANTINE_RECORDS_MAX],
 			 struct peer_heartbeat *heartbeat)
 {
 	struct cw_quarantine_crash own[CW_QUARANTINE_CRASHES_MAX];
@@ -172,8 +172,8 @@
 	}
 	heartbeat->ends.ends_len = (u_int)count;
 	heartbeat->ends.ends_val = crashes;
-	count = cw_quarantine_tell_records(node->quarantine, node->now_ms, records,
-					   CW_QUARANTINE_RECORDS);
+	count = cw_quarantine_announce_records(node->quarantine, node->now_ms, records,
+					       CW_QUARANTINE_RECORDS_MAX);
 	for (size_t i = 0; i < count; i++) {
 		quarantined[i].fingerprint = records[i].fingerprint;
 		quarantined[i].organisation = records[i].organisation;
@@ -191,7 +191,7 @@
 {
 	for (u_int i = 0; i < heartbeat->ends.ends_len; i++) {
 		const struct peer_end *peer = &heartbeat->ends.ends_val[i];
-		struct cw_quarantine_end crash = {
+		struct cw_quarantine_crash crash = {
 			.fingerprint = peer->fingerprint,
 			.server = peer->server,
 			.is_alive = peer->alive != 0,
@@ -202,7 +202,7 @@
 			.answered_ms = peer->answered_ms,
 		};
 
-		cw_quarantine_hear_end(node->quarantine, &crash, node->now_ms);
+		cw_quarantine_merge_crash(node->quarantine, &crash, node->now_ms);
 	}
 	for (u_int i = 0; i < heartbeat->held.held_len; i++) {
 		const struct peer_held *peer = &heartbeat->held.held_val[i];
@@ -251,12 +251,12 @@
 {
 	const struct cw_quarantine_record *record = &change->record;
 
-	node_event(node, "request", record->is_released ? "quarantine_released" : "quarantined",
-		   "fingerprint=%016" G_GINT64_MODIFIER
-		   "x organisation=%s target=%s ends=%u rivals=%u age_ms=%u source=%s",
-		   record->fingerprint, *record->organisation ? record->organisation : "-",
-		   *record->target ? record->target : "-", record->ends, change->alternatives,
-		   record->age_ms, cw_quarantine_source_name(change->source));
+	node_log_event(node, "request", record->is_released ? "quarantine_released" : "quarantined",
+		       "fingerprint=%016" G_GINT64_MODIFIER
+		       "x organisation=%s target=%s ends=%u rivals=%u age_ms=%u source=%s",
+		       record->fingerprint, *record->organisation ? record->organisation : "-",
+		       *record->target ? record->target : "-", record->ends, change->alternatives,
+		       record->age_ms, cw_quarantine_source_name(change->source));
 }
 
 /* A quarantined request that still waits in the queue of an engine would crash that engine too,
@@ -274,7 +274,7 @@
 			if (server)
 				cw_pool_record_end(server, node->now_ms, -1);
 			request->sent = 1;
-			quarantine_refuses(node, request);
+			quarantine_reject(node, request);
 		}
 		request = next;
 	}
--- a/packages/node/src/node_request.c
+++ b/packages/node/src/node_request.c
@@ -10,7 +10,7 @@
 #define PLATFORM_RETRY_MS  1000
 #define BINDING_FRESH_MS   10000 /* homes are told again of a binding that is still used */
 
-static struct request *request_create(struct cw_node *node, const struct cw_request_in *in);
+static struct request *request_create(struct cw_node *node, const struct cw_node_request *in);
 static int find_service(struct cw_node *node, struct request *request);
 static void find_session(struct cw_node *node, struct request *request);
 static int needs_homes(const struct cw_node *node);
@@ -20,7 +20,7 @@
 static void claim(struct cw_node *node, struct request *request);
 static void check_claim(struct cw_node *node, struct request *request);
 
-void request_begin(struct cw_node *node, const struct cw_request_in *in)
+void request_begin(struct cw_node *node, const struct cw_node_request *in)
 {
 	struct request *request = request_create(node, in);
 	const char *organisation;
@@ -30,7 +30,7 @@
 			       "this instance is full");
 		return;
 	}
-	if (node_refuses_new(node)) {
+	if (node_rejects_requests(node)) {
 		request_refuse(node, request, CW_CODE_LEAVING, 100, "this instance is leaving");
 		return;
 	}
@@ -47,7 +47,7 @@
 	}
 	g_strlcpy(request->organisation, organisation, CW_NAME_MAX);
 	request->fingerprint = cw_quarantine_fingerprint(in->target, organisation, in->body);
-	if (quarantine_refuses(node, request))
+	if (quarantine_reject(node, request))
 		return;
 	if (in->flags & CW_REQUEST_SERVICE) {
 		if (find_service(node, request))
@@ -67,7 +67,7 @@
 		struct cw_server *server = cw_pool_find(node->pool, request->server);
 
 		if (server) {
-			quarantine_left(node, request, server);
+			quarantine_note_abandoned(node, request, server);
 			cw_pool_record_end(server, node->now_ms, -1);
 		}
 		request->sent = 1;
@@ -143,7 +143,7 @@
 	}
 }
 
-static struct request *request_create(struct cw_node *node, const struct cw_request_in *in)
+static struct request *request_create(struct cw_node *node, const struct cw_node_request *in)
 {
 	struct request *request = LIST_FIRST(&node->free_requests);
 
@@ -187,34 +187,34 @@
  * The final answer of a request that is given up. "not_run" is said only while no byte has reached
  * a backend server; the claim is then given back, so that the caller may use its key again.
  */
-void request_refuse(struct cw_node *node, struct request *request, enum cw_code code,
+void request_refuse(struct cw_node *node, struct request *request, enum cw_error_code code,
 		    int64_t retry_after_ms, const char *format, ...)
 {
-	struct cw_effect *effect = node_effect(node, CW_EFFECT_REFUSE, request->in.handle);
+	struct cw_effect *effect = node_add_effect(node, CW_EFFECT_REJECT, request->in.handle);
 	va_list args;
 
-	effect->refuse.code = code;
-	effect->refuse.run = request->sent ? CW_RUN_UNKNOWN : CW_RUN_NOT;
-	effect->refuse.retry_after_ms = retry_after_ms;
+	effect->reject.code = code;
+	effect->reject.run = request->sent ? CW_RUN_UNKNOWN : CW_RUN_NOT;
+	effect->reject.retry_after_ms = retry_after_ms;
 	va_start(args, format);
-	g_vsnprintf(effect->refuse.message, CW_MESSAGE_MAX, format, args);
+	g_vsnprintf(effect->reject.message, CW_MESSAGE_MAX, format, args);
 	va_end(args);
 	if (request->claim.claim && !request->sent)
-		log_line(node, &request->claim, LINE_RELEASE, 0, NULL);
-	node_event(node, "request", "refuse",
-		   "request=%s organisation=%s code=%s run=%s retry_after_ms=%" G_GINT64_FORMAT,
-		   request->in.request_id, request->organisation, cw_code_name(code),
-		   cw_run_name(effect->refuse.run), retry_after_ms);
+		claims_enqueue(node, &request->claim, CLAIM_ENTRY_RELEASE, 0, NULL);
+	node_log_event(node, "request", "refuse",
+		       "request=%s organisation=%s code=%s run=%s retry_after_ms=%" G_GINT64_FORMAT,
+		       request->in.request_id, request->organisation, cw_error_code_name(code),
+		       cw_run_name(effect->reject.run), retry_after_ms);
 	request_destroy(node, request);
 }
 
 /* The caller went away: what it was shown is billed, what never ran gives its claim back. */
 void request_abandon(struct cw_node *node, struct request *request)
 {
-	node_event(node, "request", "caller_gone", "request=%s organisation=%s shown=%u",
-		   request->in.request_id, request->organisation, request->shown);
+	node_log_event(node, "request", "caller_gone", "request=%s organisation=%s shown=%u",
+		       request->in.request_id, request->organisation, request->shown);
 	if (request->claim.claim && !request->sent)
-		log_line(node, &request->claim, LINE_RELEASE, 0, NULL);
+		claims_enqueue(node, &request->claim, CLAIM_ENTRY_RELEASE, 0, NULL);
 	if (request->shown > 0 && request->state == REQUEST_RUNNING)
 		bills_add(node, request);
 	request_destroy(node, request);
@@ -260,7 +260,7 @@
 	held = cw_session_find(node->sessions, request->binding.key, node->now_ms);
 	if (!held && needs_homes(node)) {
 		request->answers_awaited =
-			gossip_ask_binding(node, request->binding.key, request->in.handle);
+			gossip_request_binding(node, request->binding.key, request->in.handle);
 		if (request->answers_awaited > 0) {
 			request->state = REQUEST_BINDING;
 			request->wait_until_ms = node->now_ms + node->config.session_ask_ms;
@@ -304,7 +304,7 @@
 	held = cw_session_find(node->sessions, request->binding.key, node->now_ms);
 	if (!held || (held->announced_ms && node->now_ms - held->announced_ms < BINDING_FRESH_MS))
 		return;
-	gossip_push_binding(node, held);
+	gossip_announce_binding(node, held);
 	cw_session_mark_announced(node->sessions, request->binding.key, node->now_ms);
 }
 
@@ -404,7 +404,7 @@
 	request->claim.claim = node_random(node) | 1;
 	request->wait_until_ms =
 		MIN(node->now_ms + node->config.claim_timeout_ms, request->deadline_ms);
-	log_line(node, &request->claim, LINE_CLAIM, 0, NULL);
+	claims_enqueue(node, &request->claim, CLAIM_ENTRY_CLAIM, 0, NULL);
 }
 
 static void check_claim(struct cw_node *node, struct request *request)
@@ -416,8 +416,8 @@
 	if (view.state == CW_CLAIM_FREE)
 		return;
 	if (view.state == CW_CLAIM_HELD && view.holder == own) {
-		node_event(node, "claims", "claimed", "request=%s organisation=%s",
-			   request->in.request_id, request->organisation);
+		node_log_event(node, "claims", "claimed", "request=%s organisation=%s",
+			       request->in.request_id, request->organisation);
 		request_dispatch(node, request, CW_DISPATCH_FRESH);
 		return;
 	}
@@ -434,10 +434,10 @@
 			       "the same request was taken before and its outcome is not known");
 		return;
 	}
-	effect = node_effect(node, CW_EFFECT_REPLAY, request->in.handle);
+	effect = node_add_effect(node, CW_EFFECT_REPLAY, request->in.handle);
 	effect->replay.status = view.status;
 	effect->replay.answer = g_strdup(view.answer);
-	node_event(node, "claims", "replay", "request=%s organisation=%s status=%d",
-		   request->in.request_id, request->organisation, view.status);
+	node_log_event(node, "claims", "replay", "request=%s organisation=%s status=%d",
+		       request->in.request_id, request->organisation, view.status);
 	request_destroy(node, request);
 }
--- a/packages/node/src/node_rollout.c
+++ b/packages/node/src/node_rollout.c
@@ -76,14 +76,14 @@
 			g_strlcpy(node->lease.holder, holder, CW_NAME_MAX);
 			/* The term has begun: a waiting order is sent with the next tick. */
 			node->lease_check_due_ms = node->now_ms;
-			node_event(node, "rollout", "lease", "holder=%s fencing=%" G_GUINT64_FORMAT,
-				   holder, offset);
+			node_log_event(node, "rollout", "lease",
+				       "holder=%s fencing=%" G_GUINT64_FORMAT, holder, offset);
 		}
 	}
 	json_object_put(parsed);
 }
 
-void rollout_handle_append(struct cw_node *node, const struct cw_appended *appended)
+void rollout_handle_append(struct cw_node *node, const struct cw_append_result *appended)
 {
 	if (appended->ticket == node->lease_ticket)
 		node->lease_ticket = 0;
@@ -94,8 +94,8 @@
 	if (ticket != node->order_ticket)
 		return;
 	node->order_ticket = 0;
-	node_event(node, "rollout", "ordered", "status=%s fencing=%" G_GUINT64_FORMAT,
-		   cw_status_name(status), node->lease.fencing);
+	node_log_event(node, "rollout", "ordered", "status=%s fencing=%" G_GUINT64_FORMAT,
+		       cw_status_name(status), node->lease.fencing);
 }
 
 /*
@@ -183,7 +183,7 @@
 
 	if (!server)
 		return;
-	effect = node_effect(node, CW_EFFECT_ORDER, 0);
+	effect = node_add_effect(node, CW_EFFECT_ORDER, 0);
 	node->order_ticket = node_new_ticket(node);
 	effect->order.ticket = node->order_ticket;
 	effect->order.order = "load_version";
@@ -193,9 +193,9 @@
 	g_strlcpy(effect->order.address, server->address, CW_ADDRESS_MAX);
 	g_snprintf(effect->order.target, sizeof(effect->order.target), "%s/%s", row->model,
 		   row->version);
-	node_event(node, "rollout", "order",
-		   "order=load_version target=%s/%s server=%s fencing=%" G_GUINT64_FORMAT,
-		   row->model, row->version, server->name, node->lease.fencing);
+	node_log_event(node, "rollout", "order",
+		       "order=load_version target=%s/%s server=%s fencing=%" G_GUINT64_FORMAT,
+		       row->model, row->version, server->name, node->lease.fencing);
 }
 
 /* Chooses the engine of the failure domain with the fewest versions, then the least load. */
@@ -228,6 +228,6 @@
 		return;
 	version = g_ascii_strtoull(json_object_get_string(value), NULL, 16);
 	if (cw_health_trip(node->health, version, node->now_ms))
-		node_event(node, "health", "trip_read", "version_id=%s",
-			   json_object_get_string(value));
+		node_log_event(node, "health", "trip_read", "version_id=%s",
+			       json_object_get_string(value));
 }
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -34,7 +34,7 @@
 	case CW_ATTEMPT_ANSWERED:
 		attempt_answered(node, request, end);
 		break;
-	case CW_ATTEMPT_PASSED:
+	case CW_ATTEMPT_CLIENT_ERROR:
 		request->http_status = end->http_status;
 		request->answer = g_strdup(end->answer);
 		request_release(node, request);
@@ -64,8 +64,8 @@
 	choice_take_option(request, then);
 	request->escalated = 1;
 	request->tried_count = 0;
-	node_event(node, "cascade", "escalate", "request=%s score=%.3f model=%s version=%s",
-		   request->in.request_id, score, request->model, request->version);
+	node_log_event(node, "cascade", "escalate", "request=%s score=%.3f model=%s version=%s",
+		       request->in.request_id, score, request->model, request->version);
 	if (!choice_holds(node, request) || request->attempt_count >= CW_MAX_ATTEMPTS) {
 		const struct attempt *last = &request->attempts[request->attempt_count - 1];
 
@@ -85,7 +85,7 @@
 	double limit_ms = (double)node->config.first_wait_ms;
 	double wait_ms;
 
-	if (quarantine_refuses(node, request))
+	if (quarantine_reject(node, request))
 		return;
 	if (node->now_ms >= request->deadline_ms) {
 		request_refuse(node, request, CW_CODE_DEADLINE, 0, "the deadline has passed");
@@ -126,7 +126,7 @@
 static void send_attempt(struct cw_node *node, struct request *request, struct cw_server *server,
 			 enum cw_dispatch_mode mode)
 {
-	struct cw_effect *effect = node_effect(node, CW_EFFECT_DISPATCH, request->in.handle);
+	struct cw_effect *effect = node_add_effect(node, CW_EFFECT_DISPATCH, request->in.handle);
 	struct attempt *attempt = &request->attempts[request->attempt_count++];
 
 	memset(attempt, 0, sizeof(*attempt));
@@ -150,15 +150,15 @@
 	if (request->binding.key)
 		cw_token_encode(node->config.peer_key, &request->binding,
 				effect->dispatch.session_token);
-	node_event(node, "request",
-		   mode == CW_DISPATCH_FRESH	? "dispatch"
-		   : mode == CW_DISPATCH_RESUME ? "resume"
-						: "continue",
-		   "request=%s organisation=%s model=%s version=%s server=%s attempt=%u "
-		   "fingerprint=%016" G_GINT64_MODIFIER "x%s",
-		   request->in.request_id, request->organisation, request->model, request->version,
-		   server->name, request->attempt_count, request->fingerprint,
-		   request->rebound ? " session=rebound" : "");
+	node_log_event(node, "request",
+		       mode == CW_DISPATCH_FRESH    ? "dispatch"
+		       : mode == CW_DISPATCH_RESUME ? "resume"
+						    : "continue",
+		       "request=%s organisation=%s model=%s version=%s server=%s attempt=%u "
+		       "fingerprint=%016" G_GINT64_MODIFIER "x%s",
+		       request->in.request_id, request->organisation, request->model,
+		       request->version, server->name, request->attempt_count, request->fingerprint,
+		       request->rebound ? " session=rebound" : "");
 }
 
 static struct cw_server *choose_server(struct cw_node *node, struct request *request)
@@ -199,9 +199,9 @@
 	struct attempt *attempt = &request->attempts[request->attempt_count - 1];
 	struct cw_server *server = cw_pool_find(node->pool, attempt->server);
 	double first_ms = -1;
-	int answered = end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_PASSED;
-	int failed = end->result == CW_ATTEMPT_UNSENT || end->result == CW_ATTEMPT_FAILED ||
-		     end->result == CW_ATTEMPT_BROKEN;
+	int answered = end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_CLIENT_ERROR;
+	int failed = end->result == CW_ATTEMPT_NOT_SENT || end->result == CW_ATTEMPT_FAILED ||
+		     end->result == CW_ATTEMPT_INTERRUPTED;
 
 	/* A whole answer comes with its last token: only a stream tells when the first one came. */
 	if (request->in.flags & CW_REQUEST_STREAM)
@@ -210,11 +210,11 @@
 	attempt->prompt_tokens = end->prompt_tokens;
 	attempt->completion_tokens = answered || end->shown ? end->completion_tokens : 0;
 	/* A 429 before anything ran leaves "not run" true; whatever else was sent may have run. */
-	if (end->result != CW_ATTEMPT_UNSENT &&
+	if (end->result != CW_ATTEMPT_NOT_SENT &&
 	    !(end->result == CW_ATTEMPT_BUSY && end->http_status == 429))
 		request->sent = 1;
 	if (server)
-		quarantine_attempt_ended(node, request, server, end);
+		quarantine_record_attempt(node, request, server, end);
 	if (server) {
 		cw_pool_record_end(server, node->now_ms, answered ? end->total_ms : -1);
 		if (answered)
@@ -229,19 +229,19 @@
 	if (request->version_id &&
 	    !cw_quarantine_explains_crash(node->quarantine, attempt->server, node->now_ms) &&
 	    (end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_FAILED ||
-	     end->result == CW_ATTEMPT_BROKEN) &&
+	     end->result == CW_ATTEMPT_INTERRUPTED) &&
 	    cw_health_add_answer(node->health, request->version_id, answered, first_ms,
 				 end->prompt_tokens, node->now_ms))
-		gossip_tripped(node, request->version_id, "failures");
+		gossip_announce_trip(node, request->version_id, "failures");
 	if (request->version_id && failed)
-		gossip_hurry(node);
+		gossip_expedite_heartbeats(node);
 	if (!answered)
-		node_event(node, "request", "attempt_failed",
-			   "request=%s server=%s attempt=%u result=%d status=%d shown=%u "
-			   "fingerprint=%016" G_GINT64_MODIFIER "x",
-			   request->in.request_id, server ? server->name : "",
-			   request->attempt_count, end->result, end->http_status, end->shown,
-			   request->fingerprint);
+		node_log_event(node, "request", "attempt_failed",
+			       "request=%s server=%s attempt=%u result=%d status=%d shown=%u "
+			       "fingerprint=%016" G_GINT64_MODIFIER "x",
+			       request->in.request_id, server ? server->name : "",
+			       request->attempt_count, end->result, end->http_status, end->shown,
+			       request->fingerprint);
 }
 
 static void attempt_answered(struct cw_node *node, struct request *request,
@@ -313,7 +313,7 @@
 	}
 	/* Resumed once where it broke; if that brings nothing, another server goes on from the text
 	 * shown. */
-	if (end->result == CW_ATTEMPT_BROKEN && !request->resumed) {
+	if (end->result == CW_ATTEMPT_INTERRUPTED && !request->resumed) {
 		request->resumed = 1;
 		request->tried_count--;
 		request_dispatch(node, request, CW_DISPATCH_RESUME);
@@ -341,7 +341,7 @@
 static void rate(struct cw_node *node, struct request *request, const char *answer, int checked)
 {
 	const struct attempt *last = &request->attempts[request->attempt_count - 1];
-	struct cw_effect *effect = node_effect(node, CW_EFFECT_RATE, request->in.handle);
+	struct cw_effect *effect = node_add_effect(node, CW_EFFECT_RATE, request->in.handle);
 
 	g_strlcpy(effect->rate.request_id, request->in.request_id, CW_ID_MAX);
 	g_strlcpy(effect->rate.organisation, request->organisation, CW_NAME_MAX);
@@ -365,8 +365,8 @@
 	request->state = REQUEST_BILLING;
 	request->wait_until_ms = node->now_ms + node->config.bill_hold_ms;
 	if (request->claim.claim)
-		log_line(node, &request->claim, LINE_OUTCOME, request->http_status,
-			 request->answer);
+		claims_enqueue(node, &request->claim, CLAIM_ENTRY_OUTCOME, request->http_status,
+			       request->answer);
 	bills_add(node, request);
 }
 
@@ -375,14 +375,14 @@
 	const struct attempt *last = &request->attempts[request->attempt_count - 1];
 
 	if (request->claim.claim && request->state == REQUEST_RUNNING)
-		log_line(node, &request->claim, LINE_OUTCOME, request->http_status,
-			 request->answer);
-	node_effect(node, CW_EFFECT_RELEASE, request->in.handle);
-	node_event(node, "request", "answer",
-		   "request=%s organisation=%s model=%s version=%s attempts=%u tokens=%u "
-		   "took_ms=%" G_GINT64_FORMAT,
-		   request->in.request_id, request->organisation, request->model, request->version,
-		   request->attempt_count, last->completion_tokens,
-		   node->now_ms - request->started_ms);
+		claims_enqueue(node, &request->claim, CLAIM_ENTRY_OUTCOME, request->http_status,
+			       request->answer);
+	node_add_effect(node, CW_EFFECT_RELEASE, request->in.handle);
+	node_log_event(node, "request", "answer",
+		       "request=%s organisation=%s model=%s version=%s attempts=%u tokens=%u "
+		       "took_ms=%" G_GINT64_FORMAT,
+		       request->in.request_id, request->organisation, request->model,
+		       request->version, request->attempt_count, last->completion_tokens,
+		       node->now_ms - request->started_ms);
 	request_destroy(node, request);
 }
--- a/tests/bench/capacity.c
+++ b/tests/bench/capacity.c
@@ -97,7 +97,7 @@
 		struct world *world;
 		double sent = 0, sent_bytes = 0, began, state;
 
-		cw_node_defaults(&node);
+		cw_node_set_defaults(&node);
 		world = start(sizes[i], 0, &node);
 		world_key(world, "o");
 		world_run(world, 2000);
@@ -274,7 +274,7 @@
 		double began, idle;
 		uint64_t appends;
 
-		cw_node_defaults(&node);
+		cw_node_set_defaults(&node);
 		world = start(3, 4, &node);
 		world_profile(world, &profile);
 		world_load_everywhere(world, "m", "1");
@@ -287,7 +287,7 @@
 		appends = world_node(world, 0)->appends;
 		began = cpu_ms();
 		for (int sent = 0; sent < sizes[i] * SPAN_MS / 1000; sent++) {
-			struct cw_request_in in;
+			struct cw_node_request in;
 
 			world_request_init(&in, "o", "m", CW_REQUEST_IDEMPOTENT);
 			world_send(world, 0, &in, 10);
@@ -319,7 +319,7 @@
 		struct world *world;
 		double began;
 
-		cw_node_defaults(&node);
+		cw_node_set_defaults(&node);
 		world = start(1, tracked[i], &node);
 		world_load_everywhere(world, "m", "1");
 		world_run(world, 2000);
@@ -364,7 +364,7 @@
 		struct world *world;
 		double calm, began, worst = 0;
 
-		cw_node_defaults(&node);
+		cw_node_set_defaults(&node);
 		world = start(sizes[i], 0, &node);
 		world_key(world, "o");
 		world_run(world, 2000);
--- a/tests/bench/experiment.c
+++ b/tests/bench/experiment.c
@@ -65,7 +65,7 @@
 	int count = 0, task_count[TASKS] = {0};
 	double worst = 1;
 
-	cw_node_defaults(&node);
+	cw_node_set_defaults(&node);
 	node.cascade = policy;
 	driver_world(seed, &node, &driver);
 	add_models(driver.world);
@@ -148,7 +148,7 @@
 	double tokens = 0;
 	int64_t span_ms;
 
-	cw_node_defaults(&node);
+	cw_node_set_defaults(&node);
 	node.choice = policy;
 	driver_world(seed, &node, &driver);
 	world_profile(driver.world, &profile);
@@ -169,7 +169,7 @@
 		dispatched += request->dispatched;
 		if (request->ended_ms < 0)
 			continue;
-		if (request->end == CW_EFFECT_REFUSE) {
+		if (request->end == CW_EFFECT_REJECT) {
 			refused++;
 			continue;
 		}
@@ -249,7 +249,7 @@
 	double exposed = 0;
 	double trips = 0;
 
-	cw_node_defaults(&node);
+	cw_node_set_defaults(&node);
 	node.health = policy;
 	driver_world(seed, &node, &driver);
 	g_snprintf(other, sizeof(other), "m,1,%g,1", 100 - g_ascii_strtod(share, NULL));
@@ -340,7 +340,7 @@
 	int64_t from_ms;
 	int spans = 0;
 
-	cw_node_defaults(&node);
+	cw_node_set_defaults(&node);
 	driver_world(seed, &node, &driver);
 	world_profile(driver.world, &profile);
 	world_load_everywhere(driver.world, "m", "1");
@@ -413,7 +413,7 @@
 	struct driver driver = {.target = "m"};
 	GArray *times = g_array_new(FALSE, FALSE, sizeof(double));
 
-	cw_node_defaults(&node);
+	cw_node_set_defaults(&node);
 	driver_world(seed, &node, &driver);
 	driver_publish(driver.world, rows, 0.8);
 	world_run(driver.world, 3000);
--- a/tests/bench/experiment_driver.c
+++ b/tests/bench/experiment_driver.c
@@ -60,7 +60,7 @@
 		int64_t at_ms = (int64_t)driver->next_ms;
 
 		if (later && later->at_ms <= at_ms) {
-			struct cw_request_in in = later->request->in;
+			struct cw_node_request in = later->request->in;
 			struct world_request *again;
 
 			world_run(driver->world, MAX(later->at_ms - world_now(driver->world), 0));
@@ -89,7 +89,7 @@
 	int organisation = 0;
 	int task = 0;
 	int node = g_rand_int_range(driver->random, 0, NODES);
-	struct cw_request_in in;
+	struct cw_node_request in;
 	struct world_request *request;
 	char name[8];
 
@@ -122,7 +122,7 @@
 	int tries = GPOINTER_TO_INT(g_hash_table_lookup(driver->tries, request));
 	struct later *later;
 
-	if (!driver->callers_return || request->end != CW_EFFECT_REFUSE ||
+	if (!driver->callers_return || request->end != CW_EFFECT_REJECT ||
 	    !request->retry_after_ms || tries >= RETRIES)
 		return;
 	later = g_new0(struct later, 1);
--- a/tests/fake/controls.c
+++ b/tests/fake/controls.c
@@ -97,7 +97,7 @@
 
 void world_expire(struct world *world)
 {
-	for (int stream = 0; world->config.retention_ms && stream < CW_STREAMS; stream++) {
+	for (int stream = 0; world->config.retention_ms && stream < CW_STREAM_COUNT; stream++) {
 		while (world->first[stream] <= world->log[stream]->len) {
 			struct world_record *record =
 				g_ptr_array_index(world->log[stream], world->first[stream] - 1);
--- a/tests/fake/servers.c
+++ b/tests/fake/servers.c
@@ -116,7 +116,7 @@
 	 * node. */
 	timeout = event_create(world, EVENT_ATTEMPT_END, node, effect->dispatch.timeout_ms);
 	timeout->end = event->end;
-	timeout->end.result = CW_ATTEMPT_BROKEN;
+	timeout->end.result = CW_ATTEMPT_INTERRUPTED;
 	timeout->end.first_ms = -1;
 	event_post(world, timeout);
 }
@@ -202,7 +202,7 @@
 	run->effect = g_steal_pointer(&event->effect);
 	run->offset = (uint64_t)world->now_ms;
 	if (server->down) {
-		send_end(world, run, CW_ATTEMPT_UNSENT, 0);
+		send_end(world, run, CW_ATTEMPT_NOT_SENT, 0);
 		event_destroy(run);
 	} else if (server->queued >= server->slots * QUEUE_FACTOR) {
 		send_end(world, run, CW_ATTEMPT_BUSY, 429);
@@ -256,11 +256,12 @@
 		start(world, next);
 	}
 	if (server->down) {
-		send_end(world, run, CW_ATTEMPT_BROKEN, 0);
+		send_end(world, run, CW_ATTEMPT_INTERRUPTED, 0);
 	} else if (world_random(world) < failure) {
 		if (request->in.flags & CW_REQUEST_STREAM && world_random(world) >= EARLY_FAILURE)
 			request->shown++;
-		send_end(world, run, request->shown ? CW_ATTEMPT_BROKEN : CW_ATTEMPT_FAILED, 500);
+		send_end(world, run, request->shown ? CW_ATTEMPT_INTERRUPTED : CW_ATTEMPT_FAILED,
+			 500);
 	} else {
 		request->shown += request->in.flags & CW_REQUEST_STREAM ? request->tokens : 0;
 		request->quality = CLAMP(
@@ -414,7 +415,7 @@
 	g_free(record);
 }
 
-void world_request_init(struct cw_request_in *in, const char *organisation, const char *target,
+void world_request_init(struct cw_node_request *in, const char *organisation, const char *target,
 			unsigned int flags)
 {
 	memset(in, 0, sizeof(*in));
--- a/tests/fake/world.c
+++ b/tests/fake/world.c
@@ -34,7 +34,7 @@
 	world->by_handle = g_hash_table_new(g_int64_hash, g_int64_equal);
 	world->profiles = g_ptr_array_new_with_free_func(g_free);
 	world->readers = g_ptr_array_new();
-	for (int stream = 0; stream < CW_STREAMS; stream++) {
+	for (int stream = 0; stream < CW_STREAM_COUNT; stream++) {
 		world->log[stream] = g_ptr_array_new();
 		world->first[stream] = 1;
 	}
@@ -57,7 +57,7 @@
 	g_sequence_free(world->events);
 	for (int i = 0; i < world->config.nodes; i++)
 		cw_node_destroy(world->nodes[i].node);
-	for (int stream = 0; stream < CW_STREAMS; stream++) {
+	for (int stream = 0; stream < CW_STREAM_COUNT; stream++) {
 		for (guint i = 0; i < world->log[stream]->len; i++) {
 			struct world_record *record = g_ptr_array_index(world->log[stream], i);
 
@@ -90,7 +90,7 @@
 	return world->log[stream]->len;
 }
 
-struct world_request *world_send(struct world *world, int node, const struct cw_request_in *in,
+struct world_request *world_send(struct world *world, int node, const struct cw_node_request *in,
 				 unsigned int tokens)
 {
 	struct world_request *request = g_new0(struct world_request, 1);
@@ -217,7 +217,7 @@
 		answer_read(world, event->node, event->effect, event->waited);
 		break;
 	case EVENT_APPENDED: {
-		struct cw_appended appended = {event->ticket, event->status, event->offset};
+		struct cw_append_result appended = {event->ticket, event->status, event->offset};
 
 		out.kind = CW_EVENT_APPENDED;
 		out.appended = &appended;
@@ -279,7 +279,7 @@
 	case CW_EFFECT_ORDER:
 		do_order(world, index, effect);
 		break;
-	case CW_EFFECT_REFUSE:
+	case CW_EFFECT_REJECT:
 	case CW_EFFECT_RELEASE:
 	case CW_EFFECT_REPLAY:
 		end_request(world, effect);
@@ -314,7 +314,8 @@
 	enum cw_stream stream = effect->read.stream;
 	GPtrArray *log = world->log[stream];
 	struct cw_log_record list[READ_MAX];
-	struct cw_records records = {.stream = stream, .ticket = effect->read.ticket, .list = list};
+	struct cw_read_result records = {
+		.stream = stream, .ticket = effect->read.ticket, .list = list};
 	struct cw_event out = {.kind = CW_EVENT_RECORDS, .records = &records};
 
 	records.first = world->first[stream];
@@ -448,10 +449,10 @@
 		return;
 	request->end = effect->kind;
 	request->ended_ms = world->now_ms;
-	if (effect->kind == CW_EFFECT_REFUSE) {
-		request->code = effect->refuse.code;
-		request->run = effect->refuse.run;
-		request->retry_after_ms = effect->refuse.retry_after_ms;
+	if (effect->kind == CW_EFFECT_REJECT) {
+		request->code = effect->reject.code;
+		request->run = effect->reject.run;
+		request->retry_after_ms = effect->reject.retry_after_ms;
 	}
 	if (world->config.on_end)
 		world->config.on_end(world->config.context, world, request);
--- a/tests/fake/world.h
+++ b/tests/fake/world.h
@@ -17,14 +17,14 @@
 struct world;
 
 struct world_request { /* the caller's side; lives as long as the world */
-	struct cw_request_in in;
+	struct cw_node_request in;
 	int node;	   /* where it was sent */
 	unsigned int boot; /* that node's incarnation */
 	int64_t began_ms;
 	int64_t first_ms;	 /* virtual time of its first chunk, -1 none */
 	int64_t ended_ms;	 /* final answer, -1 none */
 	enum cw_effect_kind end; /* RELEASE, REFUSE or REPLAY */
-	enum cw_code code;
+	enum cw_error_code code;
 	enum cw_run run;
 	int64_t retry_after_ms;
 	unsigned int dispatched;
@@ -127,7 +127,7 @@
 		      const char *data); /* an operator; returns the offset */
 void world_profile(struct world *world, const struct world_profile *profile);
 void world_load_everywhere(struct world *world, const char *model, const char *version);
-struct world_request *world_send(struct world *world, int node, const struct cw_request_in *in,
+struct world_request *world_send(struct world *world, int node, const struct cw_node_request *in,
 				 unsigned int tokens);
 void world_run(struct world *world, int64_t ms); /* lets virtual time pass */
 int64_t world_now(const struct world *world);
@@ -145,7 +145,7 @@
 void world_set(struct world *world, const char *organisation, const char *model,
 	       const char *version, const char *column, const char *value);
 void world_key(struct world *world, const char *organisation); /* its key is its name */
-void world_request_init(struct cw_request_in *in, const char *organisation, const char *target,
+void world_request_init(struct cw_node_request *in, const char *organisation, const char *target,
 			unsigned int flags);
 
 #endif
--- a/tests/fake/world_internal.h
+++ b/tests/fake/world_internal.h
@@ -47,8 +47,8 @@
 	char names[WORLD_NODES_MAX][CW_NAME_MAX];
 	struct world_server servers[WORLD_SERVERS_MAX];
 	int server_count;
-	GPtrArray *log[CW_STREAMS];
-	uint64_t first[CW_STREAMS];
+	GPtrArray *log[CW_STREAM_COUNT];
+	uint64_t first[CW_STREAM_COUNT];
 	GPtrArray *readers;
 	GPtrArray *requests;
 	GHashTable *by_handle;
--- a/tests/fuzz/oracle.c
+++ b/tests/fuzz/oracle.c
@@ -72,7 +72,7 @@
 					.bad_from_ms = -1};
 
 	memset(&oracle, 0, sizeof(oracle));
-	cw_node_defaults(&config.node);
+	cw_node_set_defaults(&config.node);
 	config.node.events = g_getenv("TRACE") != NULL;
 	config.trace = config.node.events;
 	config.node.silent_ms = 600;
@@ -195,7 +195,7 @@
 	 */
 	for (int i = 0; i < NODES; i++) {
 		if (world_node(world, i)->node && world_node(world, i)->stopped) {
-			if (cw_node_running(world_node(world, i)->node) > 0)
+			if (cw_node_count_running(world_node(world, i)->node) > 0)
 				oracle_broke("graceful stop",
 					     "e%d stopped with requests in progress", i);
 			world_crash(world, i);
@@ -207,7 +207,7 @@
 
 static void send_chat(uint8_t argument)
 {
-	struct cw_request_in in;
+	struct cw_node_request in;
 	struct session *session = &oracle.sessions[argument / 16 % SESSIONS];
 	int node = argument % NODES;
 
@@ -226,7 +226,7 @@
 
 static void send_order(uint8_t argument)
 {
-	struct cw_request_in in;
+	struct cw_node_request in;
 	int node = argument % NODES;
 	int key = argument / NODES % (KEYS + 1);
 
--- a/tests/fuzz/oracle_checks.c
+++ b/tests/fuzz/oracle_checks.c
@@ -78,7 +78,7 @@
 		    bill_is_due(request))
 			oracle_broke("billed once", "%s was answered and has no bill",
 				     request->in.request_id);
-		if (is_billed && request->ended_ms >= 0 && request->end == CW_EFFECT_REFUSE)
+		if (is_billed && request->ended_ms >= 0 && request->end == CW_EFFECT_REJECT)
 			oracle_broke("billed once", "%s was refused and has a bill",
 				     request->in.request_id);
 		if (is_billed && request->ended_ms >= 0 && request->end == CW_EFFECT_REPLAY)
@@ -91,9 +91,9 @@
 
 		/* A mirror that never learns that its bill stands would bill again when its origin
 		 * dies. */
-		if (node->node && !node->stopped && cw_node_bills_held(node->node) > 0)
+		if (node->node && !node->stopped && cw_node_count_bills(node->node) > 0)
 			oracle_broke("billed once", "e%d still holds %zu bills", i,
-				     cw_node_bills_held(node->node));
+				     cw_node_count_bills(node->node));
 	}
 }
 
@@ -128,7 +128,7 @@
 		if (alive && request->finals == 0)
 			oracle_broke("one whole answer", "%s never got a final answer",
 				     request->in.request_id);
-		if (request->finals == 1 && request->end == CW_EFFECT_REFUSE &&
+		if (request->finals == 1 && request->end == CW_EFFECT_REJECT &&
 		    request->run == CW_RUN_NOT && request->ran > 0)
 			oracle_broke("not run", "%s was refused as not run and ran %u times",
 				     request->in.request_id, request->ran);
@@ -152,7 +152,7 @@
 				g_ptr_array_index(oracle.orders[key].requests, i);
 
 			ran += request->ran;
-			answered |= request->ended_ms >= 0 && request->end != CW_EFFECT_REFUSE;
+			answered |= request->ended_ms >= 0 && request->end != CW_EFFECT_REJECT;
 		}
 		if (ran > 1)
 			oracle_broke("at most once", "orders with key k%d ran %u times", key, ran);
@@ -232,7 +232,7 @@
 		oracle_broke("one whole answer", "%s ended %ld ms behind its deadline",
 			     request->in.request_id,
 			     (long)(request->ended_ms - request->in.deadline_ms));
-	if (request->end == CW_EFFECT_REFUSE && request->run == CW_RUN_NOT && request->ran > 0)
+	if (request->end == CW_EFFECT_REJECT && request->run == CW_RUN_NOT && request->ran > 0)
 		oracle_broke("not run", "%s was refused as not run and had run %u times",
 			     request->in.request_id, request->ran);
 }
