--- a/apps/corianderwalk/entry_feed.h
+++ b/apps/corianderwalk/entry_feed.h
@@ -21,21 +21,21 @@
 	const char *name;
 	enum feed_phase phase;
 	uint64_t next_offset; /* of the next record; for the servers see feed->server_list.from */
-	uint64_t asked_from;  /* of the pending call: records from peers may have passed it */
+	uint64_t asked_from;  /* of the pending call; records from peers may move next_offset on */
 	char after_key[CW_UP_KEY_MAX]; /* last key of the snapshot's pages so far; empty: none */
 	int64_t snapshot_began_ms; /* servers that the snapshot has not listed since are removed */
 	struct cw_exchange *exchange; /* the pending call, NULL: none */
 	uv_timer_t timer;	      /* for the next call */
 	GString *body;
-	unsigned int status;
-	int64_t call_began_ms;	 /* of the newest call */
-	int64_t last_answer_ms;	 /* when a valid answer came last, -1: never */
-	int64_t recovered_ms;	 /* when the store last answered again after failures */
-	unsigned int failures;	 /* in a row */
-	int is_complete;	 /* the state was read once, from the store or a peer */
-	int has_rested;		 /* the startup jitter, in which peers may send state, is over */
-	int is_down;		 /* the newest call failed */
-	int64_t last_warning_ms; /* of the last log line on unreadable records */
+	unsigned int http_status;
+	int64_t call_began_ms;
+	int64_t last_answer_ms;	       /* when a valid answer came last, -1: never */
+	int64_t recovered_ms;	       /* when the store last answered again after failures */
+	unsigned int failures;	       /* in a row */
+	int is_complete;	       /* the state was read once, from the store or a peer */
+	int has_rested;		       /* the one random wait for state from peers was used */
+	int is_down;		       /* the newest call failed */
+	int64_t last_warning_ms;       /* of the last log line on unreadable records */
 	unsigned int unreadable_count; /* unreadable records since that line */
 	int is_rechecking; /* calls return at once: another topic failed, or a peer knows more */
 };
@@ -67,7 +67,7 @@
 	struct append append;
 };
 
-/* How long peers have announced records past the offset read here. */
+/* How long peers have announced records past the next offset of this instance. */
 struct lag {
 	uint64_t next_offset;
 	int64_t since_ms; /* 0: no peer has */
--- a/apps/corianderwalk/entry_hear.c
+++ b/apps/corianderwalk/entry_hear.c
@@ -3,8 +3,8 @@
 
 #include <string.h>
 
-#define REMOTE_FETCH_DELAY_MS 250 /* before state is fetched from another failure domain */
-#define RECHECK_DELAY_MS      150 /* after a call began, in which its answer may still come */
+#define REMOTE_FETCH_DELAY_MS 250 /* of lag, before another failure domain's peers are asked */
+#define RECHECK_DELAY_MS      150 /* after a call began; until then its answer is awaited */
 
 static void merge_config(struct feed *feed, const struct cw_gossip *gossip, int64_t now_ms);
 static void merge_server_list(struct feed *feed, const struct cw_gossip *gossip, int64_t now_ms);
--- a/apps/corianderwalk/entry_peers.c
+++ b/apps/corianderwalk/entry_peers.c
@@ -190,8 +190,9 @@
 }
 
 /*
- * The number of instances that share budgets. Peers that fell silent within the last minute count:
- * they may have used their share, and a network partition only hides them.
+ * The number of instances that share budgets, 0 until peers are discovered. Peers that fell silent
+ * within the last minute count: they may have used their share, and a network partition only hides
+ * them.
  */
 static size_t count_budget_sharers(const struct peers *peers)
 {
--- a/apps/corianderwalk/entry_relay.c
+++ b/apps/corianderwalk/entry_relay.c
@@ -20,10 +20,10 @@
 	struct cw_events *event_parser;
 	GString *response_fields; /* header fields of the response */
 	GString *response_body;
-	unsigned int status;
+	unsigned int http_status;
 	int is_stream;
 	int is_head_sent; /* to the caller */
-	int is_paused;
+	int is_paused;	  /* the server is not read until the caller has read more */
 	int64_t opened_ms;
 	int64_t sent_ms;	  /* when the current attempt was sent */
 	int64_t first_byte_ms;	  /* when the first byte was sent to the caller, -1: not yet */
@@ -114,14 +114,14 @@
 	struct entry *entry = relay->entry;
 	int64_t now_ms = entry_now_ms(entry);
 	struct cw_step step;
-	int64_t limit_ms;
+	int64_t remaining_ms;
 
 	relay->call =
 		cw_call_open(entry->gate, &relay->request_info, relay->opened_ms, now_ms, &step);
 	if (cw_caller_is_late(relay->caller))
 		cw_call_reject(relay->call, now_ms, "this instance is stopping", &step);
-	limit_ms = cw_call_deadline_ms(relay->call) - now_ms;
-	uv_timer_start(&relay->deadline_timer, on_deadline, (uint64_t)MAX(limit_ms, 1), 0);
+	remaining_ms = cw_call_deadline_ms(relay->call) - now_ms;
+	uv_timer_start(&relay->deadline_timer, on_deadline, (uint64_t)MAX(remaining_ms, 1), 0);
 	apply_step(relay, &step);
 }
 
@@ -293,7 +293,7 @@
 	cw_call_handle_head(relay->call, &head, now_ms, &step);
 	log_head(relay, &head, &step, predicted_ms, now_ms - relay->sent_ms);
 	if (step.kind == CW_STEP_FORWARD && !relay->is_head_sent) {
-		relay->status = head.status;
+		relay->http_status = head.status;
 		relay->is_stream = head.is_event_stream && head.status == HTTP_STATUS_OK;
 		if (relay->is_stream && !relay->event_parser)
 			relay->event_parser = cw_events_create();
@@ -306,7 +306,7 @@
 static void log_head(const struct relay *relay, const struct cw_response_head *head,
 		     const struct cw_step *step, double predicted_ms, int64_t took_ms)
 {
-	static const char *const next[] = {
+	static const char *const step_names[] = {
 		[CW_STEP_SEND] = "send_again",
 		[CW_STEP_FORWARD] = "show",
 		[CW_STEP_REJECT] = "end",
@@ -318,7 +318,7 @@
 		 "running=%u queued=%u loaded=%d confidence=%d asked=%d next=%s why=%s",
 		 relay->request_info.id, head->status, head->is_signed, head->is_not_run,
 		 predicted_ms, (long)took_ms, head->running, head->queued, step->was_under_load,
-		 head->confidence, step->confidence_threshold, next[step->kind],
+		 head->confidence, step->confidence_threshold, step_names[step->kind],
 		 step->kind == CW_STEP_FORWARD && step->reason ? step->reason : "-");
 }
 
@@ -391,8 +391,8 @@
 	cw_call_complete(relay->call, now_ms);
 	if (!relay->is_head_sent) {
 		int has_no_body = relay->request_info.is_head ||
-				  relay->status == HTTP_STATUS_NO_CONTENT ||
-				  relay->status == HTTP_STATUS_NOT_MODIFIED;
+				  relay->http_status == HTTP_STATUS_NO_CONTENT ||
+				  relay->http_status == HTTP_STATUS_NOT_MODIFIED;
 
 		send_head(relay,
 			  has_no_body ? CW_FLOW_NO_BODY : (int64_t)relay->response_body->len);
@@ -467,7 +467,7 @@
 {
 	relay->is_head_sent = 1;
 	relay->first_byte_ms = entry_now_ms(relay->entry);
-	cw_caller_head(relay->caller, relay->status, relay->response_fields->str, length);
+	cw_caller_head(relay->caller, relay->http_status, relay->response_fields->str, length);
 }
 
 static void reject(struct relay *relay, const struct cw_step *step)
@@ -476,7 +476,7 @@
 
 	cancel_exchange(relay);
 	cw_up_refusal_write(relay->request_info.id, step->retry_after_ms, fields);
-	relay->status = step->status;
+	relay->http_status = step->status;
 	cw_event("gate", "refused",
 		 "request=%s status=%u run=%s retry_after_ms=%ld config=%lu reason=\"%s\"",
 		 relay->request_info.id, step->status, step->run == CW_RUN_NOT ? "not" : "maybe",
@@ -514,7 +514,7 @@
 	cw_event("gate", "ended",
 		 "request=%s outcome=%s status=%u route=%s organisation=%s model=%s attempts=%u "
 		 "first_ms=%ld took_ms=%ld pause_ms=%ld",
-		 relay->request_info.id, outcome, relay->status, route ? route->name : "-",
+		 relay->request_info.id, outcome, relay->http_status, route ? route->name : "-",
 		 relay->call ? cw_call_organisation(relay->call) : "-",
 		 relay->call ? cw_call_model(relay->call) : "-",
 		 relay->call ? cw_call_attempts(relay->call) : 0,
--- a/apps/corianderwalk/entry_share.c
+++ b/apps/corianderwalk/entry_share.c
@@ -36,7 +36,7 @@
 	struct cw_exchange *exchange;
 	char peer[CW_ADDRESS_MAX];
 	GString *body;
-	unsigned int status;
+	unsigned int http_status;
 	unsigned int failures; /* in a row */
 	uint64_t offset;
 	uint32_t age_ms;
@@ -301,7 +301,7 @@
 		return;
 	fetch->last_try_ms = now_ms;
 	g_strlcpy(fetch->peer, peer, sizeof(fetch->peer));
-	fetch->status = 0;
+	fetch->http_status = 0;
 	g_string_truncate(fetch->body, 0);
 	request.bytes = g_string_new(NULL);
 	g_string_printf(request.bytes, "GET %s", fetch->path);
@@ -319,7 +319,7 @@
 	const char *offset = cw_message_find(answer, OFFSET_FIELD);
 	const char *age = cw_message_find(answer, AGE_FIELD);
 
-	fetch->status = answer->status;
+	fetch->http_status = answer->status;
 	fetch->offset = offset ? g_ascii_strtoull(offset, NULL, 10) : 0;
 	fetch->age_ms = age ? (uint32_t)g_ascii_strtoull(age, NULL, 10) : 0;
 }
@@ -337,10 +337,10 @@
 	struct share *share = fetch->share;
 
 	fetch->exchange = NULL;
-	if (fetch->status == HTTP_STATUS_OK) {
+	if (fetch->http_status == HTTP_STATUS_OK) {
 		fetch->failures = 0;
 		fetch->done(fetch);
-	} else if (fetch->status == HTTP_STATUS_SERVICE_UNAVAILABLE) {
+	} else if (fetch->http_status == HTTP_STATUS_SERVICE_UNAVAILABLE) {
 		fetch->failures = 0;
 		fetch->declined_ms = entry_now_ms(share->feed->entry);
 	} else if (fetch == &share->changes && ++fetch->failures >= MISSES_MAX) {
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -58,7 +58,7 @@
 	recheck(topic);
 }
 
-/* The state counts as read from the store: only records that follow are read. */
+/* Continues after state from a peer as if the store had sent it: only later records are read. */
 void topic_mark_synced(struct topic *topic)
 {
 	struct entry *entry = topic->feed->entry;
@@ -131,7 +131,7 @@
 	if (topic->topic == CW_UP_SERVERS)
 		cw_follow_ask(&feed->server_list);
 	g_string_truncate(topic->body, 0);
-	topic->status = 0;
+	topic->http_status = 0;
 	cw_count("store_calls", "", 1);
 	topic->exchange = cw_client_send(feed->client, &request, &exchange_ops, topic);
 }
@@ -261,7 +261,7 @@
 {
 	struct topic *topic = context;
 
-	topic->status = answer->status;
+	topic->http_status = answer->status;
 }
 
 static void on_data(void *context, const char *data, size_t size)
@@ -322,8 +322,10 @@
 							    : topic->asked_from;
 
 	if (topic->phase == PHASE_SNAPSHOT)
-		return cw_up_newest_answer(topic->topic, topic->status, topic->body, page, error);
-	return cw_up_read_answer(topic->topic, topic->status, topic->body, asked_from, page, error);
+		return cw_up_newest_answer(topic->topic, topic->http_status, topic->body, page,
+					   error);
+	return cw_up_read_answer(topic->topic, topic->http_status, topic->body, asked_from, page,
+				 error);
 }
 
 static void on_failed(void *context, enum cw_flow_failure failure)
@@ -374,7 +376,10 @@
 		return;
 	}
 	cw_follow_answered(&topic->feed->server_list, topic->last_answer_ms);
-	/* Peers take a fresh server list as a sign that the operator's topic is read as well. */
+	/*
+	 * Peers take a fresh server list as a sign that the operator's topic is read too, so an
+	 * instance that takes over from the readers reads both.
+	 */
 	if (!topic_is_reader(topic))
 		call_now(&topic->feed->operator);
 	topic_schedule(topic, topic_is_reader(topic)
@@ -448,7 +453,7 @@
 		relay_open_pending(entry);
 }
 
-/* A drain without a record was restored by one that the store's history no longer has. */
+/* A drain without a record was taken back, by a record that the store's history has dropped. */
 static void restore_unseen_drains(struct topic *topic)
 {
 	struct cw_drains *drains = cw_pool_drains(cw_gate_pool(topic->feed->entry->gate));
@@ -508,9 +513,10 @@
 }
 
 /*
- * Only a reader retries by itself after a failure. For the other instances the store remained
- * unreachable: a configuration that could not be fetched from a peer, which was cut off, was not
- * requested from the store either, and came 2 s late.
+ * Repeats the topic's call at once, unless that was just done or a reader will do it by itself.
+ * Symptom this prevents: only readers retried a failed store soon. A configuration that could not
+ * be fetched from a peer, because the peer was cut off, was not requested from the store either,
+ * and came 2 s late.
  */
 static void recheck(struct topic *topic)
 {
