--- a/tests/lib_fatal.sh
+++ b/tests/lib_fatal.sh
@@ -1,8 +1,10 @@
-# What the runs on requests that end servers share: reads the engines' own lines ("fatal MS" when such a
-# request began to run, "ended MS" when the server ended under it). Source it after the other libraries.
+# Shared by the runs on poison requests. Reads the log lines of the stand-in engines: "fatal MS" when a poison
+# request began to run, "ended MS" when the server crashed under it; times in ms of uptime. Source this file after the
+# other libraries.
+# ends: the times of all crashes.
 ends() { cat "$DIR"/e[0-9]*.log | sed -n 's/^ended //p' | sort -n; }
 third_end() { ends | sed -n 3p; }
-# late_runs MS FROM: begun later than that after FROM, or after the third end.
+# late_runs MS [FROM]: how many poison requests began later than MS after FROM, or after the third crash.
 late_runs() {
 	local since=${2:-$(third_end)}
 	[ -n "$since" ] || { echo 0; return; }
--- a/tests/lib_users.sh
+++ b/tests/lib_users.sh
@@ -1,5 +1,5 @@
-# What the scripted runs on the users' platform share: a store, backend servers, entry instances, each
-# instance at a loopback address of its own, as on machines of their own. Source it after tests/lib.sh.
+# Shared by the scripted runs on the users' platform: the store, backend servers and entry instances. Each instance
+# has its own loopback address, as if it ran on its own machine. Source this file after tests/lib.sh.
 PORTS=$("$BUILD/tests/free-ports" 8)
 set -- $PORTS
 P_STORE=$1; P_FRONT=$2; P_READY=$3; P_CONTROL=$4; P_PEER=$5; P_METRICS=$6; P_R1=$7; P_R2=$8
@@ -16,7 +16,7 @@
 store_calls() { curl -s "http://$STORE/admin/calls"; }
 put() { store "put?topic=$1&key=$2" "$3"; }
 
-# runner NAME SERVICE VERSION ARGS...: starts a backend server and lists it.
+# runner NAME SERVICE VERSION ARGS...: starts a backend server and writes its entry to the server list.
 runner() {
 	local name=$1 service=$2 version=$3
 	shift 3
@@ -27,14 +27,15 @@
 	eval "ADDR_$name=$host:$P_R1"
 	list "$name" "$service" "$version" ready
 }
-list() { # NAME SERVICE VERSION STATE, in ZONE, cold for COLD_MS
+list() { # NAME SERVICE VERSION STATE: writes an entry, in failure domain ZONE, cold for COLD_MS
 	eval "local address=\$ADDR_$1"
 	put keyed.servers "$1" "{\"service\":\"$2\",\"address\":\"$address\",\"zone\":\"${ZONE:-z1}\",\"version\":\"$3\",\"slots\":64,\"state\":\"$4\",\"cold_left_ms\":${COLD_MS:-0},\"seq\":1}"
 }
 runner_mode() { eval "local address=\$ADDR_$1"; curl -s -o /dev/null -X POST "http://$address/admin/mode?m=$2"; }
 runs() { eval "local address=\$ADDR_$1"; curl -s "http://$address/admin/runs"; }
 
-# config VERSION KEY [EXTRA_ROUTE]: publishes routes /chat/ (streams), /order/ (once), /read/ (repeatable).
+# config VERSION KEY [EXTRA_ROUTE]: publishes the routes /chat/ (streaming), /order/ (non-idempotent) and /read/
+# (idempotent).
 config() {
 	put keyed.op config "{\"version\":$1,\"routes\":[
 		{\"name\":\"chat\",\"host\":\"h\",\"path_prefix\":\"/chat/\",\"route_kind\":\"streaming\",\"timeout_ms\":20000,\"target_latency_ms\":1500,\"priority\":0,\"sizes\":[\"small\",\"large\"],\"service\":\"llm\",\"max_attempts\":3,\"public\":false,\"sticky\":true,\"resumable\":true,\"target_gap_ms\":1000},
@@ -45,7 +46,7 @@
 		\"tenants\":[{\"name\":\"museo\",\"api_keys\":[\"$2\"],\"priority\":1}]}"
 }
 
-# entry NAME: an entry instance at an address of its own, in ZONE.
+# entry NAME: starts an entry instance at its own address, in failure domain ZONE. entry_again NAME: restarts it there.
 entry() {
 	local host=$NET.$NEXT_HOST
 	NEXT_HOST=$((NEXT_HOST + 1))
@@ -69,7 +70,7 @@
 metric() { eval "local host=\$HOST_$1"; curl -s "http://$host:$P_METRICS/metrics" | sed -n "s/^corianderwalk_$2 //p"; }
 knows() { grep -q "event=configured version=$2 " "$DIR/$1.log"; }
 
-# ask ENTRY METHOD PATH ID [CURL ARGS...]: prints the status, then the body.
+# ask ENTRY METHOD PATH ID [CURL ARGS...]: sends a request; prints the HTTP status, then the body.
 ask() {
 	local entry=$1 method=$2 path=$3 id=$4
 	shift 4
@@ -80,7 +81,7 @@
 	tail -n 1 "$answer"
 	sed '$d' "$answer"
 }
-stream() { # ENTRY EVENTS ID: prints the status and the events' ids
+stream() { # ENTRY EVENTS ID [CURL ARGS...]: prints the HTTP status and the ids of the events
 	local entry=$1 events=$2 id=$3
 	shift 3
 	ask "$entry" POST "/chat/$events" "$id" -H 'Accept: text/event-stream' -H 'Model: *' -H 'Token-Count: 100,50' \
--- a/tests/runs/users_stop.sh
+++ b/tests/runs/users_stop.sh
@@ -1,7 +1,6 @@
-# Symptom: at a planned stop requests were cut 7 s after SIGTERM.
-# Sequence: callers keep connections open past the last readiness call and ask on them again; the process
-# waits for its streams, takes more, and is killed.
-# Cause: kept connections outlived readiness. They are told to close, then closed while idle.
+# A graceful stop completes every request. Symptom this prevents: requests were aborted 7 s after SIGTERM. Callers sent
+# further requests on connections that stayed open after the last readiness call; the process accepted them while it
+# waited for its streams, and was killed. So answers announce that the connection closes, and idle ones are closed.
 . tests/lib.sh
 . tests/lib_users.sh
 store_start
@@ -12,8 +11,8 @@
 wait_for "ready" ready n1
 stream n1 25 s1 >"$DIR/stream" &
 STREAM=$!
-running() { [ -n "$(runs e1)" ]; }
-wait_for "the stream runs" running
+is_running() { [ -n "$(runs e1)" ]; }
+wait_for "the stream runs" is_running
 kill -TERM "$PID_n1"
 not_ready() { ! ready n1; }
 wait_for "not ready" not_ready
