--- a/apps/corianderwalk/entry.c
+++ b/apps/corianderwalk/entry.c
@@ -133,9 +133,10 @@
 
 	entry->gate = cw_gate_create(&options);
 	for (guint i = 0; i < settings->places->len; i++) {
-		const struct cw_up_place *place = g_ptr_array_index(settings->places, i);
+		const struct cw_up_place *domain_region = g_ptr_array_index(settings->places, i);
 
-		cw_pool_set_region(cw_gate_pool(entry->gate), place->failure_domain, place->region);
+		cw_pool_set_region(cw_gate_pool(entry->gate), domain_region->failure_domain,
+				   domain_region->region);
 	}
 }
 
--- a/apps/corianderwalk/entry_hear.c
+++ b/apps/corianderwalk/entry_hear.c
@@ -3,7 +3,7 @@
 
 #include <string.h>
 
-#define REMOTE_FETCH_DELAY_MS 250 /* of lag, before another failure domain's peers are asked */
+#define REMOTE_FETCH_DELAY_MS 250 /* of lag, before peers of other failure domains are asked */
 #define RECHECK_DELAY_MS      150 /* after a call began; until then its answer is awaited */
 
 static void merge_config(struct feed *feed, const struct cw_gossip *gossip, int64_t now_ms);
@@ -86,8 +86,8 @@
 }
 
 /*
- * A peer in the same failure domain sends state without traffic between domains. Other peers are
- * asked only when no peer of the domain has announced the state for REMOTE_FETCH_DELAY_MS.
+ * A peer in the same failure domain sends state without traffic between domains. Peers of other
+ * domains are asked only when the lag has lasted REMOTE_FETCH_DELAY_MS.
  */
 static int should_fetch_from(struct feed *feed, struct lag *lag, uint64_t next_offset,
 			     const struct cw_gossip *gossip, int64_t now_ms)
--- a/apps/corianderwalk/entry_quarantine.c
+++ b/apps/corianderwalk/entry_quarantine.c
@@ -43,13 +43,13 @@
 	struct cw_quarantine *quarantine = cw_gate_quarantine(entry->gate);
 	struct cw_quarantine_record records[CW_QUARANTINE_HELD];
 	struct cw_quarantine_change change;
-	int any = 0;
+	int has_changes = 0;
 
 	while (cw_quarantine_next_change(quarantine, &change)) {
-		any = 1;
+		has_changes = 1;
 		log_change(&change);
 	}
-	if (!any)
+	if (!has_changes)
 		return;
 	cw_gauge("quarantined", "",
 		 cw_quarantine_list(quarantine, now_ms, records, CW_QUARANTINE_HELD));
--- a/apps/corianderwalk/entry_reach.c
+++ b/apps/corianderwalk/entry_reach.c
@@ -1,4 +1,4 @@
-/* Probes backend servers that fell silent, and fails requests over if they are unreachable. */
+/* Probes silent backend servers, and moves requests away from servers that are unreachable. */
 #include "cw_counters.h"
 #include "cw_timeline.h"
 #include "entry.h"
--- a/apps/corianderwalk/entry_share.c
+++ b/apps/corianderwalk/entry_share.c
@@ -69,7 +69,7 @@
 static int is_listed(const struct cw_server *server);
 static void send_list(struct share *share, struct cw_caller *caller);
 static void encode_snapshot(struct share *share, int64_t now_ms);
-static void send_changes(struct share *share, struct cw_caller *caller, uint64_t from);
+static void send_changes(struct share *share, struct cw_caller *caller, uint64_t first_offset);
 static void decline(struct cw_caller *caller, unsigned int status);
 static void init_fetch(struct share *share, struct fetch *fetch, const char *path,
 		       struct topic *topic, void (*done)(struct fetch *fetch));
@@ -233,7 +233,7 @@
  * Hundreds of servers may change in a second, and a message between instances holds few changes. An
  * instance that missed some gets them here, without the cost of the whole list.
  */
-static void send_changes(struct share *share, struct cw_caller *caller, uint64_t from)
+static void send_changes(struct share *share, struct cw_caller *caller, uint64_t first_offset)
 {
 	const struct feed *feed = share->feed;
 	int64_t now_ms = entry_now_ms(feed->entry);
@@ -246,7 +246,7 @@
 	char *bytes;
 
 	changes.changes = g_new(struct cw_change, CW_TAIL_CHANGES);
-	changes.count = cw_tail_since(feed->tail, from, changes.changes, CW_TAIL_CHANGES);
+	changes.count = cw_tail_since(feed->tail, first_offset, changes.changes, CW_TAIL_CHANGES);
 	if (changes.count == 0) {
 		g_free(changes.changes);
 		decline(caller, HTTP_STATUS_NOT_FOUND);
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -515,8 +515,8 @@
 /*
  * Repeats the topic's call at once, unless that was just done or a reader will do it by itself.
  * Symptom this prevents: only readers retried a failed store soon. A configuration that could not
- * be fetched from a peer, because the peer was cut off, was not requested from the store either,
- * and came 2 s late.
+ * be fetched from a peer, because the peer was unreachable, was not requested from the store
+ * either, and came 2 s late.
  */
 static void recheck(struct topic *topic)
 {
--- a/tests/runs/users_drain.sh
+++ b/tests/runs/users_drain.sh
@@ -41,9 +41,9 @@
 echo "-- z2 is drained too: requests are rejected at once, not run"
 put keyed.op evacuate/z2 "{}"
 wait_for "z2 drained everywhere" is_logged domain_drained z2 1
-BEGAN=$(date +%s%3N)
+BEGAN_MS=$(date +%s%3N)
 check_use
-[ $(($(date +%s%3N) - BEGAN)) -lt 4000 ] && echo "at once"
+[ $(($(date +%s%3N) - BEGAN_MS)) -lt 4000 ] && echo "at once"
 echo "-- z1 is restored, drained and restored"
 put keyed.op evacuate/z1 ""
 put keyed.op evacuate/z1 "{}"
--- a/tests/runs/users_entries.sh
+++ b/tests/runs/users_entries.sh
@@ -18,14 +18,14 @@
 wait_for "e1 listed" grep -q 'event=server server=e1 born_ms=1000' "$DIR/n1.log"
 echo "-- a process stops answering and its server restarts: the stream resumes on another server at once"
 stream n1 100 s1 >"$DIR/s1" &
-asked=$!
+stream_pid=$!
 wait_for "events" eval 'grep -q "^s1 " <<<"$(runs e1)"'
 kill -STOP "$PID_e1"
 runner e2 llm v1 --confidence 90 --gap 5
 wait_for "e2 listed" grep -q 'event=server server=e2 ' "$DIR/n1.log"
 list_born e1 ready 2000
 wait_for "restarted" grep -q 'event=server server=e1 born_ms=2000 listing=restarted' "$DIR/n1.log"
-wait $asked
+wait $stream_pid
 grep -o '^200' "$DIR/s1"
 grep -o 'id: *[0-9]*' "$DIR/s1" | sort -u | wc -l
 grep -o 'event=attempt_failed request=s1 server=e1 how=[a-z]*' "$DIR/n1.log"
--- a/tests/runs/users_store.sh
+++ b/tests/runs/users_store.sh
@@ -41,7 +41,7 @@
 wait_for "a1 not used" eval "is_unserved n1 && is_unserved n2"
 echo "used by neither"
 echo "-- the only reader's long poll misses a change: it still takes effect within 2 s, five times"
-# Symptom this prevents: removed keys still worked 2.1 s later. One reader was cut off and the other's long poll missed
+# Symptom this prevents: removed keys still worked 2.1 s later. One reader was unreachable and the other's long poll missed
 # the record, which then showed only at the end of that poll, after 2.3 to 3 s.
 kill "$PID_n2"
 wait_for "n2 stopped" eval '! kill -0 "$PID_n2"'
@@ -49,8 +49,8 @@
 for version in 4 5 6 7 8; do
 	store "miss?topic=keyed.op"
 	config $version k3
-	asked=$(now_ms)
+	published_ms=$(now_ms)
 	wait_for "the configuration is in force" knows n1 $version
-	took=$(($(now_ms) - asked))
-	[ $took -le 2000 ] && echo "in time" || echo "late: $took ms"
+	took_ms=$(($(now_ms) - published_ms))
+	[ $took_ms -le 2000 ] && echo "in time" || echo "late: $took_ms ms"
 done
