--- a/apps/corianderwalk/entry_feed.h
+++ b/apps/corianderwalk/entry_feed.h
@@ -37,7 +37,7 @@
 	int is_down;		       /* the newest call failed */
 	int64_t last_warning_ms;       /* of the last log line on unreadable records */
 	unsigned int unreadable_count; /* unreadable records since that line */
-	int is_rechecking; /* calls return at once: another topic failed, or a peer knows more */
+	int is_rechecking; /* calls return at once until one succeeds: records may be missing */
 };
 
 /* One record that is being appended to the shared store. */
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -513,18 +513,19 @@
 }
 
 /*
- * Repeats the topic's call at once, unless that was just done or a reader will do it by itself.
- * Symptom this prevents: only readers retried a failed store soon. A configuration that could not
- * be fetched from a peer, because the peer was unreachable, was not requested from the store
- * either, and came 2 s late.
+ * Repeats the topic's call at once, unless such a call is pending, was just made, or follows
+ * anyway: only a reader retries by itself after a failure. Symptom this prevents: the other
+ * instances never called a store again that had failed. A configuration that could not be fetched
+ * from a peer, because the peer was unreachable, was not requested from the store either, and came
+ * 2 s late.
  */
 static void recheck(struct topic *topic)
 {
 	int64_t since_ms = entry_now_ms(topic->feed->entry) - topic->call_began_ms;
-	int is_asked = topic->is_rechecking && topic->exchange;
-	int is_retried = topic->is_down && topic_is_reader(topic);
+	int is_pending = topic->is_rechecking && topic->exchange;
+	int retries_itself = topic->is_down && topic_is_reader(topic);
 
-	if (topic->phase == PHASE_SNAPSHOT || is_asked || is_retried ||
+	if (topic->phase == PHASE_SNAPSHOT || is_pending || retries_itself ||
 	    (topic->is_down && since_ms < RECHECK_INTERVAL_MS))
 		return;
 	call_now(topic);
