--- a/apps/corianderwalk/entry.c
+++ b/apps/corianderwalk/entry.c
@@ -132,8 +132,9 @@
 	};
 
 	entry->gate = cw_gate_create(&options);
-	for (guint i = 0; i < settings->places->len; i++) {
-		const struct cw_up_place *domain_region = g_ptr_array_index(settings->places, i);
+	for (guint i = 0; i < settings->domain_regions->len; i++) {
+		const struct cw_up_domain_region *domain_region =
+			g_ptr_array_index(settings->domain_regions, i);
 
 		cw_pool_set_region(cw_gate_pool(entry->gate), domain_region->failure_domain,
 				   domain_region->region);
--- a/apps/corianderwalk/entry_append.c
+++ b/apps/corianderwalk/entry_append.c
@@ -45,7 +45,7 @@
 {
 	struct append *append = context;
 	struct cw_error error = {0};
-	enum cw_status status = cw_up_append_answer(append->http_status, &error);
+	enum cw_status status = cw_up_parse_append(append->http_status, &error);
 
 	append->exchange = NULL;
 	append->done(append->context, status, error.message);
--- a/apps/corianderwalk/entry_feed.c
+++ b/apps/corianderwalk/entry_feed.c
@@ -23,10 +23,10 @@
 	feed->client = cw_client_create(&entry->loop);
 	feed->tail = cw_tail_create();
 	verdict_open(&feed->verdict, feed);
-	topic_open(feed, &feed->operator, CW_UP_OPERATOR, "operator");
-	topic_open(feed, &feed->servers, CW_UP_SERVERS, "servers");
-	topic_open(feed, &feed->status, CW_UP_STATUS, "status");
-	topic_open(feed, &feed->quarantine, CW_UP_QUARANTINE, "quarantine");
+	topic_open(feed, &feed->operator, CW_UP_TOPIC_OPERATOR, "operator");
+	topic_open(feed, &feed->servers, CW_UP_TOPIC_SERVERS, "servers");
+	topic_open(feed, &feed->status, CW_UP_TOPIC_STATUS, "status");
+	topic_open(feed, &feed->quarantine, CW_UP_TOPIC_QUARANTINE, "quarantine");
 	quarantine_sync_open(&feed->quarantine_sync, feed);
 	schedule_first_reads(feed);
 	return feed;
@@ -44,14 +44,14 @@
 	cw_random_bytes(&start.random, sizeof(start.random));
 	cw_readers_start(&start, &first);
 	feed->started_ms = entry_now_ms(feed->entry);
-	feed->operator.has_rested = feed->servers.has_rested = first.is_early;
+	feed->operator.is_jitter_done = feed->servers.is_jitter_done = first.is_early;
 	topic_schedule(&feed->operator, first.wait_ms);
 	topic_schedule(&feed->servers, first.wait_ms);
 	/*
 	 * Peers announce quarantined requests; only when all instances start at once must the store
 	 * be read for them.
 	 */
-	topic_schedule(&feed->quarantine, CW_READERS_KNOWN_MS);
+	topic_schedule(&feed->quarantine, CW_READERS_DISCOVERY_MS);
 }
 
 void feed_destroy(struct feed *feed)
--- a/apps/corianderwalk/entry_feed.h
+++ b/apps/corianderwalk/entry_feed.h
@@ -21,7 +21,7 @@
 	const char *name;
 	enum feed_phase phase;
 	uint64_t next_offset; /* of the next record; for the servers see feed->server_list.from */
-	uint64_t asked_from;  /* of the pending call; records from peers may move next_offset on */
+	uint64_t read_from;   /* of the pending call; records from peers may move next_offset on */
 	char after_key[CW_UP_KEY_MAX]; /* last key of the snapshot's pages so far; empty: none */
 	int64_t snapshot_began_ms; /* servers that the snapshot has not listed since are removed */
 	struct cw_exchange *exchange; /* the pending call, NULL: none */
@@ -33,7 +33,7 @@
 	int64_t recovered_ms;	       /* when the store last answered again after failures */
 	unsigned int failures;	       /* in a row */
 	int is_complete;	       /* the state was read once, from the store or a peer */
-	int has_rested;		       /* the one random wait for state from peers was used */
+	int is_jitter_done;	       /* the one random wait for state from peers was used */
 	int is_down;		       /* the newest call failed */
 	int64_t last_warning_ms;       /* of the last log line on unreadable records */
 	unsigned int unreadable_count; /* unreadable records since that line */
@@ -108,7 +108,7 @@
 /* entry_hear.c: feed_fill_announcement and feed_merge_announcement of entry.h */
 
 /* entry_news.c: applies records */
-void record_apply(struct topic *topic, struct cw_up_news *record);
+void record_apply(struct topic *topic, struct cw_up_record *record);
 void record_apply_change(void *feed, const struct cw_change *change); /* to the server list */
 void record_apply_next(void *feed, const struct cw_change *change);   /* and keeps it for peers */
 
--- a/apps/corianderwalk/entry_hear.c
+++ b/apps/corianderwalk/entry_hear.c
@@ -25,8 +25,9 @@
 	gossip->servers_offset = feed->server_list.from;
 	/* The age counts from the last answer: the pending call may never be answered. */
 	gossip->servers_age_ms = (uint32_t)(now_ms - feed->server_list.fresh_ms);
-	gossip->servers_proof = feed->server_list.proof;
-	gossip->change_count = cw_follow_tell(&feed->server_list, now_ms, gossip->changes);
+	gossip->servers_evidence = feed->server_list.evidence;
+	gossip->change_count =
+		cw_follow_collect_changes(&feed->server_list, now_ms, gossip->changes);
 }
 
 /*
@@ -75,8 +76,8 @@
 			share_fetch_list(feed->share, gossip->sender.address);
 		return;
 	}
-	if (cw_follow_hear(&feed->server_list, gossip->changes, gossip->change_count, &word, now_ms,
-			   record_apply_next, feed))
+	if (cw_follow_merge_changes(&feed->server_list, gossip->changes, gossip->change_count,
+				    &peer_report, now_ms, record_apply_next, feed))
 		return;
 	if (topic_is_reader(servers))
 		recheck_if_behind(servers, gossip->servers_offset);
--- a/apps/corianderwalk/entry_news.c
+++ b/apps/corianderwalk/entry_news.c
@@ -6,46 +6,46 @@
 
 #include <string.h>
 
-static void apply_config(struct feed *feed, const struct cw_up_news *record);
+static void apply_config(struct feed *feed, const struct cw_up_record *record);
 static void apply_server(struct feed *feed, const struct cw_server_entry *entry, int64_t now_ms);
 static void reread_orders(struct feed *feed, const struct cw_server_entry *entry, int64_t now_ms);
 static void remove_server(struct feed *feed, const char *name, int64_t now_ms);
 
-void record_apply(struct topic *topic, struct cw_up_news *record)
+void record_apply(struct topic *topic, struct cw_up_record *record)
 {
 	struct feed *feed = topic->feed;
 	struct cw_rollouts *rollouts = cw_gate_rollouts(feed->entry->gate);
 	int64_t now_ms = entry_now_ms(feed->entry);
 
 	switch (record->kind) {
-	case CW_UP_CONFIG:
+	case CW_UP_RECORD_CONFIG:
 		apply_config(feed, record);
 		break;
-	case CW_UP_ROLLOUT_ORDER:
+	case CW_UP_RECORD_ROLLOUT_ORDER:
 		if (cw_rollouts_apply_order(rollouts, &record->order, record->offset, now_ms))
 			cw_event("feed", "rollout_ordered",
 				 "service=%s target=%s duration_ms=%ld offset=%lu",
 				 record->order.service, record->order.target,
 				 (long)record->order.duration_ms, (unsigned long)record->offset);
 		break;
-	case CW_UP_ROLLOUT_STATUS:
+	case CW_UP_RECORD_ROLLOUT_STATUS:
 		if (cw_rollouts_apply_status(rollouts, &record->status))
 			cw_event("feed", "rollout_status", "service=%s target=%s state=%d",
 				 record->status.service, record->status.target,
 				 record->status.state);
 		break;
-	case CW_UP_DRAIN:
+	case CW_UP_RECORD_DRAIN_ORDER:
 		feed_apply_drain(feed, &record->drain, "store");
 		break;
-	case CW_UP_SERVER:
+	case CW_UP_RECORD_SERVER:
 		apply_server(feed, &record->server, now_ms);
 		break;
-	case CW_UP_SERVER_GONE:
+	case CW_UP_RECORD_SERVER_REMOVED:
 		remove_server(feed, record->server.name, now_ms);
 		break;
-	case CW_UP_HELD:
-		cw_quarantine_hear_record(cw_gate_quarantine(feed->entry->gate), &record->held,
-					  CW_QUARANTINE_STORE, now_ms);
+	case CW_UP_RECORD_QUARANTINE:
+		cw_quarantine_merge_record(cw_gate_quarantine(feed->entry->gate),
+					   &record->quarantine, CW_QUARANTINE_STORE, now_ms);
 		break;
 	case CW_UP_RECORD_OTHER:
 		break;
@@ -57,7 +57,7 @@
 	struct feed *feed = context;
 	int64_t now_ms = entry_now_ms(feed->entry);
 
-	if (change->is_gone)
+	if (change->is_removed)
 		remove_server(feed, change->entry.name, now_ms);
 	else
 		apply_server(feed, &change->entry, now_ms);
@@ -85,7 +85,7 @@
 	peers_announce(entry->peers);
 }
 
-static void apply_config(struct feed *feed, const struct cw_up_news *record)
+static void apply_config(struct feed *feed, const struct cw_up_record *record)
 {
 	struct entry *entry = feed->entry;
 
@@ -107,7 +107,7 @@
 static void apply_server(struct feed *feed, const struct cw_server_entry *entry, int64_t now_ms)
 {
 	static const char *const listing_names[] = {
-		[CW_LISTING_FULL] = "not_kept", [CW_LISTING_LATE] = "late",
+		[CW_LISTING_FULL] = "not_kept", [CW_LISTING_STALE] = "late",
 		[CW_LISTING_SAME] = "same",	[CW_LISTING_CHANGED] = "changed",
 		[CW_LISTING_NEW] = "new",	[CW_LISTING_RESTARTED] = "restarted",
 	};
@@ -124,9 +124,9 @@
 		cw_event("feed", "server",
 			 "server=%s born_ms=%ld listing=%s service=%s address=%s domain=%s "
 			 "software=%s leaving=%d cold_ms=%ld",
-			 entry->name, (long)entry->born_ms, listing_names[listing], entry->service,
-			 entry->address, entry->failure_domain, entry->software, entry->leaving,
-			 (long)entry->cold_ms);
+			 entry->name, (long)entry->process_start_ms, listing_names[listing],
+			 entry->service, entry->address, entry->failure_domain, entry->software,
+			 entry->leaving, (long)entry->cold_ms);
 }
 
 /*
@@ -138,7 +138,7 @@
 {
 	const struct cw_gate *gate = feed->entry->gate;
 	const char *new_software =
-		cw_pool_newcomer(cw_gate_pool((struct cw_gate *)gate), entry->service, now_ms);
+		cw_pool_new_software(cw_gate_pool((struct cw_gate *)gate), entry->service, now_ms);
 	const char *target =
 		cw_rollouts_target(cw_gate_rollouts((struct cw_gate *)gate), entry->service);
 
--- a/apps/corianderwalk/entry_peers.c
+++ b/apps/corianderwalk/entry_peers.c
@@ -78,8 +78,8 @@
 	peers->introductions_left = INTRODUCTIONS_PER_ROUND;
 	peers->membership =
 		cw_membership_create(settings->instance, settings->failure_domain, PEER_TIMEOUT_MS);
-	cw_membership_settle(peers->membership, peers->started_ms, DISCOVERY_MS,
-			     settings->is_only_instance);
+	cw_membership_start_settling(peers->membership, peers->started_ms, DISCOVERY_MS,
+				     settings->is_only_instance);
 	peers->loads = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
 	peers->loaded_servers = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	cw_random_bytes(&peers->boot_id, sizeof(peers->boot_id));
@@ -98,7 +98,7 @@
 		return NULL;
 	}
 	uv_timer_start(&peers->timer, on_timer, FIRST_ROUND_MS, GOSSIP_INTERVAL_MS);
-	cw_pool_set_places(cw_gate_pool(entry->gate), find_warmup_place, peers);
+	cw_pool_set_place_lookup(cw_gate_pool(entry->gate), find_warmup_place, peers);
 	return peers;
 }
 
@@ -120,7 +120,7 @@
 	if (peers_count(peers) == 0 && !peers->entry->settings.is_only_instance &&
 	    now_ms - peers->started_ms < ISOLATED_MS)
 		return 0;
-	return cw_membership_is_calm(peers->membership, now_ms, STABLE_MS);
+	return cw_membership_is_stable(peers->membership, now_ms, STABLE_MS);
 }
 
 size_t peers_rank(const struct peers *peers, uint64_t key, int64_t now_ms)
@@ -143,7 +143,7 @@
 	 * which sessions the old version serves.
 	 */
 	if (cw_rollouts_is_starting(rollouts, entry_now_ms(peers->entry))) {
-		cw_gossip_cut(gossip);
+		cw_gossip_trim(gossip);
 		encode_message(&trimmed, gossip);
 	}
 	g_free(gossip);
@@ -173,7 +173,7 @@
 			   random);
 	for (size_t i = 0; i < audience.count; i++)
 		send_to(peers, audience.members[i]->address,
-			i < audience.whole_count ? full : trimmed);
+			i < audience.full_count ? full : trimmed);
 	cw_audience_clear(&audience);
 }
 
@@ -181,7 +181,8 @@
 {
 	struct peers *peers = timer->data;
 
-	cw_membership_forget(peers->membership, entry_now_ms(peers->entry), MEMBER_RETENTION_MS);
+	cw_membership_remove_stale(peers->membership, entry_now_ms(peers->entry),
+				   MEMBER_RETENTION_MS);
 	sum_loads(peers);
 	cw_gate_set_instances(peers->entry->gate, count_budget_sharers(peers));
 	peers->replies_left = REPLIES_PER_ROUND;
--- a/apps/corianderwalk/entry_quarantine.c
+++ b/apps/corianderwalk/entry_quarantine.c
@@ -52,7 +52,7 @@
 	if (!has_changes)
 		return;
 	cw_gauge("quarantined", "",
-		 cw_quarantine_list(quarantine, now_ms, records, CW_QUARANTINE_HELD));
+		 cw_quarantine_list(quarantine, now_ms, records, CW_QUARANTINE_MAX));
 	relay_abort_quarantined(entry);
 	peers_announce(entry->peers);
 }
@@ -87,7 +87,7 @@
 	if (record.age_ms < WRITE_STEP_MS * rank)
 		return;
 	bytes = g_string_sized_new(256);
-	cw_up_held_call(&record, entry->settings.store, bytes);
+	cw_up_format_quarantine_append(&record, entry->settings.store, bytes);
 	sync->fingerprint = record.fingerprint;
 	sync->is_released = record.is_released;
 	append_begin(&sync->append, sync->feed, bytes);
@@ -106,7 +106,7 @@
 	}
 	cw_event("feed", "quarantine_written", "fingerprint=%016lx released=%d",
 		 (unsigned long)sync->fingerprint, sync->is_released);
-	cw_quarantine_written(cw_gate_quarantine(entry->gate), sync->fingerprint, sync->is_released,
-			      entry_now_ms(entry));
+	cw_quarantine_mark_written(cw_gate_quarantine(entry->gate), sync->fingerprint,
+				   sync->is_released, entry_now_ms(entry));
 	peers_announce(entry->peers);
 }
--- a/apps/corianderwalk/entry_reach.c
+++ b/apps/corianderwalk/entry_reach.c
@@ -49,9 +49,9 @@
 	int64_t now_ms = entry_now_ms(entry);
 	struct probe *probe;
 
-	if (server->end_tried_ms && now_ms - server->end_tried_ms < CRASH_PROBE_INTERVAL_MS)
+	if (server->crash_probed_ms && now_ms - server->crash_probed_ms < CRASH_PROBE_INTERVAL_MS)
 		return;
-	server->end_tried_ms = now_ms;
+	server->crash_probed_ms = now_ms;
 	probe = g_new0(struct probe, 1);
 	probe->entry = entry;
 	probe->server_id = server->id;
@@ -85,16 +85,16 @@
 		if (server->is_unreachable)
 			cw_event("gate", "server_reachable", "server=%s address=%s", server->name,
 				 address);
-		cw_pool_reached(server, now_ms);
-	} else if (server && server->heard_ms < probe->probed_ms &&
+		cw_pool_mark_reachable(server, now_ms);
+	} else if (server && server->last_seen_ms < probe->probed_ms &&
 		   probe->attempt < PROBE_ATTEMPTS) {
 		start_probe(entry, server, probe->attempt + 1);
-	} else if (server && server->heard_ms < probe->probed_ms && !server->is_unreachable) {
+	} else if (server && server->last_seen_ms < probe->probed_ms && !server->is_unreachable) {
 		cw_warn("gate", "server_unreachable",
 			"server=%s address=%s domain=%s running=%u heard_ms_ago=%ld", server->name,
 			address, server->failure_domain, server->own_running,
-			(long)(now_ms - server->heard_ms));
-		cw_pool_unheard(server);
+			(long)(now_ms - server->last_seen_ms));
+		cw_pool_mark_unreachable(server);
 		probe_suspects(entry, server, now_ms);
 		relay_fail_unreachable(entry, server);
 	}
@@ -106,17 +106,17 @@
 	struct probe *probe = context;
 
 	if (!is_reachable)
-		cw_quarantine_gone(cw_gate_quarantine(probe->entry->gate), probe->server_id,
-				   entry_now_ms(probe->entry));
+		cw_quarantine_note_unreachable(cw_gate_quarantine(probe->entry->gate),
+					       probe->server_id, entry_now_ms(probe->entry));
 	g_free(probe);
 }
 
 static void probe_suspects(struct entry *entry, const struct cw_server *unreachable, int64_t now_ms)
 {
 	struct cw_server *suspects[SUSPECTS_MAX];
-	size_t count =
-		cw_pool_doubt(cw_gate_pool(entry->gate), unreachable,
-			      entry->settings.failure_domain, suspects, SUSPECTS_MAX, now_ms);
+	size_t count = cw_pool_mark_suspects(cw_gate_pool(entry->gate), unreachable,
+					     entry->settings.failure_domain, suspects, SUSPECTS_MAX,
+					     now_ms);
 
 	for (size_t i = 0; i < count; i++)
 		start_probe(entry, suspects[i], 1);
--- a/apps/corianderwalk/entry_relay.c
+++ b/apps/corianderwalk/entry_relay.c
@@ -66,7 +66,7 @@
 
 	entry->last_request_ms = entry_now_ms(entry);
 	cw_count("requests", "", 1);
-	if (cw_up_request_read(request, &info, &error) != CW_OK) {
+	if (cw_up_parse_request(request, &info, &error) != CW_OK) {
 		reject_bad_request(caller, &error);
 		return;
 	}
@@ -154,7 +154,7 @@
 	const struct cw_server *server;
 
 	TAILQ_FOREACH(server, cw_pool_servers(cw_gate_pool(entry->gate)), link)
-		if (server->has_ended)
+		if (server->is_superseded)
 			cw_client_forget(entry->server_client, server->address);
 	while (relay) {
 		struct relay *next = TAILQ_NEXT(relay, link);
@@ -250,7 +250,7 @@
 		.reuse_idle_ms = step->reuse_idle_ms,
 		.connect_ms = step->connect_ms,
 		.silence_ms = step->silence_ms,
-		.echo_name = cw_up_echo_name(),
+		.echo_name = cw_up_echoed_field_name(),
 		.echo_value = relay->request_info.id,
 	};
 
@@ -289,7 +289,7 @@
 	int64_t now_ms = entry_now_ms(relay->entry);
 
 	record_data_received(relay);
-	cw_up_answer_read(answer, &head);
+	cw_up_parse_answer_head(answer, &head);
 	cw_call_handle_head(relay->call, &head, now_ms, &step);
 	log_head(relay, &head, &step, predicted_ms, now_ms - relay->sent_ms);
 	if (step.kind == CW_STEP_FORWARD && !relay->is_head_sent) {
@@ -298,7 +298,7 @@
 		if (relay->is_stream && !relay->event_parser)
 			relay->event_parser = cw_events_create();
 		g_string_truncate(relay->response_fields, 0);
-		cw_up_answer_write(answer, relay->request_info.id, relay->response_fields);
+		cw_up_format_answer_fields(answer, relay->request_info.id, relay->response_fields);
 	}
 	apply_step(relay, &step);
 }
@@ -475,7 +475,7 @@
 	GString *fields = g_string_sized_new(64);
 
 	cancel_exchange(relay);
-	cw_up_refusal_write(relay->request_info.id, step->retry_after_ms, fields);
+	cw_up_format_rejection_fields(relay->request_info.id, step->retry_after_ms, fields);
 	relay->http_status = step->status;
 	cw_event("gate", "refused",
 		 "request=%s status=%u run=%s retry_after_ms=%ld config=%lu reason=\"%s\"",
--- a/apps/corianderwalk/entry_share.c
+++ b/apps/corianderwalk/entry_share.c
@@ -179,7 +179,7 @@
 	cw_caller_head(caller, HTTP_STATUS_OK, fields, (int64_t)feed->config_compressed_bytes);
 	cw_caller_data(caller, feed->config_compressed, feed->config_compressed_bytes);
 	cw_caller_end(caller);
-	cw_uplink_sent(&share->uplink, feed->config_compressed_bytes, now_ms);
+	cw_uplink_add_transfer(&share->uplink, feed->config_compressed_bytes, now_ms);
 }
 
 static void send_list(struct share *share, struct cw_caller *caller)
@@ -202,7 +202,7 @@
 	cw_caller_data(caller, snapshot->bytes, snapshot->size);
 	cw_caller_end(caller);
 	cw_count("peer_lists_sent", "", 1);
-	cw_uplink_sent(&share->uplink, snapshot->size, now_ms);
+	cw_uplink_add_transfer(&share->uplink, snapshot->size, now_ms);
 }
 
 static void encode_snapshot(struct share *share, int64_t now_ms)
@@ -221,7 +221,7 @@
 	list.count = 0;
 	TAILQ_FOREACH(server, servers, link)
 		if (is_listed(server))
-			cw_pool_entry(server, &list.entries[list.count++], now_ms);
+			cw_pool_get_entry(server, &list.entries[list.count++], now_ms);
 	g_free(share->snapshot.bytes);
 	share->snapshot.bytes = cw_gossip_list_encode(&list, &share->snapshot.size);
 	share->snapshot.next_offset = list.from;
@@ -237,10 +237,10 @@
 {
 	const struct feed *feed = share->feed;
 	int64_t now_ms = entry_now_ms(feed->entry);
-	struct cw_gossip_changes changes = {.word = {
+	struct cw_gossip_changes changes = {.peer_report = {
 						    .from = feed->server_list.from,
 						    .age_ms = now_ms - feed->server_list.fresh_ms,
-						    .proof = feed->server_list.proof,
+						    .evidence = feed->server_list.evidence,
 					    }};
 	size_t size;
 	char *bytes;
@@ -365,12 +365,12 @@
 static void finish_config_fetch(struct fetch *fetch)
 {
 	struct feed *feed = fetch->share->feed;
-	struct cw_up_news record = {.kind = CW_UP_CONFIG, .offset = fetch->offset};
+	struct cw_up_record record = {.kind = CW_UP_RECORD_CONFIG, .offset = fetch->offset};
 
 	record.text =
 		cw_unpack(fetch->body->str, fetch->body->len, CONFIG_BYTES_MAX, &record.text_size);
 	if (record.text)
-		record.config = cw_up_config_decode(record.text, record.text_size, &record.error);
+		record.config = cw_up_parse_config(record.text, record.text_size, &record.error);
 	if (!record.config) {
 		cw_warn("share", "not_understood", "what=config message=\"%s\"",
 			record.text ? record.error.message : "cannot be decompressed");
@@ -411,8 +411,9 @@
 		return;
 	}
 	if (feed->servers.is_complete && feed->servers.phase == PHASE_FOLLOW)
-		cw_follow_hear(&feed->server_list, changes.changes, changes.count, &changes.word,
-			       entry_now_ms(feed->entry), record_apply_next, feed);
+		cw_follow_merge_changes(&feed->server_list, changes.changes, changes.count,
+					&changes.peer_report, entry_now_ms(feed->entry),
+					record_apply_next, feed);
 	g_free(changes.changes);
 }
 
@@ -425,12 +426,12 @@
 
 		record_apply_change(feed, &change);
 	}
-	cw_pool_keep_listed(cw_gate_pool(feed->entry->gate), now_ms,
-			    feed_expiry_grace_until_ms(feed), now_ms);
+	cw_pool_delist_unlisted(cw_gate_pool(feed->entry->gate), now_ms,
+				feed_expiry_grace_until_ms(feed), now_ms);
 	cw_event("share", "list_taken", "from=%lu before=%lu servers=%zu age_ms=%u",
 		 (unsigned long)list->from, (unsigned long)feed->server_list.from, list->count,
 		 list->age_ms);
-	cw_follow_start(&feed->server_list, list->from);
+	cw_follow_reset(&feed->server_list, list->from);
 	feed->server_list.fresh_ms = MAX(feed->server_list.fresh_ms, now_ms - list->age_ms);
 	topic_mark_synced(&feed->servers);
 }
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -40,8 +40,8 @@
 static void apply_snapshot_page(struct topic *topic, struct cw_up_page *page);
 static void read_next_page(struct topic *topic, const char *after);
 static void apply_followed_page(struct topic *topic, struct cw_up_page *page);
-static void apply_record(struct topic *topic, struct cw_up_news *record);
-static void report_unreadable(struct topic *topic, const struct cw_up_news *record);
+static void apply_record(struct topic *topic, struct cw_up_record *record);
+static void report_unreadable(struct topic *topic, const struct cw_up_record *record);
 static void finish_snapshot(struct topic *topic);
 static void restore_unseen_drains(struct topic *topic);
 static void handle_failure(struct topic *topic, const char *why);
@@ -69,7 +69,7 @@
 	topic->is_complete = 1;
 	if (topic->phase == PHASE_SNAPSHOT) {
 		cancel_call(topic);
-		topic_schedule(topic, CW_READERS_KNOWN_MS);
+		topic_schedule(topic, CW_READERS_DISCOVERY_MS);
 	}
 	topic->phase = PHASE_FOLLOW;
 	*topic->after_key = '\0';
@@ -120,7 +120,7 @@
 	if (topic->phase == PHASE_SNAPSHOT) {
 		if (!*topic->after_key)
 			begin_snapshot(topic);
-		cw_up_newest_call(topic->topic, topic->after_key, store, bytes);
+		cw_up_format_log_newest(topic->topic, topic->after_key, store, bytes);
 	} else {
 		int64_t wait_ms = poll_wait_ms(topic);
 
@@ -128,9 +128,9 @@
 				      bytes);
 		request.silence_ms += wait_ms;
 	}
-	topic->asked_from = topic->next_offset;
-	if (topic->topic == CW_UP_SERVERS)
-		cw_follow_ask(&feed->server_list);
+	topic->read_from = topic->next_offset;
+	if (topic->topic == CW_UP_TOPIC_SERVERS)
+		cw_follow_begin_read(&feed->server_list);
 	g_string_truncate(topic->body, 0);
 	topic->http_status = 0;
 	cw_count("store_calls", "", 1);
@@ -140,8 +140,8 @@
 static void begin_snapshot(struct topic *topic)
 {
 	topic->snapshot_began_ms = topic->call_began_ms;
-	if (topic->topic == CW_UP_OPERATOR)
-		cw_drains_collect(cw_pool_drains(cw_gate_pool(topic->feed->entry->gate)));
+	if (topic->topic == CW_UP_TOPIC_OPERATOR)
+		cw_drains_begin_scan(cw_pool_drains(cw_gate_pool(topic->feed->entry->gate)));
 }
 
 void topic_schedule(struct topic *topic, int64_t wait_ms)
@@ -151,7 +151,8 @@
 
 uint64_t topic_next_offset(const struct topic *topic)
 {
-	return topic->topic == CW_UP_SERVERS ? topic->feed->server_list.from : topic->next_offset;
+	return topic->topic == CW_UP_TOPIC_SERVERS ? topic->feed->server_list.from
+						   : topic->next_offset;
 }
 
 /*
@@ -162,14 +163,14 @@
  */
 int topic_is_reader(const struct topic *topic)
 {
-	return is_rank_known(topic->feed) && cw_readers_is_first(reader_rank(topic));
+	return is_rank_known(topic->feed) && cw_readers_is_reader(reader_rank(topic));
 }
 
 static int is_rank_known(const struct feed *feed)
 {
 	int64_t now_ms = entry_now_ms(feed->entry);
 
-	return now_ms - feed->started_ms >= CW_READERS_KNOWN_MS &&
+	return now_ms - feed->started_ms >= CW_READERS_DISCOVERY_MS &&
 	       peers_is_stable(feed->entry->peers, now_ms);
 }
 
@@ -193,7 +194,7 @@
 		return topic_is_reader(topic) ? SERVERS_WAIT_MS : 0;
 	if (!topic_is_reader(topic))
 		return 0;
-	if (topic->topic == CW_UP_QUARANTINE)
+	if (topic->topic == CW_UP_TOPIC_QUARANTINE)
 		return QUARANTINE_WAIT_MS;
 	return POLL_WAIT_MS - (int64_t)reader_rank(topic) * POLL_STAGGER_MS;
 }
@@ -203,12 +204,13 @@
 	struct topic *topic = timer->data;
 	struct feed *feed = topic->feed;
 
-	if (topic->phase == PHASE_SNAPSHOT && topic->topic != CW_UP_QUARANTINE)
+	if (topic->phase == PHASE_SNAPSHOT && topic->topic != CW_UP_TOPIC_QUARANTINE)
 		read_snapshot(topic);
 	else if (topic_is_reader(topic))
 		send_call(topic);
-	else if (topic->topic == CW_UP_SERVERS && is_rank_known(feed) &&
-		 cw_follow_reads(&feed->server_list, reader_rank(topic), entry_now_ms(feed->entry)))
+	else if (topic->topic == CW_UP_TOPIC_SERVERS && is_rank_known(feed) &&
+		 cw_follow_is_reader(&feed->server_list, reader_rank(topic),
+				     entry_now_ms(feed->entry)))
 		send_call(topic);
 	else
 		topic_schedule(topic, STALE_CHECK_MS);
@@ -222,7 +224,7 @@
 {
 	const struct feed *feed = topic->feed;
 
-	return feed->is_seed || (is_rank_known(feed) && reader_rank(topic) < CW_READERS_STAND_IN);
+	return feed->is_seed || (is_rank_known(feed) && reader_rank(topic) < CW_READERS_STANDBY);
 }
 
 static void read_snapshot(struct topic *topic)
@@ -230,20 +232,20 @@
 	struct feed *feed = topic->feed;
 	struct cw_readers_view view = {
 		.is_awaited = is_awaited_reader(topic),
-		.is_coming = share_is_expecting(feed->share, topic),
-		.has_rested = topic->has_rested,
+		.is_peer_sending = share_is_expecting(feed->share, topic),
+		.is_jitter_done = topic->is_jitter_done,
 		.knows_peers = peers_count(feed->entry->peers) > 0,
 		.running_ms = entry_now_ms(feed->entry) - feed->started_ms,
 	};
 
-	switch (cw_readers_next(&view)) {
-	case CW_READERS_ASK:
+	switch (cw_readers_next_step(&view)) {
+	case CW_READERS_READ:
 		send_call(topic);
 		break;
-	case CW_READERS_AWAIT:
+	case CW_READERS_AWAIT_PEER:
 		topic_schedule(topic, STALE_CHECK_MS);
 		break;
-	case CW_READERS_REST:
+	case CW_READERS_WAIT_JITTER:
 		wait_jitter(topic);
 		break;
 	}
@@ -255,7 +257,7 @@
 
 	topic->is_jitter_done = 1;
 	cw_random_bytes(&random, sizeof(random));
-	topic_schedule(topic, cw_readers_rest_ms(random));
+	topic_schedule(topic, cw_readers_jitter_ms(random));
 }
 
 static void on_head(void *context, const struct cw_message *answer)
@@ -306,11 +308,11 @@
  */
 static void reload_expired(struct topic *topic)
 {
-	if (topic->topic != CW_UP_SERVERS && topic->topic != CW_UP_OPERATOR) {
+	if (topic->topic != CW_UP_TOPIC_SERVERS && topic->topic != CW_UP_TOPIC_OPERATOR) {
 		topic_reload(topic);
 		return;
 	}
-	topic->has_rested = 0;
+	topic->is_jitter_done = 0;
 	topic->phase = PHASE_SNAPSHOT;
 	*topic->after_key = '\0';
 	read_snapshot(topic);
@@ -319,14 +321,15 @@
 static enum cw_status read_answer(struct topic *topic, struct cw_up_page *page,
 				  struct cw_error *error)
 {
-	uint64_t asked_from = topic->topic == CW_UP_SERVERS ? topic->feed->server_list.asked_from
-							    : topic->asked_from;
+	uint64_t read_from = topic->topic == CW_UP_TOPIC_SERVERS
+				     ? topic->feed->server_list.read_from
+				     : topic->read_from;
 
 	if (topic->phase == PHASE_SNAPSHOT)
-		return cw_up_newest_answer(topic->topic, topic->http_status, topic->body, page,
-					   error);
-	return cw_up_read_answer(topic->topic, topic->http_status, topic->body, asked_from, page,
-				 error);
+		return cw_up_parse_log_newest(topic->topic, topic->http_status, topic->body, page,
+					      error);
+	return cw_up_parse_log_read(topic->topic, topic->http_status, topic->body, read_from, page,
+				    error);
 }
 
 static void on_failed(void *context, enum cw_flow_failure failure)
@@ -341,8 +344,8 @@
 static void apply_snapshot_page(struct topic *topic, struct cw_up_page *page)
 {
 	for (size_t i = 0; i < page->count; i++) {
-		report_unreadable(topic, &page->news[i]);
-		record_apply(topic, &page->news[i]);
+		report_unreadable(topic, &page->log_record[i]);
+		record_apply(topic, &page->log_record[i]);
 	}
 	if (!*topic->after_key)
 		topic->next_offset = page->end;
@@ -369,14 +372,15 @@
 static void apply_followed_page(struct topic *topic, struct cw_up_page *page)
 {
 	for (size_t i = 0; i < page->count; i++)
-		if (topic->topic == CW_UP_SERVERS || page->news[i].offset >= topic->next_offset)
-			apply_record(topic, &page->news[i]);
-	if (topic->topic != CW_UP_SERVERS) {
+		if (topic->topic == CW_UP_TOPIC_SERVERS ||
+		    page->log_record[i].offset >= topic->next_offset)
+			apply_record(topic, &page->log_record[i]);
+	if (topic->topic != CW_UP_TOPIC_SERVERS) {
 		topic->next_offset = MAX(topic->next_offset, page->end);
 		topic_schedule(topic, topic_is_reader(topic) ? 0 : STALE_CHECK_MS);
 		return;
 	}
-	cw_follow_answered(&topic->feed->server_list, topic->last_answer_ms);
+	cw_follow_end_read(&topic->feed->server_list, topic->last_answer_ms);
 	/*
 	 * Peers take a fresh server list as a sign that the operator's topic is read too, so an
 	 * instance that takes over from the readers reads both.
@@ -389,23 +393,23 @@
 				      : STALE_CHECK_MS);
 }
 
-static void apply_record(struct topic *topic, struct cw_up_news *record)
+static void apply_record(struct topic *topic, struct cw_up_record *record)
 {
 	struct cw_change change = {.offset = record->offset,
-				   .is_gone = record->kind == CW_UP_SERVER_GONE,
+				   .is_removed = record->kind == CW_UP_RECORD_SERVER_REMOVED,
 				   .entry = record->server};
 
 	report_unreadable(topic, record);
-	if (topic->topic != CW_UP_SERVERS)
+	if (topic->topic != CW_UP_TOPIC_SERVERS)
 		record_apply(topic, record);
-	else if (record->kind == CW_UP_OTHER)
+	else if (record->kind == CW_UP_RECORD_OTHER)
 		cw_follow_skip(&topic->feed->server_list, record->offset);
-	else if (cw_follow_take_record(&topic->feed->server_list, &change, topic->last_answer_ms))
+	else if (cw_follow_apply_record(&topic->feed->server_list, &change, topic->last_answer_ms))
 		record_apply_next(topic->feed, &change);
 }
 
 /* Any client may write unreadable records, in any number: they must not fill the log. */
-static void report_unreadable(struct topic *topic, const struct cw_up_news *record)
+static void report_unreadable(struct topic *topic, const struct cw_up_record *record)
 {
 	int64_t now_ms = entry_now_ms(topic->feed->entry);
 
@@ -433,19 +437,19 @@
 	*topic->after_key = '\0';
 	cw_event("feed", "collected", "topic=%s end=%lu", topic->name,
 		 (unsigned long)topic->next_offset);
-	if (topic->topic == CW_UP_SERVERS) {
-		cw_pool_keep_listed(cw_gate_pool(entry->gate), topic->snapshot_began_ms,
-				    feed_expiry_grace_until_ms(feed), topic->last_answer_ms);
-		cw_follow_start(&feed->server_list, topic->next_offset);
-		cw_follow_answered(&feed->server_list, topic->snapshot_began_ms);
-		topic_schedule(topic, CW_READERS_KNOWN_MS);
-	} else if (topic->topic == CW_UP_OPERATOR) {
+	if (topic->topic == CW_UP_TOPIC_SERVERS) {
+		cw_pool_delist_unlisted(cw_gate_pool(entry->gate), topic->snapshot_began_ms,
+					feed_expiry_grace_until_ms(feed), topic->last_answer_ms);
+		cw_follow_reset(&feed->server_list, topic->next_offset);
+		cw_follow_end_read(&feed->server_list, topic->snapshot_began_ms);
+		topic_schedule(topic, CW_READERS_DISCOVERY_MS);
+	} else if (topic->topic == CW_UP_TOPIC_OPERATOR) {
 		restore_unseen_drains(topic);
-		topic_schedule(topic, CW_READERS_KNOWN_MS);
+		topic_schedule(topic, CW_READERS_DISCOVERY_MS);
 		/* The status topic holds what became of orders: without an order it is not read. */
 		if (cw_rollouts_has_any(cw_gate_rollouts(entry->gate)) && !feed->status.is_complete)
 			send_call(&feed->status);
-	} else if (topic->topic == CW_UP_STATUS) {
+	} else if (topic->topic == CW_UP_TOPIC_STATUS) {
 		feed->verdict.is_status_fresh = 1;
 	} else {
 		topic_schedule(topic, 0);
@@ -460,7 +464,7 @@
 	struct cw_drains *drains = cw_pool_drains(cw_gate_pool(topic->feed->entry->gate));
 	struct cw_drain_order drain;
 
-	while (cw_drains_collected(drains, topic->next_offset, &drain))
+	while (cw_drains_next_unseen(drains, topic->next_offset, &drain))
 		feed_apply_drain(topic->feed, &drain, "store");
 }
 
@@ -478,9 +482,9 @@
 	cw_count("store_failures", "", 1);
 	cw_random_bytes(&random, sizeof(random));
 	/* The writer of a roll-out's outcome reads the status alone, whatever its rank. */
-	rank = topic->topic == CW_UP_STATUS ? 0 : reader_rank(topic);
-	topic_schedule(topic, cw_readers_again_ms(rank, topic->failures, random));
-	if (topic->topic != CW_UP_QUARANTINE)
+	rank = topic->topic == CW_UP_TOPIC_STATUS ? 0 : reader_rank(topic);
+	topic_schedule(topic, cw_readers_retry_ms(rank, topic->failures, random));
+	if (topic->topic != CW_UP_TOPIC_QUARANTINE)
 		recheck_others(topic);
 }
 
@@ -494,7 +498,7 @@
 	topic->recovered_ms = entry_now_ms(topic->feed->entry);
 	cw_event("feed", "store_regained", "topic=%s from=%lu", topic->name,
 		 (unsigned long)topic_next_offset(topic));
-	if (topic->topic != CW_UP_QUARANTINE)
+	if (topic->topic != CW_UP_TOPIC_QUARANTINE)
 		recheck_others(topic);
 }
 
