--- a/packages/node/src/node_request.c
+++ b/packages/node/src/node_request.c
@@ -1,23 +1,23 @@
-/* One request's life: admitted, bound, claimed, dispatched, answered, billed. */
+/* Lifecycle of one request: session binding, admission, claim, dispatch, answer, billing. */
 #include "node_internal.h"
 
 #include <math.h>
 #include <string.h>
 
-#define EXPECTED_TOKENS	   256 /* of an answer whose length is not known yet */
-#define RETRY_JITTER_MS	   200
-#define DUPLICATE_RETRY_MS 1000
-#define PLATFORM_RETRY_MS  1000
-#define BINDING_FRESH_MS   10000 /* homes are told again of a binding that is still used */
+#define DEFAULT_ANSWER_TOKENS 256 /* assumed length of an answer without a smaller limit */
+#define RETRY_JITTER_MS	      200
+#define DUPLICATE_RETRY_MS    1000
+#define PLATFORM_RETRY_MS     1000
+#define BINDING_ANNOUNCE_MS   10000 /* interval of announcing a binding in use to its owners */
 
 static struct request *request_create(struct cw_node *node, const struct cw_request_in *in);
-static int find_service(struct cw_node *node, struct request *request);
-static void find_session(struct cw_node *node, struct request *request);
-static int needs_homes(const struct cw_node *node);
-static void bind_and_go_on(struct cw_node *node, struct request *request);
+static int resolve_service(struct cw_node *node, struct request *request);
+static void resolve_session(struct cw_node *node, struct request *request);
+static int needs_binding_query(const struct cw_node *node);
+static void admit_with_binding(struct cw_node *node, struct request *request);
 static void admit(struct cw_node *node, struct request *request);
-static int take_limit(struct cw_node *node, struct request *request, int64_t *retry_after_ms);
-static void claim(struct cw_node *node, struct request *request);
+static int acquire_limits(struct cw_node *node, struct request *request, int64_t *retry_after_ms);
+static void claim_key(struct cw_node *node, struct request *request);
 static void check_claim(struct cw_node *node, struct request *request);
 
 void request_begin(struct cw_node *node, const struct cw_request_in *in)
@@ -50,11 +50,11 @@
 	if (quarantine_refuses(node, request))
 		return;
 	if (in->flags & CW_REQUEST_SERVICE) {
-		if (find_service(node, request))
+		if (resolve_service(node, request))
 			admit(node, request);
 		return;
 	}
-	find_session(node, request);
+	resolve_session(node, request);
 }
 
 void request_caller_gone(struct cw_node *node, uint64_t handle)
@@ -86,7 +86,7 @@
 	if (request->answers_awaited > 0)
 		request->answers_awaited--;
 	if (binding->bound_at || request->answers_awaited == 0)
-		bind_and_go_on(node, request);
+		admit_with_binding(node, request);
 }
 
 void request_claims_changed(struct cw_node *node)
@@ -131,7 +131,7 @@
 			request_release(node, request);
 		else if (request->state == REQUEST_BINDING &&
 			 node->now_ms >= request->wait_until_ms)
-			bind_and_go_on(node, request);
+			admit_with_binding(node, request);
 		else if (request->state == REQUEST_RATING && node->now_ms >= request->wait_until_ms)
 			request_rated(node, request->in.handle, -1);
 		else if (request->state == REQUEST_CLAIMING &&
@@ -184,8 +184,8 @@
 }
 
 /*
- * The final answer of a request that is given up. "not_run" is said only while no byte has reached
- * a backend server; the claim is then given back, so that the caller may use its key again.
+ * Ends a request with an error. The error says "not_run" only if no byte may have reached a backend
+ * server. The claim is then released, so that the caller may use the idempotency key again.
  */
 void request_refuse(struct cw_node *node, struct request *request, enum cw_code code,
 		    int64_t retry_after_ms, const char *format, ...)
@@ -208,7 +208,8 @@
 	request_destroy(node, request);
 }
 
-/* The caller went away: what it was shown is billed, what never ran gives its claim back. */
+/* The caller disconnected: bills the chunks that were forwarded; a request that never ran releases
+ * its claim. */
 void request_abandon(struct cw_node *node, struct request *request)
 {
 	node_event(node, "request", "caller_gone", "request=%s organisation=%s shown=%u",
@@ -220,7 +221,7 @@
 	request_destroy(node, request);
 }
 
-static int find_service(struct cw_node *node, struct request *request)
+static int resolve_service(struct cw_node *node, struct request *request)
 {
 	const struct cw_row *row;
 
@@ -237,28 +238,31 @@
 	return 1;
 }
 
-/* The session's version: from its signed token, from this instance, else from the session's homes.
+/*
+ * Finds the session's binding to a version: in the request's signed token, in this instance's
+ * store, else at the peers that own the session.
  */
-static void find_session(struct cw_node *node, struct request *request)
+static void resolve_session(struct cw_node *node, struct request *request)
 {
-	const struct cw_binding *held;
-	struct cw_binding carried;
+	const struct cw_binding *stored;
+	struct cw_binding token_binding;
 
 	if (*request->in.session_id)
 		request->binding.key = cw_session_key(request->organisation, request->in.session_id,
 						      request->in.target);
 	if (*request->in.session_token &&
-	    cw_token_decode(node->config.peer_key, request->in.session_token, &carried) == CW_OK &&
-	    (!request->binding.key || request->binding.key == carried.key)) {
-		request->binding.key = carried.key;
-		choice_merge_binding(node, &carried);
+	    cw_token_decode(node->config.peer_key, request->in.session_token, &token_binding) ==
+		    CW_OK &&
+	    (!request->binding.key || request->binding.key == token_binding.key)) {
+		request->binding.key = token_binding.key;
+		choice_merge_binding(node, &token_binding);
 	}
 	if (!request->binding.key) {
 		admit(node, request);
 		return;
 	}
-	held = cw_session_find(node->sessions, request->binding.key, node->now_ms);
-	if (!held && needs_homes(node)) {
+	stored = cw_session_find(node->sessions, request->binding.key, node->now_ms);
+	if (!stored && needs_binding_query(node)) {
 		request->answers_awaited =
 			gossip_ask_binding(node, request->binding.key, request->in.handle);
 		if (request->answers_awaited > 0) {
@@ -267,31 +271,32 @@
 			return;
 		}
 	}
-	bind_and_go_on(node, request);
+	admit_with_binding(node, request);
 }
 
 /*
- * The version is a function of the key and the table, so nobody need be asked while routing has
- * stood still for longer than a session may idle.
+ * The version follows from the session key and the table. If routing has not changed for longer
+ * than the idle time-out of sessions, every live session has the version of the current table and
+ * no peer needs to be asked.
  */
-static int needs_homes(const struct cw_node *node)
+static int needs_binding_query(const struct cw_node *node)
 {
 	return node->now_ms - node->routing_changed_ms < node->config.session_idle_ms;
 }
 
-static void bind_and_go_on(struct cw_node *node, struct request *request)
+static void admit_with_binding(struct cw_node *node, struct request *request)
 {
-	const struct cw_binding *held =
+	const struct cw_binding *stored =
 		cw_session_find(node->sessions, request->binding.key, node->now_ms);
 
-	if (held)
-		request->binding = *held;
+	if (stored)
+		request->binding = *stored;
 	admit(node, request);
 }
 
 void request_keep_binding(struct cw_node *node, struct request *request)
 {
-	const struct cw_binding *held;
+	const struct cw_binding *stored;
 
 	if (!*request->binding.model) {
 		g_strlcpy(request->binding.model, request->model, CW_NAME_MAX);
@@ -301,10 +306,11 @@
 		request->binding.announced_ms = 0;
 	}
 	choice_merge_binding(node, &request->binding);
-	held = cw_session_find(node->sessions, request->binding.key, node->now_ms);
-	if (!held || (held->announced_ms && node->now_ms - held->announced_ms < BINDING_FRESH_MS))
+	stored = cw_session_find(node->sessions, request->binding.key, node->now_ms);
+	if (!stored ||
+	    (stored->announced_ms && node->now_ms - stored->announced_ms < BINDING_ANNOUNCE_MS))
 		return;
-	gossip_push_binding(node, held);
+	gossip_push_binding(node, stored);
 	cw_session_mark_announced(node->sessions, request->binding.key, node->now_ms);
 }
 
@@ -333,7 +339,7 @@
 		if (request->binding.key)
 			request_keep_binding(node, request);
 	}
-	if (!take_limit(node, request, &retry_after_ms)) {
+	if (!acquire_limits(node, request, &retry_after_ms)) {
 		if (!cw_limits_has_share(node->limits)) {
 			request_refuse(node, request, CW_CODE_PLATFORM_UNAVAILABLE,
 				       PLATFORM_RETRY_MS,
@@ -347,12 +353,12 @@
 	}
 	if ((request->in.flags & CW_REQUEST_SERVICE) &&
 	    !(request->in.flags & CW_REQUEST_IDEMPOTENT) && *request->in.idempotency_key)
-		claim(node, request);
+		claim_key(node, request);
 	else
 		request_dispatch(node, request, CW_DISPATCH_FRESH);
 }
 
-static int take_limit(struct cw_node *node, struct request *request, int64_t *retry_after_ms)
+static int acquire_limits(struct cw_node *node, struct request *request, int64_t *retry_after_ms)
 {
 	const struct cw_row *row =
 		cw_table_row(node->table, request->organisation, request->model, request->version);
@@ -362,8 +368,9 @@
 		.tokens_per_s = row->cell[CW_COLUMN_TOKENS_PER_S],
 		.concurrent = row->cell[CW_COLUMN_CONCURRENT],
 	};
-	unsigned int answer = request->in.max_tokens ? MIN(request->in.max_tokens, EXPECTED_TOKENS)
-						     : EXPECTED_TOKENS;
+	unsigned int answer = request->in.max_tokens
+				      ? MIN(request->in.max_tokens, DEFAULT_ANSWER_TOKENS)
+				      : DEFAULT_ANSWER_TOKENS;
 
 	request->expected_tokens =
 		request->in.flags & CW_REQUEST_SERVICE ? 0 : request->in.prompt_tokens + answer;
@@ -375,11 +382,12 @@
 }
 
 /*
- * An order that is tried on two instances, or again after a crash, would be run twice. So its key
- * is claimed in the log first, and only the holder of the claim sends it. Without the log nobody
- * knows who holds it: then it is refused at once.
+ * A non-idempotent request that a caller sends to two instances, or again after a crash, would run
+ * twice. Its idempotency key is therefore claimed in the log first, and only the instance whose
+ * claim holds the key sends the request. Without the log the holder is unknown, so the request is
+ * rejected at once.
  */
-static void claim(struct cw_node *node, struct request *request)
+static void claim_key(struct cw_node *node, struct request *request)
 {
 	uint64_t key = cw_claims_key(request->organisation, request->in.target,
 				     request->in.idempotency_key);
@@ -392,7 +400,7 @@
 	request->claim.key = key;
 	request->claim.body = request->in.body;
 	request->state = REQUEST_CLAIMING;
-	if (cw_claims_look(node->claims, key).state != CW_CLAIM_FREE) {
+	if (cw_claims_lookup(node->claims, key).state != CW_CLAIM_FREE) {
 		check_claim(node, request);
 		return;
 	}
@@ -409,27 +417,27 @@
 
 static void check_claim(struct cw_node *node, struct request *request)
 {
-	struct cw_claim_view view = cw_claims_look(node->claims, request->claim.key);
-	uint64_t own = request->claim.claim;
+	struct cw_claim_view view = cw_claims_lookup(node->claims, request->claim.key);
+	uint64_t own_claim = request->claim.claim;
 	struct cw_effect *effect;
 
 	if (view.state == CW_CLAIM_FREE)
 		return;
-	if (view.state == CW_CLAIM_HELD && view.holder == own) {
+	if (view.state == CW_CLAIM_PENDING && view.holder == own_claim) {
 		node_event(node, "claims", "claimed", "request=%s organisation=%s",
 			   request->in.request_id, request->organisation);
 		request_dispatch(node, request, CW_DISPATCH_FRESH);
 		return;
 	}
-	request->claim.claim = 0; /* lost, or never made: nothing to give back */
-	if (view.body != request->claim.body) {
+	request->claim.claim = 0; /* lost the key or never claimed it: no claim to release */
+	if (view.body_hash != request->claim.body) {
 		request_refuse(node, request, CW_CODE_DUPLICATE, 0,
 			       "the idempotency key was used for another request");
 		return;
 	}
-	/* The same order is out, or it was: nothing runs now, but the first may have. */
+	/* An earlier request with the key may have run, so "not_run" must not be reported. */
 	request->sent = 1;
-	if (view.state == CW_CLAIM_HELD) {
+	if (view.state == CW_CLAIM_PENDING) {
 		request_refuse(node, request, CW_CODE_DUPLICATE, DUPLICATE_RETRY_MS,
 			       "the same request was taken before and its outcome is not known");
 		return;
--- a/packages/request/src/claims.c
+++ b/packages/request/src/claims.c
@@ -9,47 +9,48 @@
 #define STEP "claims.fold"
 
 struct entry {
-	TAILQ_ENTRY(entry) link; /* by claim, oldest first */
+	TAILQ_ENTRY(entry) link; /* in the order of offset */
 	uint64_t key;
-	uint64_t offset; /* of the claim that holds the key */
-	uint64_t holder;
-	uint64_t body;
-	int64_t time_ms; /* of the claim, by the log's clock */
+	uint64_t offset;    /* log offset of the claim that holds the key */
+	uint64_t holder;    /* id of that claim */
+	uint64_t body_hash; /* hash of the request */
+	int64_t time_ms;    /* when the claim was recorded, on the log's clock */
 	enum cw_claim_state state;
-	int status;
-	char *answer;
+	int status;   /* HTTP status of the outcome */
+	char *answer; /* body of the outcome, NULL if unknown or too long to keep */
 };
 
-TAILQ_HEAD(entry_list, entry);
+TAILQ_HEAD(claim_entry_list, entry);
 
 struct cw_claims {
-	uint64_t offset;
-	uint64_t started; /* first offset read */
-	uint64_t floor;
-	int64_t first_ms; /* time of the first record read, -1 none */
-	int64_t last_ms;
+	uint64_t offset;	 /* of the last record applied */
+	uint64_t first_offset;	 /* where reading began */
+	uint64_t floor;		 /* largest floor read */
+	int64_t first_record_ms; /* log time of the first record read, -1 none */
+	int64_t log_time_ms;	 /* largest log time read */
 	int64_t window_ms;
 	size_t max_keys;
 	GHashTable *by_key;
-	GHashTable *released; /* claims that were given back, kept for the window */
-	struct entry_list by_age;
+	GHashTable *released_claims; /* claim id -> log time of its release, kept for the window */
+	struct claim_entry_list by_offset;
 };
 
-static void fold_claim(struct cw_claims *claims, struct json_object *item);
-static void fold_release(struct cw_claims *claims, struct json_object *item);
-static void fold_outcome(struct cw_claims *claims, struct json_object *item);
-static void fold_kept(struct cw_claims *claims, struct json_object *item);
-static void each(struct cw_claims *claims, struct json_object *record, const char *list,
-		 void (*fold)(struct cw_claims *claims, struct json_object *item));
+static void apply_claim(struct cw_claims *claims, struct json_object *item);
+static void apply_release(struct cw_claims *claims, struct json_object *item);
+static void apply_outcome(struct cw_claims *claims, struct json_object *item);
+static void apply_checkpoint(struct cw_claims *claims, struct json_object *item);
+static void for_each_item(struct cw_claims *claims, struct json_object *record,
+			  const char *array_name,
+			  void (*apply)(struct cw_claims *claims, struct json_object *item));
 static void set_outcome(struct entry *entry, struct json_object *item);
-static struct entry *entry_add(struct cw_claims *claims, struct json_object *item, uint64_t offset,
-			       int64_t time_ms);
-static void expire(struct cw_claims *claims);
-static uint64_t number_of(struct json_object *item, const char *key);
-static gboolean is_old(gpointer claim, gpointer time_ms, gpointer before_ms);
+static struct entry *entry_create(struct cw_claims *claims, struct json_object *item,
+				  uint64_t offset, int64_t time_ms);
+static void remove_expired(struct cw_claims *claims);
+static uint64_t get_number(struct json_object *item, const char *key);
+static gboolean is_expired(gpointer claim, gpointer time_ms, gpointer cutoff_ms);
 static void entry_remove(struct cw_claims *claims, struct entry *entry);
-static uint64_t hex_of(struct json_object *item, const char *key);
-static struct json_object *new_item(struct json_object *record, const char *list,
+static uint64_t get_hex(struct json_object *item, const char *key);
+static struct json_object *add_item(struct json_object *record, const char *array_name,
 				    const struct cw_claim *claim);
 static void add_hex(struct json_object *item, const char *key, uint64_t value);
 
@@ -65,14 +66,15 @@
 {
 	struct cw_claims *claims = g_new0(struct cw_claims, 1);
 
-	claims->started = 1;
+	claims->first_offset = 1;
 	claims->floor = 1;
-	claims->first_ms = -1;
+	claims->first_record_ms = -1;
 	claims->window_ms = window_ms;
 	claims->max_keys = max_keys;
 	claims->by_key = g_hash_table_new(g_int64_hash, g_int64_equal);
-	claims->released = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-	TAILQ_INIT(&claims->by_age);
+	claims->released_claims =
+		g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+	TAILQ_INIT(&claims->by_offset);
 	return claims;
 }
 
@@ -82,10 +84,10 @@
 
 	if (!claims)
 		return;
-	while ((entry = TAILQ_FIRST(&claims->by_age)))
+	while ((entry = TAILQ_FIRST(&claims->by_offset)))
 		entry_remove(claims, entry);
 	g_hash_table_destroy(claims->by_key);
-	g_hash_table_destroy(claims->released);
+	g_hash_table_destroy(claims->released_claims);
 	g_free(claims);
 }
 
@@ -97,36 +99,38 @@
 
 	if (offset != claims->offset + 1)
 		return cw_error_set(error, CW_INVALID, STEP, "",
-				    "offset %" G_GUINT64_FORMAT " after %" G_GUINT64_FORMAT, offset,
-				    claims->offset);
+				    "offset %" G_GUINT64_FORMAT
+				    " does not follow %" G_GUINT64_FORMAT,
+				    offset, claims->offset);
 	claims->offset = offset;
-	claims->last_ms = MAX(claims->last_ms, time_ms);
-	if (claims->first_ms < 0)
-		claims->first_ms = time_ms;
-	expire(claims);
+	claims->log_time_ms = MAX(claims->log_time_ms, time_ms);
+	if (claims->first_record_ms < 0)
+		claims->first_record_ms = time_ms;
+	remove_expired(claims);
 	parsed = json_tokener_parse(record);
-	each(claims, parsed, "outcomes", fold_outcome);
-	each(claims, parsed, "releases", fold_release);
-	each(claims, parsed, "kept", fold_kept);
-	each(claims, parsed, "claims", fold_claim);
-	floor = number_of(parsed, "floor");
+	for_each_item(claims, parsed, "outcomes", apply_outcome);
+	for_each_item(claims, parsed, "releases", apply_release);
+	for_each_item(claims, parsed, "kept", apply_checkpoint);
+	for_each_item(claims, parsed, "claims", apply_claim);
+	floor = get_number(parsed, "floor");
 	claims->floor = MAX(claims->floor, floor);
 	json_object_put(parsed);
 	return CW_OK;
 }
 
-void cw_claims_start_at(struct cw_claims *claims, uint64_t next)
+void cw_claims_start_at(struct cw_claims *claims, uint64_t next_offset)
 {
-	claims->offset = next - 1;
-	claims->started = next;
-	claims->first_ms = -1;
+	claims->offset = next_offset - 1;
+	claims->first_offset = next_offset;
+	claims->first_record_ms = -1;
 }
 
 int cw_claims_is_complete(const struct cw_claims *claims)
 {
-	if (claims->started <= claims->floor)
+	if (claims->first_offset <= claims->floor)
 		return 1;
-	return claims->first_ms >= 0 && claims->last_ms - claims->first_ms >= claims->window_ms;
+	return claims->first_record_ms >= 0 &&
+	       claims->log_time_ms - claims->first_record_ms >= claims->window_ms;
 }
 
 int cw_claims_is_full(const struct cw_claims *claims)
@@ -144,7 +148,7 @@
 	return claims->offset;
 }
 
-struct cw_claim_view cw_claims_look(const struct cw_claims *claims, uint64_t key)
+struct cw_claim_view cw_claims_lookup(const struct cw_claims *claims, uint64_t key)
 {
 	const struct entry *entry = g_hash_table_lookup(claims->by_key, &key);
 	struct cw_claim_view view = {.state = CW_CLAIM_FREE};
@@ -153,7 +157,7 @@
 		return view;
 	view.state = entry->state;
 	view.holder = entry->holder;
-	view.body = entry->body;
+	view.body_hash = entry->body_hash;
 	view.status = entry->status;
 	view.answer = entry->answer;
 	return view;
@@ -166,13 +170,13 @@
 
 void cw_claims_add_claim(struct json_object *record, const struct cw_claim *claim)
 {
-	add_hex(new_item(record, "claims", claim), "body", claim->body);
+	add_hex(add_item(record, "claims", claim), "body", claim->body);
 }
 
 void cw_claims_add_outcome(struct json_object *record, const struct cw_claim *claim, int status,
 			   const char *answer)
 {
-	struct json_object *item = new_item(record, "outcomes", claim);
+	struct json_object *item = add_item(record, "outcomes", claim);
 
 	json_object_object_add(item, "status", json_object_new_int(status));
 	if (answer && strlen(answer) <= CW_CLAIM_BODY_MAX)
@@ -181,37 +185,37 @@
 
 void cw_claims_add_release(struct json_object *record, const struct cw_claim *claim)
 {
-	new_item(record, "releases", claim);
+	add_item(record, "releases", claim);
 }
 
 size_t cw_claims_add_kept(const struct cw_claims *claims, struct json_object *record,
-			  uint64_t after, size_t count, uint64_t *last)
+			  uint64_t after_offset, size_t batch_size, uint64_t *last_offset)
 {
 	const struct entry *entry;
 	size_t added = 0;
 
-	TAILQ_FOREACH(entry, &claims->by_age, link) {
+	TAILQ_FOREACH(entry, &claims->by_offset, link) {
 		struct cw_claim claim = {
-			.key = entry->key, .claim = entry->holder, .body = entry->body};
+			.key = entry->key, .claim = entry->holder, .body = entry->body_hash};
 		struct json_object *item;
 
-		if (entry->offset <= after)
+		if (entry->offset <= after_offset)
 			continue;
-		/* A record's claims share one offset: a batch ends only where the offset changes.
-		 */
-		if (added >= count && entry->offset != *last)
+		/* Claims of one record share its offset, so a batch ends only where the offset
+		 * changes. */
+		if (added >= batch_size && entry->offset != *last_offset)
 			break;
-		item = new_item(record, "kept", &claim);
-		add_hex(item, "body", entry->body);
+		item = add_item(record, "kept", &claim);
+		add_hex(item, "body", entry->body_hash);
 		json_object_object_add(item, "offset",
 				       json_object_new_int64((int64_t)entry->offset));
 		json_object_object_add(item, "time_ms", json_object_new_int64(entry->time_ms));
-		if (entry->state == CW_CLAIM_DONE)
+		if (entry->state == CW_CLAIM_COMPLETED)
 			json_object_object_add(item, "status", json_object_new_int(entry->status));
 		if (entry->answer)
 			json_object_object_add(item, "answer",
 					       json_object_new_string(entry->answer));
-		*last = entry->offset;
+		*last_offset = entry->offset;
 		added++;
 	}
 	return added;
@@ -222,84 +226,84 @@
 	json_object_object_add(record, "floor", json_object_new_int64((int64_t)floor));
 }
 
-static void each(struct cw_claims *claims, struct json_object *record, const char *list,
-		 void (*fold)(struct cw_claims *claims, struct json_object *item))
+static void for_each_item(struct cw_claims *claims, struct json_object *record,
+			  const char *array_name,
+			  void (*apply)(struct cw_claims *claims, struct json_object *item))
 {
 	struct json_object *items;
 
-	if (!json_object_object_get_ex(record, list, &items) ||
+	if (!json_object_object_get_ex(record, array_name, &items) ||
 	    !json_object_is_type(items, json_type_array))
 		return;
 	for (size_t i = 0; i < json_object_array_length(items); i++)
-		fold(claims, json_object_array_get_idx(items, i));
+		apply(claims, json_object_array_get_idx(items, i));
 }
 
-static void fold_claim(struct cw_claims *claims, struct json_object *item)
+static void apply_claim(struct cw_claims *claims, struct json_object *item)
 {
-	uint64_t key = hex_of(item, "key");
-	uint64_t holder = hex_of(item, "claim");
+	uint64_t key = get_hex(item, "key");
+	uint64_t holder = get_hex(item, "claim");
 
 	/*
-	 * The order in the log decides, on every instance alike. Were the later claim let through,
-	 * two instances would each run the order; it shows as two calls with one idempotency key.
+	 * The first claim in log order wins, on every instance alike. If a later claim also won,
+	 * two instances would run the request, seen as two calls with one idempotency key.
 	 */
 	if (g_hash_table_contains(claims->by_key, &key))
 		return;
-	/* An append that was repeated after its claim was given back must not take the key again.
-	 */
-	if (g_hash_table_contains(claims->released, &holder))
+	/* A claim whose append was retried after its release must not acquire the key again. */
+	if (g_hash_table_contains(claims->released_claims, &holder))
 		return;
-	entry_add(claims, item, claims->offset, claims->last_ms);
+	entry_create(claims, item, claims->offset, claims->log_time_ms);
 }
 
-static void fold_release(struct cw_claims *claims, struct json_object *item)
+static void apply_release(struct cw_claims *claims, struct json_object *item)
 {
-	uint64_t key = hex_of(item, "key");
-	uint64_t holder = hex_of(item, "claim");
+	uint64_t key = get_hex(item, "key");
+	uint64_t holder = get_hex(item, "claim");
 	struct entry *entry = g_hash_table_lookup(claims->by_key, &key);
 	int64_t *time_ms = g_new(int64_t, 1);
 	uint64_t *released = g_new(uint64_t, 1);
 
 	*released = holder;
-	*time_ms = claims->last_ms;
-	g_hash_table_replace(claims->released, released, time_ms);
-	/* Only the holder may free the key: a late release of another claim would let a second
-	 * order run. */
-	if (entry && entry->state == CW_CLAIM_HELD && entry->holder == holder)
+	*time_ms = claims->log_time_ms;
+	g_hash_table_replace(claims->released_claims, released, time_ms);
+	/* Only the holder's release frees the key. A late release by another claim would allow the
+	 * request to run twice. */
+	if (entry && entry->state == CW_CLAIM_PENDING && entry->holder == holder)
 		entry_remove(claims, entry);
 }
 
-static void fold_outcome(struct cw_claims *claims, struct json_object *item)
+static void apply_outcome(struct cw_claims *claims, struct json_object *item)
 {
-	uint64_t key = hex_of(item, "key");
+	uint64_t key = get_hex(item, "key");
 	struct entry *entry = g_hash_table_lookup(claims->by_key, &key);
 
-	if (entry && entry->state == CW_CLAIM_HELD && entry->holder == hex_of(item, "claim"))
+	if (entry && entry->state == CW_CLAIM_PENDING && entry->holder == get_hex(item, "claim"))
 		set_outcome(entry, item);
 }
 
-static void fold_kept(struct cw_claims *claims, struct json_object *item)
+static void apply_checkpoint(struct cw_claims *claims, struct json_object *item)
 {
-	uint64_t key = hex_of(item, "key");
-	uint64_t holder = hex_of(item, "claim");
-	uint64_t offset = number_of(item, "offset");
-	int64_t time_ms = (int64_t)number_of(item, "time_ms");
+	uint64_t key = get_hex(item, "key");
+	uint64_t holder = get_hex(item, "claim");
+	uint64_t offset = get_number(item, "offset");
+	int64_t time_ms = (int64_t)get_number(item, "time_ms");
 	struct entry *entry = g_hash_table_lookup(claims->by_key, &key);
 
-	if (time_ms < claims->last_ms - claims->window_ms ||
-	    g_hash_table_contains(claims->released, &holder))
+	if (time_ms < claims->log_time_ms - claims->window_ms ||
+	    g_hash_table_contains(claims->released_claims, &holder))
 		return;
 	/*
-	 * A reader that began behind the claim's own record took a later, losing claim for the
-	 * holder; the smaller offset puts that right.
+	 * A reader that started after the holder's claim record has taken a later, losing claim for
+	 * the holder. The claim with the smaller offset replaces that one.
 	 */
 	if (entry && entry->holder != holder && entry->offset > offset) {
 		entry_remove(claims, entry);
 		entry = NULL;
 	}
 	if (!entry)
-		entry = entry_add(claims, item, offset, time_ms);
-	if (entry->holder == holder && entry->state == CW_CLAIM_HELD &&
+		entry = entry_create(claims, item, offset, time_ms);
+	if (entry->holder == holder && entry->state == CW_CLAIM_PENDING &&
 	    json_object_object_get_ex(item, "status", NULL))
 		set_outcome(entry, item);
 }
@@ -308,58 +312,58 @@
 {
 	struct json_object *value;
 
-	entry->state = CW_CLAIM_DONE;
-	entry->status = (int)number_of(item, "status");
+	entry->state = CW_CLAIM_COMPLETED;
+	entry->status = (int)get_number(item, "status");
 	if (json_object_object_get_ex(item, "answer", &value))
 		entry->answer = g_strdup(json_object_get_string(value));
 }
 
-static struct entry *entry_add(struct cw_claims *claims, struct json_object *item, uint64_t offset,
-			       int64_t time_ms)
+static struct entry *entry_create(struct cw_claims *claims, struct json_object *item,
+				  uint64_t offset, int64_t time_ms)
 {
 	struct entry *entry = g_new0(struct entry, 1);
-	struct entry *before = TAILQ_LAST(&claims->by_age, entry_list);
+	struct entry *previous = TAILQ_LAST(&claims->by_offset, claim_entry_list);
 
-	entry->key = hex_of(item, "key");
-	entry->holder = hex_of(item, "claim");
-	entry->body = hex_of(item, "body");
+	entry->key = get_hex(item, "key");
+	entry->holder = get_hex(item, "claim");
+	entry->body_hash = get_hex(item, "body");
 	entry->offset = offset;
 	entry->time_ms = time_ms;
-	entry->state = CW_CLAIM_HELD;
-	while (before && before->offset > offset)
-		before = TAILQ_PREV(before, entry_list, link);
-	if (before)
-		TAILQ_INSERT_AFTER(&claims->by_age, before, entry, link);
+	entry->state = CW_CLAIM_PENDING;
+	while (previous && previous->offset > offset)
+		previous = TAILQ_PREV(previous, claim_entry_list, link);
+	if (previous)
+		TAILQ_INSERT_AFTER(&claims->by_offset, previous, entry, link);
 	else
-		TAILQ_INSERT_HEAD(&claims->by_age, entry, link);
+		TAILQ_INSERT_HEAD(&claims->by_offset, entry, link);
 	g_hash_table_insert(claims->by_key, &entry->key, entry);
 	return entry;
 }
 
-static void expire(struct cw_claims *claims)
+static void remove_expired(struct cw_claims *claims)
 {
-	int64_t before_ms = claims->last_ms - claims->window_ms;
+	int64_t cutoff_ms = claims->log_time_ms - claims->window_ms;
 	struct entry *entry;
 
-	while ((entry = TAILQ_FIRST(&claims->by_age)) && entry->time_ms < before_ms)
+	while ((entry = TAILQ_FIRST(&claims->by_offset)) && entry->time_ms < cutoff_ms)
 		entry_remove(claims, entry);
-	g_hash_table_foreach_remove(claims->released, is_old, &before_ms);
+	g_hash_table_foreach_remove(claims->released_claims, is_expired, &cutoff_ms);
 }
 
-static gboolean is_old(gpointer claim, gpointer time_ms, gpointer before_ms)
+static gboolean is_expired(gpointer claim, gpointer time_ms, gpointer cutoff_ms)
 {
-	return *(int64_t *)time_ms < *(int64_t *)before_ms;
+	return *(int64_t *)time_ms < *(int64_t *)cutoff_ms;
 }
 
 static void entry_remove(struct cw_claims *claims, struct entry *entry)
 {
-	TAILQ_REMOVE(&claims->by_age, entry, link);
+	TAILQ_REMOVE(&claims->by_offset, entry, link);
 	g_hash_table_remove(claims->by_key, &entry->key);
 	g_free(entry->answer);
 	g_free(entry);
 }
 
-static uint64_t hex_of(struct json_object *item, const char *key)
+static uint64_t get_hex(struct json_object *item, const char *key)
 {
 	struct json_object *value;
 
@@ -368,7 +372,7 @@
 	return g_ascii_strtoull(json_object_get_string(value), NULL, 16);
 }
 
-static uint64_t number_of(struct json_object *item, const char *key)
+static uint64_t get_number(struct json_object *item, const char *key)
 {
 	struct json_object *value;
 
@@ -376,15 +380,15 @@
 							    : 0;
 }
 
-static struct json_object *new_item(struct json_object *record, const char *list,
+static struct json_object *add_item(struct json_object *record, const char *array_name,
 				    const struct cw_claim *claim)
 {
 	struct json_object *item = json_object_new_object();
 	struct json_object *items;
 
-	if (!json_object_object_get_ex(record, list, &items)) {
+	if (!json_object_object_get_ex(record, array_name, &items)) {
 		items = json_object_new_array();
-		json_object_object_add(record, list, items);
+		json_object_object_add(record, array_name, items);
 	}
 	add_hex(item, "key", claim->key);
 	add_hex(item, "claim", claim->claim);
--- a/packages/request/src/ledger.c
+++ b/packages/request/src/ledger.c
@@ -35,7 +35,7 @@
 }
 
 struct cw_bill *cw_ledger_add(struct cw_ledger *ledger, const char *id, const char *text,
-			      const char *origin, uint64_t noted, int64_t now_ms)
+			      const char *origin, uint64_t read_back_offset, int64_t now_ms)
 {
 	struct cw_bill *bill = cw_ledger_find(ledger, id);
 
@@ -45,7 +45,7 @@
 	bill->id = g_strdup(id);
 	bill->text = g_strdup(text);
 	bill->origin = g_strdup(origin);
-	bill->noted = noted;
+	bill->read_back_offset = read_back_offset;
 	bill->made_ms = now_ms;
 	TAILQ_INSERT_TAIL(&ledger->bills, bill, link);
 	g_hash_table_insert(ledger->by_id, bill->id, bill);
@@ -96,20 +96,20 @@
 {
 	GString *text = g_string_new("{\"bills\":[");
 	struct cw_bill *bill;
-	size_t taken = 0;
+	size_t count = 0;
 
 	TAILQ_FOREACH(bill, &ledger->bills, link) {
-		if (taken == max)
+		if (count == max)
 			break;
 		if (bill->append || strcmp(bill->origin, origin) != 0)
 			continue;
-		g_string_append_printf(text, "%s%s", taken ? "," : "", bill->text);
+		g_string_append_printf(text, "%s%s", count ? "," : "", bill->text);
 		bill->append = append;
-		taken++;
+		count++;
 	}
 	g_string_append(text, "]}");
 	*record = g_string_free(text, FALSE);
-	return taken;
+	return count;
 }
 
 void cw_ledger_append_failed(struct cw_ledger *ledger, uint64_t append)
@@ -156,7 +156,7 @@
 
 	TAILQ_FOREACH(bill, &ledger->bills, link) {
 		if (!strcmp(bill->origin, origin))
-			oldest = MIN(oldest, bill->noted);
+			oldest = MIN(oldest, bill->read_back_offset);
 	}
 	return oldest;
 }
--- a/tests/unit/test_answer.c
+++ b/tests/unit/test_answer.c
@@ -73,7 +73,8 @@
 	GString *shown = g_string_new(NULL);
 
 	cw_answer_begin(answer, 0);
-	assert_int_equal(feed(answer, shown, CHUNK("1", "a ") CHUNK("3", "c ")), CW_ANSWER_RUBBISH);
+	assert_int_equal(feed(answer, shown, CHUNK("1", "a ") CHUNK("3", "c ")),
+			 CW_ANSWER_MALFORMED);
 	assert_string_equal(cw_answer_text(answer), "a ");
 	g_string_free(shown, TRUE);
 	cw_answer_destroy(answer);
@@ -112,7 +113,7 @@
 
 	cw_answer_begin(answer, 0);
 	assert_int_equal(feed(answer, shown, CHUNK("1", "a ") "id: 3\ndata: [DONE]\n\n"),
-			 CW_ANSWER_RUBBISH);
+			 CW_ANSWER_MALFORMED);
 	g_string_free(shown, TRUE);
 	cw_answer_destroy(answer);
 }
@@ -147,7 +148,7 @@
 		GString *shown = g_string_new(NULL);
 
 		cw_answer_begin(answer, 0);
-		assert_int_equal(feed(answer, shown, rubbish[i]), CW_ANSWER_RUBBISH);
+		assert_int_equal(feed(answer, shown, rubbish[i]), CW_ANSWER_MALFORMED);
 		assert_int_equal(shown->len, 0);
 		g_string_free(shown, TRUE);
 		cw_answer_destroy(answer);
@@ -161,7 +162,7 @@
 	char *endless = g_strnfill(2000, 'x');
 
 	cw_answer_begin(answer, 0);
-	assert_int_equal(feed(answer, shown, endless), CW_ANSWER_RUBBISH);
+	assert_int_equal(feed(answer, shown, endless), CW_ANSWER_MALFORMED);
 	g_free(endless);
 	g_string_free(shown, TRUE);
 	cw_answer_destroy(answer);
--- a/tests/unit/test_claims.c
+++ b/tests/unit/test_claims.c
@@ -49,13 +49,13 @@
 
 	append(claims, 1000, claim_of(&first));
 	append(claims, 1001, claim_of(&second));
-	assert_int_equal(cw_claims_look(claims, 7).holder, 1);
+	assert_int_equal(cw_claims_lookup(claims, 7).holder, 1);
 	append(claims, 1002, release_of(&second));
-	assert_int_equal(cw_claims_look(claims, 7).holder, 1);
+	assert_int_equal(cw_claims_lookup(claims, 7).holder, 1);
 	append(claims, 1003, release_of(&first));
-	assert_int_equal(cw_claims_look(claims, 7).state, CW_CLAIM_FREE);
+	assert_int_equal(cw_claims_lookup(claims, 7).state, CW_CLAIM_FREE);
 	append(claims, 1004, claim_of(&third));
-	assert_int_equal(cw_claims_look(claims, 7).holder, 3);
+	assert_int_equal(cw_claims_lookup(claims, 7).holder, 3);
 	cw_claims_destroy(claims);
 }
 
@@ -71,7 +71,7 @@
 
 	append(claims, 1000, release_of(&first));
 	append(claims, 1001, claim_of(&first));
-	assert_int_equal(cw_claims_look(claims, 7).state, CW_CLAIM_FREE);
+	assert_int_equal(cw_claims_lookup(claims, 7).state, CW_CLAIM_FREE);
 	cw_claims_destroy(claims);
 }
 
@@ -82,18 +82,18 @@
 
 	append(claims, 1000, claim_of(&first));
 	append(claims, 1001, outcome_of(&second, "not its holder"));
-	assert_int_equal(cw_claims_look(claims, 7).state, CW_CLAIM_HELD);
+	assert_int_equal(cw_claims_lookup(claims, 7).state, CW_CLAIM_PENDING);
 	append(claims, 1002, outcome_of(&first, "done"));
-	assert_int_equal(cw_claims_look(claims, 7).state, CW_CLAIM_DONE);
-	assert_int_equal(cw_claims_look(claims, 7).status, 201);
-	assert_string_equal(cw_claims_look(claims, 7).answer, "done");
+	assert_int_equal(cw_claims_lookup(claims, 7).state, CW_CLAIM_COMPLETED);
+	assert_int_equal(cw_claims_lookup(claims, 7).status, 201);
+	assert_string_equal(cw_claims_lookup(claims, 7).answer, "done");
 	append(claims, 1003, release_of(&first));
 	append(claims, 1004, outcome_of(&first, "again"));
-	assert_string_equal(cw_claims_look(claims, 7).answer, "done");
+	assert_string_equal(cw_claims_lookup(claims, 7).answer, "done");
 	append(claims, 1005, claim_of(&(struct cw_claim){.key = 8, .claim = 3, .body = 5}));
 	append(claims, 1006,
 	       outcome_of(&(struct cw_claim){.key = 8, .claim = 3, .body = 5}, longer));
-	assert_null(cw_claims_look(claims, 8).answer);
+	assert_null(cw_claims_lookup(claims, 8).answer);
 	g_free(longer);
 	cw_claims_destroy(claims);
 }
@@ -118,10 +118,10 @@
 	cw_claims_start_at(young, 3);
 	assert_false(cw_claims_is_complete(young));
 	append(young, 1500, claim_of(&second));
-	assert_int_equal(cw_claims_look(young, 7).holder, 2);
+	assert_int_equal(cw_claims_lookup(young, 7).holder, 2);
 	append(young, 1501, json_object_get(kept));
-	assert_int_equal(cw_claims_look(young, 7).holder, 1);
-	assert_string_equal(cw_claims_look(young, 7).answer, "done");
+	assert_int_equal(cw_claims_lookup(young, 7).holder, 1);
+	assert_string_equal(cw_claims_lookup(young, 7).answer, "done");
 	append(young, 1502, floor);
 	assert_true(cw_claims_is_complete(young));
 	json_object_put(kept);
@@ -163,7 +163,7 @@
 		assert_int_equal(cw_claims_fold(claims, cw_claims_offset(claims) + 1, 1000,
 						rubbish[i], NULL),
 				 CW_OK);
-	assert_int_equal(cw_claims_look(claims, 7).holder, 1);
+	assert_int_equal(cw_claims_lookup(claims, 7).holder, 1);
 	assert_int_equal(cw_claims_fold(claims, 99, 1000, "{}", NULL), CW_INVALID);
 	cw_claims_destroy(claims);
 }
