--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -1,38 +1,40 @@
-/* One attempt after another: sent, judged, tried again, resumed or continued, finished. */
+/* Attempts of a request: dispatch, result, retry, resumption, continuation and completion. */
 #include "cw_hash.h"
 #include "node_internal.h"
 
 #include <string.h>
 
-#define BATCH_WAIT_FACTOR 5
-#define RATE_TIMEOUT_MS	  3000
+#define BATCH_WAIT_FACTOR 5 /* batch requests accept a longer predicted wait */
+#define RATING_TIMEOUT_MS 3000
+
 static void send_attempt(struct cw_node *node, struct request *request, struct cw_server *server,
 			 enum cw_dispatch_mode mode);
 static struct cw_server *choose_server(struct cw_node *node, struct request *request);
-static void learn_from_attempt(struct cw_node *node, struct request *request,
-			       const struct cw_attempt_end *end);
-static void attempt_answered(struct cw_node *node, struct request *request,
-			     const struct cw_attempt_end *end);
-static void attempt_failed(struct cw_node *node, struct request *request,
+static void record_attempt(struct cw_node *node, struct request *request,
 			   const struct cw_attempt_end *end);
-static void try_again(struct cw_node *node, struct request *request,
-		      const struct cw_attempt_end *end);
-static void choose_sibling(struct cw_node *node, struct request *request,
+static void handle_answer(struct cw_node *node, struct request *request,
+			  const struct cw_attempt_end *end);
+static void handle_failure(struct cw_node *node, struct request *request,
 			   const struct cw_attempt_end *end);
-static void rate(struct cw_node *node, struct request *request, const char *answer, int checked);
+static void retry_request(struct cw_node *node, struct request *request,
+			  const struct cw_attempt_end *end);
+static void choose_other_version(struct cw_node *node, struct request *request,
+				 const struct cw_attempt_end *end);
+static void start_rating(struct cw_node *node, struct request *request, const char *answer,
+			 int checked);
 
 void request_attempt_end(struct cw_node *node, const struct cw_attempt_end *end)
 {
 	struct request *request = request_find(node, end->handle);
 
-	/* A late end of an attempt that was given up must not end the one that took its place. */
+	/* A late result of an abandoned attempt must not end the attempt that replaced it. */
 	if (!request || request->state != REQUEST_RUNNING || end->attempt != request->attempt_count)
 		return;
-	learn_from_attempt(node, request, end);
+	record_attempt(node, request, end);
 	request->shown = MAX(request->shown, end->shown);
 	switch (end->result) {
 	case CW_ATTEMPT_ANSWERED:
-		attempt_answered(node, request, end);
+		handle_answer(node, request, end);
 		break;
 	case CW_ATTEMPT_PASSED:
 		request->http_status = end->http_status;
@@ -43,7 +45,7 @@
 		request_abandon(node, request);
 		break;
 	default:
-		attempt_failed(node, request, end);
+		handle_failure(node, request, end);
 		break;
 	}
 }
@@ -51,17 +53,18 @@
 void request_rated(struct cw_node *node, uint64_t handle, double score)
 {
 	struct request *request = request_find(node, handle);
-	size_t then;
+	size_t escalation;
 
 	if (!request || request->state != REQUEST_RATING)
 		return;
-	then = request->plan.then;
-	/* Without a rating the cheap answer is not known to be good enough: the costly one is. */
+	escalation = request->plan.then;
+	/* Without a rating (score < 0) the cheaper answer may be poor, so the request is escalated
+	 * to the costlier version. */
 	if (score >= 0 && !cw_cascade_falls_short(&request->choice, score)) {
 		request_finish(node, request);
 		return;
 	}
-	choice_take_option(request, then);
+	choice_take_option(request, escalation);
 	request->escalated = 1;
 	request->tried_count = 0;
 	node_event(node, "cascade", "escalate", "request=%s score=%.3f model=%s version=%s",
@@ -77,12 +80,12 @@
 	request_dispatch(node, request, CW_DISPATCH_FRESH);
 }
 
-/* Allowed and withdrawn are looked up again right before every dispatch: the table moves meanwhile.
- */
+/* The table may have changed since admission, so every dispatch checks that the version is still
+ * allowed. */
 void request_dispatch(struct cw_node *node, struct request *request, enum cw_dispatch_mode mode)
 {
 	struct cw_server *server;
-	double limit_ms = (double)node->config.first_wait_ms;
+	double max_wait_ms = (double)node->config.first_wait_ms;
 	double wait_ms;
 
 	if (quarantine_refuses(node, request))
@@ -111,12 +114,12 @@
 		return;
 	}
 	if (request->in.flags & CW_REQUEST_BATCH)
-		limit_ms *= BATCH_WAIT_FACTOR;
-	limit_ms = MIN(limit_ms, (double)(request->deadline_ms - node->now_ms));
+		max_wait_ms *= BATCH_WAIT_FACTOR;
+	max_wait_ms = MIN(max_wait_ms, (double)(request->deadline_ms - node->now_ms));
 	wait_ms = cw_pool_wait_ms(server, node->now_ms);
-	if (mode == CW_DISPATCH_FRESH && request->attempt_count == 0 && wait_ms > limit_ms) {
+	if (mode == CW_DISPATCH_FRESH && request->attempt_count == 0 && wait_ms > max_wait_ms) {
 		request_refuse(node, request, CW_CODE_OVERLOADED,
-			       request_busy_ms(node, wait_ms - limit_ms),
+			       request_busy_ms(node, wait_ms - max_wait_ms),
 			       "the predicted wait is %.0f ms", wait_ms);
 		return;
 	}
@@ -138,7 +141,7 @@
 	g_strlcpy(attempt->version, request->version, CW_NAME_MAX);
 	request->state = REQUEST_RUNNING;
 	request->server = server->id;
-	request->tried[request->tried_count++] = server->id; /* never more than attempts */
+	request->tried[request->tried_count++] = server->id; /* at most one per attempt */
 	cw_pool_dispatched(server, node->now_ms);
 	effect->dispatch.mode = mode;
 	effect->dispatch.attempt = request->attempt_count;
@@ -178,8 +181,8 @@
 
 	if (server || request->attempt_count == 0)
 		return server;
-	/* Every other server is out: the budget of retries bounds how often the same one is asked
-	 * again. */
+	/* All servers were tried or are unusable: servers that were already tried may be chosen
+	 * again, as often as the retry budget allows. */
 	choice.tried_count = 0;
 	request->tried_count = 0;
 	return cw_pool_choose(node->pool, &choice);
@@ -189,12 +192,12 @@
 {
 	int64_t base = (int64_t)CLAMP(wait_ms, 100, 10000);
 
-	/* Jitter, so that callers refused together do not come back together. */
+	/* Jitter spreads the retries of callers that were rejected at the same time. */
 	return base / 2 + (int64_t)(node_random(node) % (uint64_t)base) + 1;
 }
 
-static void learn_from_attempt(struct cw_node *node, struct request *request,
-			       const struct cw_attempt_end *end)
+static void record_attempt(struct cw_node *node, struct request *request,
+			   const struct cw_attempt_end *end)
 {
 	struct attempt *attempt = &request->attempts[request->attempt_count - 1];
 	struct cw_server *server = cw_pool_find(node->pool, attempt->server);
@@ -203,13 +206,15 @@
 	int failed = end->result == CW_ATTEMPT_UNSENT || end->result == CW_ATTEMPT_FAILED ||
 		     end->result == CW_ATTEMPT_BROKEN;
 
-	/* A whole answer comes with its last token: only a stream tells when the first one came. */
+	/* An answer that is not streamed arrives with its last token; only a stream shows the time
+	 * to the first token. */
 	if (request->in.flags & CW_REQUEST_STREAM)
 		first_ms = end->first_ms;
 	attempt->result = end->result;
 	attempt->prompt_tokens = end->prompt_tokens;
 	attempt->completion_tokens = answered || end->shown ? end->completion_tokens : 0;
-	/* A 429 before anything ran leaves "not run" true; whatever else was sent may have run. */
+	/* A request may have run unless it was never sent or was rejected with 429 before it ran.
+	 */
 	if (end->result != CW_ATTEMPT_UNSENT &&
 	    !(end->result == CW_ATTEMPT_BUSY && end->http_status == 429))
 		request->sent = 1;
@@ -224,8 +229,7 @@
 	}
 	if (answered)
 		cw_retry_budget_success(&node->retry_budget);
-	/* A connection that failed says nothing of the version; a server that sends rubbish does.
-	 */
+	/* A failed connection is no evidence against the version; a malformed answer is. */
 	if (request->version_id &&
 	    !cw_quarantine_doubts(node->quarantine, attempt->server, node->now_ms) &&
 	    (end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_FAILED ||
@@ -244,8 +248,8 @@
 			   request->fingerprint);
 }
 
-static void attempt_answered(struct cw_node *node, struct request *request,
-			     const struct cw_attempt_end *end)
+static void handle_answer(struct cw_node *node, struct request *request,
+			  const struct cw_attempt_end *end)
 {
 	uint64_t task = cw_cascade_task(request->organisation, request->in.task);
 	double draw;
@@ -260,25 +264,26 @@
 			request->version_id, end->prompt_tokens + end->completion_tokens);
 	if (request->planned && request->plan.check && !request->escalated) {
 		request->state = REQUEST_RATING;
-		request->wait_until_ms = MIN(node->now_ms + RATE_TIMEOUT_MS, request->deadline_ms);
-		rate(node, request, end->answer, 1);
+		request->wait_until_ms =
+			MIN(node->now_ms + RATING_TIMEOUT_MS, request->deadline_ms);
+		start_rating(node, request, end->answer, 1);
 		return;
 	}
 	draw = cw_hash_part(node_random(node));
 	if (end->answer && draw < cw_cascade_sample_rate(node->cascade, task, request->version_id))
-		rate(node, request, end->answer, 0);
+		start_rating(node, request, end->answer, 0);
 	request_finish(node, request);
 }
 
-static void attempt_failed(struct cw_node *node, struct request *request,
+static void handle_failure(struct cw_node *node, struct request *request,
 			   const struct cw_attempt_end *end)
 {
 	int service = request->in.flags & CW_REQUEST_SERVICE;
 
 	if (service && !(request->in.flags & CW_REQUEST_IDEMPOTENT) && request->sent) {
 		/*
-		 * Some byte of a non-idempotent request was sent. Sending it again could cut the
-		 * moquette twice; it shows as two orders with one key. So the outcome is unknown.
+		 * The server may have received a non-idempotent request. A retry could execute its
+		 * order twice, seen as two orders with one key, so the outcome is reported unknown.
 		 */
 		request_refuse(node, request, CW_CODE_UPSTREAM_FAILED, 0,
 			       "the backend server did not answer; it may have run");
@@ -291,11 +296,11 @@
 			       request->attempt_count);
 		return;
 	}
-	try_again(node, request, end);
+	retry_request(node, request, end);
 }
 
-static void try_again(struct cw_node *node, struct request *request,
-		      const struct cw_attempt_end *end)
+static void retry_request(struct cw_node *node, struct request *request,
+			  const struct cw_attempt_end *end)
 {
 	int64_t retry_ms = request_busy_ms(node, 500);
 
@@ -307,12 +312,12 @@
 	}
 	if (end->shown == 0 && request->shown == 0) {
 		request->resumed = 0;
-		choose_sibling(node, request, end);
+		choose_other_version(node, request, end);
 		request_dispatch(node, request, CW_DISPATCH_FRESH);
 		return;
 	}
-	/* Resumed once where it broke; if that brings nothing, another server goes on from the text
-	 * shown. */
+	/* A broken stream is resumed once on its server. If the resumed stream fails
+	 * too, another server continues from the text that was forwarded. */
 	if (end->result == CW_ATTEMPT_BROKEN && !request->resumed) {
 		request->resumed = 1;
 		request->tried_count--;
@@ -324,11 +329,12 @@
 }
 
 /*
- * The version itself failed, and nothing was shown: where no session and no plan holds the request
- * to it, a sibling answers. A version that has turned bad would else fail it on every server.
+ * The version itself failed before a chunk was forwarded. Unless a session or a cascade plan binds
+ * the request to the version, another version of the model answers. A bad version would otherwise
+ * fail the request on every server.
  */
-static void choose_sibling(struct cw_node *node, struct request *request,
-			   const struct cw_attempt_end *end)
+static void choose_other_version(struct cw_node *node, struct request *request,
+				 const struct cw_attempt_end *end)
 {
 	if (end->result != CW_ATTEMPT_FAILED || !request->version_id || request->binding.key ||
 	    request->planned)
@@ -338,7 +344,8 @@
 		request->tried_count = 0;
 }
 
-static void rate(struct cw_node *node, struct request *request, const char *answer, int checked)
+static void start_rating(struct cw_node *node, struct request *request, const char *answer,
+			 int checked)
 {
 	const struct attempt *last = &request->attempts[request->attempt_count - 1];
 	struct cw_effect *effect = node_effect(node, CW_EFFECT_RATE, request->in.handle);
@@ -357,8 +364,9 @@
 }
 
 /*
- * The answer is whole. Its bill goes to two peers before the caller sees the end, so that the death
- * of this instance between answer and log loses no bill; it shows as an answer without a bill.
+ * Handles a complete answer. Its bill is sent to two peers, and the caller gets the end of the
+ * answer once the bill is mirrored or bill_hold_ms have passed. Without the mirror, a crash of this
+ * instance before the bill is in the log would leave an answer without a bill.
  */
 void request_finish(struct cw_node *node, struct request *request)
 {
--- a/packages/node/src/request_choice.c
+++ b/packages/node/src/request_choice.c
@@ -1,4 +1,4 @@
-/* Which version a request runs on: of its session, of its model's weights, or of the cascade. */
+/* Selects the version of a request: by its session, its model's weights, or the cascade. */
 #include "node_internal.h"
 
 #include <math.h>
@@ -6,15 +6,15 @@
 
 #define AUTO_MODEL "auto"
 
-static const struct cw_row *pick_by_weight(struct cw_node *node, const struct request *request,
-					   const char *model, int *allowed);
-static enum choice_result choose_of_model(struct cw_node *node, struct request *request,
-					  const char *model);
-static enum choice_result choose_of_all(struct cw_node *node, struct request *request);
+static const struct cw_row *select_by_weight(struct cw_node *node, const struct request *request,
+					     const char *model, int *allowed);
+static enum choice_result select_from_model(struct cw_node *node, struct request *request,
+					    const char *model);
+static enum choice_result select_from_all_models(struct cw_node *node, struct request *request);
 static void add_option(struct request *request, const struct cw_row *row);
 static int has_option(const struct request *request, const char *model);
-static void take_row(struct request *request, const struct cw_row *row);
-static uint64_t choice_key(const struct request *request);
+static void set_version(struct request *request, const struct cw_row *row);
+static uint64_t rendezvous_key(const struct request *request);
 
 enum choice_result choice_version(struct cw_node *node, struct request *request)
 {
@@ -24,43 +24,47 @@
 		row = cw_table_row(node->table, request->organisation, request->binding.model,
 				   request->binding.version);
 		if (cw_table_binding_holds(row, request->binding.bound_at)) {
-			take_row(request, row);
+			set_version(request, row);
 			return CHOICE_OK;
 		}
 		/*
-		 * Bound by an instance that knows a later table: what it allows is not known here.
-		 * Choosing anew would move the session; another instance can serve it.
+		 * The binding was made with a newer table, so whether the version is allowed is not
+		 * known here. Another choice would move the session; an instance with the newer
+		 * table can serve the request.
 		 */
 		if (!cw_table_allows(row) &&
 		    request->binding.bound_at > cw_table_offset(node->table))
 			return CHOICE_BEHIND;
-		/* The version was withdrawn: the session goes on, on another version, and the
-		 * answer says so. */
+		/* The version was withdrawn: the session continues on another version, and the
+		 * dispatch event reports session=rebound. */
 		cw_session_remove(node->sessions, request->binding.key);
 		*request->binding.model = '\0';
 		request->rebound = 1;
 	}
 	if (!strcmp(request->in.target, AUTO_MODEL))
-		return choose_of_all(node, request);
-	return choose_of_model(node, request, request->in.target);
+		return select_from_all_models(node, request);
+	return select_from_model(node, request, request->in.target);
 }
 
 /*
- * The smaller offset stands, but only among bindings that hold: one that a withdrawal has ended
- * must not come back by its smaller offset. It shows as a session that moves twice. Where this
- * table is behind the newer binding's, its making tells that the older one had ended.
+ * Among valid bindings of a session the one with the smaller table offset wins. A binding that a
+ * withdrawal has ended must not win again by its smaller offset, which shows as a session that
+ * moves twice. A binding made with a newer table than this instance's proves that the older one had
+ * ended.
  */
 void choice_merge_binding(struct cw_node *node, const struct cw_binding *binding)
 {
-	const struct cw_binding *held = cw_session_find(node->sessions, binding->key, node->now_ms);
+	const struct cw_binding *stored =
+		cw_session_find(node->sessions, binding->key, node->now_ms);
 	const struct cw_row *row = cw_table_row_by_id(node->table, binding->row);
-	int is_newer = binding->bound_at > cw_table_offset(node->table);
+	int is_table_behind = binding->bound_at > cw_table_offset(node->table);
 
-	if (!is_newer && !cw_table_binding_holds(row, binding->bound_at))
+	if (!is_table_behind && !cw_table_binding_holds(row, binding->bound_at))
 		return;
-	if (held && held->bound_at < binding->bound_at &&
-	    (is_newer ||
-	     !cw_table_binding_holds(cw_table_row_by_id(node->table, held->row), held->bound_at)))
+	if (stored && stored->bound_at < binding->bound_at &&
+	    (is_table_behind ||
+	     !cw_table_binding_holds(cw_table_row_by_id(node->table, stored->row),
+				     stored->bound_at)))
 		cw_session_remove(node->sessions, binding->key);
 	cw_session_merge(node->sessions, binding, node->now_ms);
 }
@@ -85,20 +89,20 @@
 	return cw_table_allows(row);
 }
 
-static enum choice_result choose_of_model(struct cw_node *node, struct request *request,
-					  const char *model)
+static enum choice_result select_from_model(struct cw_node *node, struct request *request,
+					    const char *model)
 {
 	int allowed = 0;
-	const struct cw_row *row = pick_by_weight(node, request, model, &allowed);
+	const struct cw_row *row = select_by_weight(node, request, model, &allowed);
 
 	if (!row)
 		return allowed ? CHOICE_NO_WEIGHT : CHOICE_NOT_ALLOWED;
-	take_row(request, row);
+	set_version(request, row);
 	return CHOICE_OK;
 }
 
-/* One version of each allowed model stands for it, by weight; the cascade plans among these. */
-static enum choice_result choose_of_all(struct cw_node *node, struct request *request)
+/* Selects one version of each allowed model by weight; the cascade plans among these. */
+static enum choice_result select_from_all_models(struct cw_node *node, struct request *request)
 {
 	const struct cw_row_list *rows =
 		cw_table_organisation_rows(node->table, request->organisation);
@@ -110,23 +114,23 @@
 	if (!rows)
 		return CHOICE_NOT_ALLOWED;
 	TAILQ_FOREACH(row, rows, organisation_link) {
-		const struct cw_row *picked;
+		const struct cw_row *selected;
 
 		if (!strncmp(row->model, CW_SERVICE_PREFIX, strlen(CW_SERVICE_PREFIX)) ||
 		    has_option(request, row->model))
 			continue;
 		if (!cw_table_allows(row) || request->choice.count == CW_MAX_VERSIONS)
 			continue;
-		picked = pick_by_weight(node, request, row->model, &allowed);
-		if (picked)
-			add_option(request, picked);
+		selected = select_by_weight(node, request, row->model, &allowed);
+		if (selected)
+			add_option(request, selected);
 	}
 	if (request->choice.count == 0)
 		return allowed ? CHOICE_NO_WEIGHT : CHOICE_NOT_ALLOWED;
 	request->choice.task = cw_cascade_task(request->organisation, request->in.task);
 	request->choice.common = cw_cascade_task("", request->in.task);
-	/* A session stays on one version, so it is not sent to a second one; nor can a stream be
-	 * taken back. */
+	/* A session stays on one version and chunks of a stream can't be withdrawn, so neither can
+	 * be escalated to a second version. */
 	request->choice.may_check =
 		!(request->in.flags & CW_REQUEST_STREAM) && !request->binding.key;
 	request->choice.random = node_random(node);
@@ -139,20 +143,20 @@
 }
 
 /*
- * Weighted rendezvous over what is allowed: exact shares, and the same answer on every instance
- * that holds the same table, without a message.
+ * Weighted rendezvous hashing over the allowed versions: it gives each version its exact share of
+ * requests, and the same choice on all instances with the same table, without messages.
  */
-static const struct cw_row *pick_by_weight(struct cw_node *node, const struct request *request,
-					   const char *model, int *allowed)
+static const struct cw_row *select_by_weight(struct cw_node *node, const struct request *request,
+					     const char *model, int *allowed)
 {
 	const struct cw_row_list *rows =
 		cw_table_organisation_rows(node->table, request->organisation);
 	const struct cw_row *best = NULL;
-	const struct cw_row *tripped = NULL;
+	const struct cw_row *fallback = NULL;
 	const struct cw_row *row;
 	double best_score = 0;
-	double tripped_score = 0;
-	uint64_t key = choice_key(request);
+	double fallback_score = 0;
+	uint64_t key = rendezvous_key(request);
 
 	if (!rows)
 		return NULL;
@@ -168,8 +172,7 @@
 		if (isnan(weight) || weight <= 0)
 			continue;
 		cw_health_sibling(node->health, id, cw_pool_version(row->model, ""));
-		/* What failed this request once is its last resort: a sibling may answer it well.
-		 */
+		/* A version that failed this request is used only if no other version is left. */
 		if (id == request->avoid)
 			factor = 0;
 		score = cw_rendezvous(key, id, weight * factor);
@@ -178,13 +181,13 @@
 			best_score = score;
 		}
 		score = cw_rendezvous(key, id, weight);
-		if (score > tripped_score) {
-			tripped = row;
-			tripped_score = score;
+		if (score > fallback_score) {
+			fallback = row;
+			fallback_score = score;
 		}
 	}
-	/* Every version has tripped: a request still gets an answer rather than none. */
-	return best ? best : tripped;
+	/* All versions have tripped or failed: an answer from any of them is better than none. */
+	return best ? best : fallback;
 }
 
 static void add_option(struct request *request, const struct cw_row *row)
@@ -209,7 +212,7 @@
 	return 0;
 }
 
-static void take_row(struct request *request, const struct cw_row *row)
+static void set_version(struct request *request, const struct cw_row *row)
 {
 	double cost = row->cell[CW_COLUMN_COST];
 
@@ -220,7 +223,7 @@
 	request->cost_per_1k = isnan(cost) ? 0 : cost;
 }
 
-static uint64_t choice_key(const struct request *request)
+static uint64_t rendezvous_key(const struct request *request)
 {
 	if (request->binding.key)
 		return request->binding.key;
