--- a/packages/request/include/cw_claims.h
+++ b/packages/request/include/cw_claims.h
@@ -2,10 +2,10 @@
  * At-most-once execution, replayed from the records of the `claims` stream. The first claim of an
  * idempotency key in log order holds the key. A release ("not run") frees the key for the next
  * claim; an outcome answers every later request with the key. Keys are guarded for a time window on
- * the log's clock. The log's retention is shorter than the window, so one instance appends the
- * guarded keys again as "kept" entries and then appends a floor: all claims recorded before the
- * floor's offset are repeated after it. A reader that started at or before a floor therefore knows
- * every guarded key.
+ * the log's clock. The log's retention is shorter than the window, so one instance appends a
+ * checkpoint: the guarded keys again ("kept" entries), then a floor. All guarded claims recorded
+ * before the offset that the floor names are repeated after it, so a reader that started at or
+ * before that offset knows every guarded key.
  */
 #ifndef CW_CLAIMS_H
 #define CW_CLAIMS_H
--- a/packages/request/src/answer.c
+++ b/packages/request/src/answer.c
@@ -27,7 +27,7 @@
 	     void (*forward)(void *context, const char *event, size_t size), void *context);
 static enum cw_answer_state parse_chunk_data(struct cw_answer *answer, const char *data);
 static void record_usage(struct cw_answer *answer, struct json_object *chunk);
-static const char *get_content(struct json_object *chunk, const char *part);
+static const char *get_content(struct json_object *chunk, const char *member_name);
 static char *copy_first_event(GString *pending, size_t *length);
 
 struct cw_answer *cw_answer_create(size_t max_bytes)
@@ -128,11 +128,6 @@
 	return status;
 }
 
-/*
- * A resumed or delayed stream can repeat a chunk, and a broken one can leave a gap. Forwarding a
- * chunk twice or skipping one corrupts the answer, so repeats and gaps are detected by the sequence
- * numbers of the chunks.
- */
 static enum cw_answer_state
 parse_event(struct cw_answer *answer, const char *event,
 	    void (*forward)(void *context, const char *event, size_t size), void *context)
@@ -162,16 +157,21 @@
 	return state;
 }
 
+/*
+ * A resumed or delayed stream can repeat a chunk, and a broken one can leave a gap. Forwarding a
+ * chunk twice or skipping one corrupts the answer, so repeats and gaps are detected by the sequence
+ * numbers of the chunks.
+ */
 static enum cw_answer_state
 handle_chunk(struct cw_answer *answer, int64_t sequence, const char *data,
 	     void (*forward)(void *context, const char *event, size_t size), void *context)
 {
 	/* Engines number chunks from 0 or from 1; unnumbered chunks are numbered here, from 1. */
-	int64_t next = answer->last_sequence < 0 ? 1 : answer->last_sequence + 1;
+	int64_t next_sequence = answer->last_sequence < 0 ? 1 : answer->last_sequence + 1;
 	enum cw_answer_state state;
 	char *event;
 
-	if (sequence > next)
+	if (sequence > next_sequence)
 		return CW_ANSWER_MALFORMED;
 	if (!strcmp(data, STREAM_END))
 		return CW_ANSWER_DONE;
@@ -180,7 +180,7 @@
 		return CW_ANSWER_MORE;
 	}
 	state = parse_chunk_data(answer, data);
-	answer->last_sequence = sequence >= 0 ? sequence : next;
+	answer->last_sequence = sequence >= 0 ? sequence : next_sequence;
 	if (state != CW_ANSWER_MORE)
 		return state;
 	event = g_strdup_printf("id: %u\ndata: %s\n\n", ++answer->forwarded_chunks, data);
@@ -222,26 +222,26 @@
 			(unsigned int)CLAMP(json_object_get_int64(value), 0, G_MAXINT);
 	/* The engine counts its whole stream, including the tokens before a resume. */
 	if (json_object_object_get_ex(usage, "completion_tokens", &value)) {
-		int64_t total_tokens =
+		int64_t tokens =
 			json_object_get_int64(value) - (int64_t)answer->tokens_before_resume;
 
-		answer->attempt_tokens = (unsigned int)CLAMP(total_tokens, 0, G_MAXINT);
+		answer->attempt_tokens = (unsigned int)CLAMP(tokens, 0, G_MAXINT);
 	}
 }
 
-static const char *get_content(struct json_object *chunk, const char *part)
+static const char *get_content(struct json_object *chunk, const char *member_name)
 {
 	struct json_object *choices;
 	struct json_object *choice;
-	struct json_object *delta;
+	struct json_object *message;
 	struct json_object *content;
 
 	if (!json_object_object_get_ex(chunk, "choices", &choices) ||
 	    !json_object_is_type(choices, json_type_array))
 		return NULL;
 	choice = json_object_array_get_idx(choices, 0);
-	if (!json_object_object_get_ex(choice, part, &delta) ||
-	    !json_object_object_get_ex(delta, "content", &content))
+	if (!json_object_object_get_ex(choice, member_name, &message) ||
+	    !json_object_object_get_ex(message, "content", &content))
 		return NULL;
 	return json_object_get_string(content);
 }
--- a/tests/unit/test_ledger.c
+++ b/tests/unit/test_ledger.c
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-static void a_bill_leaves_only_when_it_was_seen(void **state)
+static void a_bill_stays_until_its_record_is_confirmed(void **state)
 {
 	struct cw_ledger *ledger = cw_ledger_create();
 	struct cw_bill_list settled = TAILQ_HEAD_INITIALIZER(settled);
@@ -39,7 +39,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_bill_leaves_only_when_it_was_seen),
+		cmocka_unit_test(a_bill_stays_until_its_record_is_confirmed),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
