--- a/packages/node/src/node_request.c
+++ b/packages/node/src/node_request.c
@@ -275,9 +275,9 @@
 }
 
 /*
- * The version follows from the session key and the table. If routing has not changed for longer
- * than the idle time-out of sessions, every live session has the version of the current table and
- * no peer needs to be asked.
+ * The session key and the table determine the version. If routing has not changed for longer than
+ * the idle time-out of sessions, every live session was bound with the current routing, so no peer
+ * needs to be asked.
  */
 static int needs_binding_query(const struct cw_node *node)
 {
@@ -368,12 +368,13 @@
 		.tokens_per_s = row->cell[CW_COLUMN_TOKENS_PER_S],
 		.concurrent = row->cell[CW_COLUMN_CONCURRENT],
 	};
-	unsigned int answer = request->in.max_tokens
-				      ? MIN(request->in.max_tokens, DEFAULT_ANSWER_TOKENS)
-				      : DEFAULT_ANSWER_TOKENS;
+	unsigned int answer_tokens = request->in.max_tokens
+					     ? MIN(request->in.max_tokens, DEFAULT_ANSWER_TOKENS)
+					     : DEFAULT_ANSWER_TOKENS;
 
-	request->expected_tokens =
-		request->in.flags & CW_REQUEST_SERVICE ? 0 : request->in.prompt_tokens + answer;
+	request->expected_tokens = request->in.flags & CW_REQUEST_SERVICE
+					   ? 0
+					   : request->in.prompt_tokens + answer_tokens;
 	if (cw_limits_admit(node->limits, &limit, request->expected_tokens, node->now_ms,
 			    retry_after_ms) != CW_OK)
 		return 0;
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -141,7 +141,8 @@
 	g_strlcpy(attempt->version, request->version, CW_NAME_MAX);
 	request->state = REQUEST_RUNNING;
 	request->server = server->id;
-	request->tried[request->tried_count++] = server->id; /* at most one per attempt */
+	request->tried[request->tried_count++] =
+		server->id; /* within bounds: one entry per attempt at most */
 	cw_pool_dispatched(server, node->now_ms);
 	effect->dispatch.mode = mode;
 	effect->dispatch.attempt = request->attempt_count;
@@ -229,7 +230,8 @@
 	}
 	if (answered)
 		cw_retry_budget_success(&node->retry_budget);
-	/* A failed connection is no evidence against the version; a malformed answer is. */
+	/* A request that was never sent is no evidence against the version; a malformed or broken
+	 * answer is. */
 	if (request->version_id &&
 	    !cw_quarantine_doubts(node->quarantine, attempt->server, node->now_ms) &&
 	    (end->result == CW_ATTEMPT_ANSWERED || end->result == CW_ATTEMPT_FAILED ||
@@ -252,7 +254,7 @@
 			  const struct cw_attempt_end *end)
 {
 	uint64_t task = cw_cascade_task(request->organisation, request->in.task);
-	double draw;
+	double sample;
 
 	request->http_status = end->http_status;
 	if (request->in.flags & CW_REQUEST_SERVICE) {
@@ -269,8 +271,9 @@
 		start_rating(node, request, end->answer, 1);
 		return;
 	}
-	draw = cw_hash_part(node_random(node));
-	if (end->answer && draw < cw_cascade_sample_rate(node->cascade, task, request->version_id))
+	sample = cw_hash_part(node_random(node));
+	if (end->answer &&
+	    sample < cw_cascade_sample_rate(node->cascade, task, request->version_id))
 		start_rating(node, request, end->answer, 0);
 	request_finish(node, request);
 }
@@ -278,9 +281,9 @@
 static void handle_failure(struct cw_node *node, struct request *request,
 			   const struct cw_attempt_end *end)
 {
-	int service = request->in.flags & CW_REQUEST_SERVICE;
+	int is_service = request->in.flags & CW_REQUEST_SERVICE;
 
-	if (service && !(request->in.flags & CW_REQUEST_IDEMPOTENT) && request->sent) {
+	if (is_service && !(request->in.flags & CW_REQUEST_IDEMPOTENT) && request->sent) {
 		/*
 		 * The server may have received a non-idempotent request. A retry could execute its
 		 * order twice, seen as two orders with one key, so the outcome is reported unknown.
@@ -316,8 +319,8 @@
 		request_dispatch(node, request, CW_DISPATCH_FRESH);
 		return;
 	}
-	/* A broken stream is resumed once on its server. If the resumed stream fails
-	 * too, another server continues from the text that was forwarded. */
+	/* A broken stream is resumed once on its server. If the resumed stream fails too, another
+	 * server continues from the text that was forwarded. */
 	if (end->result == CW_ATTEMPT_BROKEN && !request->resumed) {
 		request->resumed = 1;
 		request->tried_count--;
--- a/packages/node/src/request_choice.c
+++ b/packages/node/src/request_choice.c
@@ -48,9 +48,9 @@
 
 /*
  * Among valid bindings of a session the one with the smaller table offset wins. A binding that a
- * withdrawal has ended must not win again by its smaller offset, which shows as a session that
- * moves twice. A binding made with a newer table than this instance's proves that the older one had
- * ended.
+ * withdrawal has ended must not win again by its smaller offset, which would move the session to
+ * another version twice. A binding made with a newer table than this instance's proves that the
+ * older one had ended.
  */
 void choice_merge_binding(struct cw_node *node, const struct cw_binding *binding)
 {
@@ -144,7 +144,7 @@
 
 /*
  * Weighted rendezvous hashing over the allowed versions: it gives each version its exact share of
- * requests, and the same choice on all instances with the same table, without messages.
+ * requests, and the same choice on all instances with the same table and health, without messages.
  */
 static const struct cw_row *select_by_weight(struct cw_node *node, const struct request *request,
 					     const char *model, int *allowed)
@@ -163,7 +163,7 @@
 	TAILQ_FOREACH(row, rows, organisation_link) {
 		double weight = row->cell[CW_COLUMN_WEIGHT];
 		uint64_t id = cw_pool_version(row->model, row->version);
-		double factor = cw_health_factor(node->health, id, node->now_ms);
+		double weight_factor = cw_health_factor(node->health, id, node->now_ms);
 		double score;
 
 		if (strcmp(row->model, model) != 0 || !cw_table_allows(row))
@@ -174,9 +174,9 @@
 		cw_health_sibling(node->health, id, cw_pool_version(row->model, ""));
 		/* A version that failed this request is used only if no other version is left. */
 		if (id == request->avoid)
-			factor = 0;
-		score = cw_rendezvous(key, id, weight * factor);
-		if (factor > 0 && score > best_score) {
+			weight_factor = 0;
+		score = cw_rendezvous(key, id, weight * weight_factor);
+		if (weight_factor > 0 && score > best_score) {
 			best = row;
 			best_score = score;
 		}
--- a/packages/request/include/cw_ledger.h
+++ b/packages/request/include/cw_ledger.h
@@ -40,13 +40,14 @@
 void cw_ledger_settle_record(struct cw_ledger *ledger,
 			     const char *record); /* settles all bills of a record of the log */
 size_t
-cw_ledger_take(struct cw_ledger *ledger, uint64_t append, const char *origin, size_t max,
+cw_ledger_take(struct cw_ledger *ledger, uint64_t append_ticket, const char *origin,
+	       size_t max_bills,
 	       char **record); /* marks up to max bills and builds their record; g_free(record) */
 void cw_ledger_append_failed(
 	struct cw_ledger *ledger,
-	uint64_t append); /* its bills may be appended again, after reading back */
+	uint64_t append_ticket); /* its bills may be appended again, after reading back */
 size_t
-cw_ledger_append_done(struct cw_ledger *ledger, uint64_t append,
+cw_ledger_append_done(struct cw_ledger *ledger, uint64_t append_ticket,
 		      struct cw_bill_list *settled); /* moves its bills to settled; caller frees */
 void cw_bill_destroy(struct cw_bill *bill);
 uint64_t
--- a/packages/request/src/claims.c
+++ b/packages/request/src/claims.c
@@ -43,7 +43,7 @@
 			  const char *array_name,
 			  void (*apply)(struct cw_claims *claims, struct json_object *item));
 static void set_outcome(struct entry *entry, struct json_object *item);
-static struct entry *entry_create(struct cw_claims *claims, struct json_object *item,
+static struct entry *entry_insert(struct cw_claims *claims, struct json_object *item,
 				  uint64_t offset, int64_t time_ms);
 static void remove_expired(struct cw_claims *claims);
 static uint64_t get_number(struct json_object *item, const char *key);
@@ -253,7 +253,7 @@
 	/* A claim whose append was retried after its release must not acquire the key again. */
 	if (g_hash_table_contains(claims->released_claims, &holder))
 		return;
-	entry_create(claims, item, claims->offset, claims->log_time_ms);
+	entry_insert(claims, item, claims->offset, claims->log_time_ms);
 }
 
 static void apply_release(struct cw_claims *claims, struct json_object *item)
@@ -302,7 +302,7 @@
 		entry = NULL;
 	}
 	if (!entry)
-		entry = entry_create(claims, item, offset, time_ms);
+		entry = entry_insert(claims, item, offset, time_ms);
 	if (entry->holder == holder && entry->state == CW_CLAIM_PENDING &&
 	    json_object_object_get_ex(item, "status", NULL))
 		set_outcome(entry, item);
@@ -318,7 +318,7 @@
 		entry->answer = g_strdup(json_object_get_string(value));
 }
 
-static struct entry *entry_create(struct cw_claims *claims, struct json_object *item,
+static struct entry *entry_insert(struct cw_claims *claims, struct json_object *item,
 				  uint64_t offset, int64_t time_ms)
 {
 	struct entry *entry = g_new0(struct entry, 1);
--- a/packages/request/src/ledger.c
+++ b/packages/request/src/ledger.c
@@ -91,20 +91,20 @@
 	json_object_put(parsed);
 }
 
-size_t cw_ledger_take(struct cw_ledger *ledger, uint64_t append, const char *origin, size_t max,
-		      char **record)
+size_t cw_ledger_take(struct cw_ledger *ledger, uint64_t append_ticket, const char *origin,
+		      size_t max_bills, char **record)
 {
 	GString *text = g_string_new("{\"bills\":[");
 	struct cw_bill *bill;
 	size_t count = 0;
 
 	TAILQ_FOREACH(bill, &ledger->bills, link) {
-		if (count == max)
+		if (count == max_bills)
 			break;
 		if (bill->append || strcmp(bill->origin, origin) != 0)
 			continue;
 		g_string_append_printf(text, "%s%s", count ? "," : "", bill->text);
-		bill->append = append;
+		bill->append = append_ticket;
 		count++;
 	}
 	g_string_append(text, "]}");
@@ -112,17 +112,17 @@
 	return count;
 }
 
-void cw_ledger_append_failed(struct cw_ledger *ledger, uint64_t append)
+void cw_ledger_append_failed(struct cw_ledger *ledger, uint64_t append_ticket)
 {
 	struct cw_bill *bill;
 
 	TAILQ_FOREACH(bill, &ledger->bills, link) {
-		if (bill->append == append)
+		if (bill->append == append_ticket)
 			bill->append = 0;
 	}
 }
 
-size_t cw_ledger_append_done(struct cw_ledger *ledger, uint64_t append,
+size_t cw_ledger_append_done(struct cw_ledger *ledger, uint64_t append_ticket,
 			     struct cw_bill_list *settled)
 {
 	struct cw_bill *bill = TAILQ_FIRST(&ledger->bills);
@@ -131,7 +131,7 @@
 	while (bill) {
 		struct cw_bill *next = TAILQ_NEXT(bill, link);
 
-		if (bill->append == append) {
+		if (bill->append == append_ticket) {
 			ledger_remove(ledger, bill);
 			TAILQ_INSERT_TAIL(settled, bill, link);
 			count++;
