--- a/apps/corianderwalk/job_attempt.c
+++ b/apps/corianderwalk/job_attempt.c
@@ -54,7 +54,7 @@
 		g_strdup_printf("X-Priority: %s",
 				job->in.request.flags & CW_REQUEST_BATCH ? "batch" : "interactive"),
 		is_resume ? g_strdup_printf("Last-Event-ID: %" G_GUINT64_FORMAT,
-					    cw_answer_sequence(job->answer))
+					    cw_answer_last_sequence(job->answer))
 			  : NULL,
 		NULL,
 	};
@@ -78,7 +78,7 @@
 	struct cw_http_answer answer;
 	enum cw_status status;
 
-	cw_answer_begin(job->answer, is_resume);
+	cw_answer_begin_attempt(job->answer, is_resume);
 	status = cw_http_perform(&call, &answer, NULL);
 	job->upstream_answer = answer;
 	if (job_is_stream(job))
@@ -159,13 +159,13 @@
 	message->attempt.is_cut = answer->is_cut;
 	message->attempt.prompt_tokens = prompt;
 	message->attempt.completion_tokens = completion;
-	message->attempt.shown = cw_answer_shown(job->answer);
+	message->attempt.shown = cw_answer_forwarded_chunks(job->answer);
 	message->attempt.first_ms = answer->first_ms;
 	message->attempt.total_ms = answer->total_ms;
 	message->attempt.answer = text;
 	message->event.attempt = &message->attempt;
-	if (cw_answer_dropped(job->answer) > 0)
-		cw_count("chunks_dropped_total", "", cw_answer_dropped(job->answer));
+	if (cw_answer_dropped_chunks(job->answer) > 0)
+		cw_count("chunks_dropped_total", "", cw_answer_dropped_chunks(job->answer));
 	if (job->has_foreign_id)
 		cw_count("foreign_answers_total", "", 1);
 	/* For the headers of the caller's answer, should this be the last attempt. */
@@ -195,8 +195,9 @@
 					       unsigned int *prompt, unsigned int *completion,
 					       char **text)
 {
-	if (cw_answer_parse_whole(job->upstream_answer.body ? job->upstream_answer.body : "",
-				  job->upstream_answer.size, prompt, completion, text) != CW_OK)
+	if (cw_answer_parse_completion(job->upstream_answer.body ? job->upstream_answer.body : "",
+				       job->upstream_answer.size, prompt, completion,
+				       text) != CW_OK)
 		return CW_ATTEMPT_FAILED;
 	return CW_ATTEMPT_ANSWERED;
 }
@@ -308,7 +309,7 @@
 	}
 	state = cw_answer_feed(job->answer, data, size, forward_event, job);
 	job->is_complete = state == CW_ANSWER_DONE;
-	return state != CW_ANSWER_MORE || has_caller_left(job);
+	return state != CW_ANSWER_INCOMPLETE || has_caller_left(job);
 }
 
 static int is_cancelled(void *context)
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -140,10 +140,10 @@
 		request_begin(node, event->request);
 		break;
 	case CW_EVENT_ATTEMPT_END:
-		request_attempt_end(node, event->attempt);
+		request_handle_attempt_end(node, event->attempt);
 		break;
 	case CW_EVENT_CALLER_DISCONNECTED:
-		request_caller_gone(node, event->disconnected_handle);
+		request_handle_disconnect(node, event->disconnected_handle);
 		break;
 	case CW_EVENT_RECORDS:
 		log_handle_records(node, event->records);
@@ -165,7 +165,7 @@
 			gossip_add_rating(node, event->rated.task, event->rated.common,
 					  event->rated.version, event->rated.score,
 					  event->rated.tokens);
-		request_rated(node, event->rated.handle, event->rated.score);
+		request_handle_rating(node, event->rated.handle, event->rated.score);
 		break;
 	case CW_EVENT_ORDERED:
 		rollout_handle_order_result(node, event->ordered.ticket, event->ordered.status);
@@ -180,7 +180,7 @@
 	if (event->kind == CW_EVENT_TICK) {
 		node_divide_limits(node);
 		node_poll_loads(node);
-		request_tick(node);
+		request_check_timeouts(node);
 		rollout_tick(node);
 		node_remove_expired(node);
 	}
--- a/packages/node/src/node_bills.c
+++ b/packages/node/src/node_bills.c
@@ -48,13 +48,13 @@
 	count = cw_membership_find_owners(node->membership, cw_hash_text(id, 8), node->now_ms,
 					  mirrors, BILL_MIRRORS);
 	for (size_t i = 0; i < count; i++) {
-		bill->homes[i] = mirrors[i]->id;
+		bill->mirror_members[i] = mirrors[i]->id;
 		gossip_send(node, mirrors[i], &message);
 	}
 	g_free(text);
 	/* No peer can hold a mirror, so the answer is not delayed for one. */
 	if (count == 0)
-		request_bill_safe(node, id);
+		request_confirm_bill(node, id);
 }
 
 /* The origin's name includes its boot id, as a restarted origin has lost its earlier bills. */
@@ -96,7 +96,7 @@
 			bill->mirrored = 1;
 		else if (count < CW_BILL_BATCH)
 			settled[count++] = bills->list.list_val[i];
-		request_bill_safe(node, bills->list.list_val[i].id);
+		request_confirm_bill(node, bills->list.list_val[i].id);
 	}
 	if (count == 0)
 		return;
@@ -131,12 +131,12 @@
 	node->bills_state = BILLS_IDLE;
 	if (appended->status == CW_OK) {
 		node->bills_end_offset = MAX(node->bills_end_offset, appended->offset + 1);
-		cw_ledger_append_done(node->ledger, appended->ticket, &settled);
+		cw_ledger_complete_append(node->ledger, appended->ticket, &settled);
 		announce_settled(node, &settled);
 		node->bills_due_ms = 0;
 		return;
 	}
-	cw_ledger_append_failed(node->ledger, appended->ticket);
+	cw_ledger_fail_append(node->ledger, appended->ticket);
 	/*
 	 * The response can be lost after the record was stored. Appending the bills again would
 	 * bill twice: two records with the same bill id. So the stream is read back first, from the
@@ -198,7 +198,7 @@
 	g_free(node->bills_origin);
 	node->bills_origin = g_strdup("");
 	if (node->bills_need_read_back)
-		read_back(node, cw_ledger_oldest_noted(node->ledger, ""));
+		read_back(node, cw_ledger_read_back_offset(node->ledger, ""));
 	else
 		append_bills(node);
 }
@@ -235,9 +235,9 @@
 		char **parts;
 
 		if (!*bill->origin || is_origin_unavailable(node, bill->origin) ||
-		    node->now_ms - MAX(bill->asked_ms, bill->made_ms) < ORIGIN_QUERY_MS)
+		    node->now_ms - MAX(bill->origin_asked_ms, bill->created_ms) < ORIGIN_QUERY_MS)
 			continue;
-		bill->asked_ms = node->now_ms;
+		bill->origin_asked_ms = node->now_ms;
 		parts = g_strsplit(bill->origin, "#", 2);
 		origin = cw_membership_find(node->membership, parts[0]);
 		g_strfreev(parts);
@@ -262,7 +262,7 @@
 		node->bills_origin = g_strdup(bill->origin);
 		node_log_event(node, "bills", "take_over", "origin=%s held=%zu", node->bills_origin,
 			       cw_ledger_count(node->ledger, node->bills_origin));
-		read_back(node, cw_ledger_oldest_noted(node->ledger, node->bills_origin));
+		read_back(node, cw_ledger_read_back_offset(node->ledger, node->bills_origin));
 		return;
 	}
 }
@@ -291,7 +291,8 @@
 
 	/* The bills are marked with the ticket that log_append is going to draw. */
 	ticket = node->next_ticket;
-	if (cw_ledger_take(node->ledger, ticket, node->bills_origin, CW_BILL_BATCH, &record) == 0) {
+	if (cw_ledger_begin_append(node->ledger, ticket, node->bills_origin, CW_BILL_BATCH,
+				   &record) == 0) {
 		g_free(record);
 		node->bills_due_ms = 0;
 		return;
@@ -329,7 +330,7 @@
 		announce_settled_to(node, member, settled);
 	while ((bill = TAILQ_FIRST(settled))) {
 		TAILQ_REMOVE(settled, bill, link);
-		request_bill_safe(node, bill->id);
+		request_confirm_bill(node, bill->id);
 		cw_bill_destroy(bill);
 	}
 }
@@ -345,7 +346,7 @@
 	u_int count = 0;
 
 	TAILQ_FOREACH(bill, settled, link) {
-		if (bill->homes[0] != member->id && bill->homes[1] != member->id)
+		if (bill->mirror_members[0] != member->id && bill->mirror_members[1] != member->id)
 			continue;
 		items[count].id = bill->id;
 		items[count++].text = (char *)"";
--- a/packages/node/src/node_claims.c
+++ b/packages/node/src/node_claims.c
@@ -68,7 +68,7 @@
 
 void claims_notify_requests(struct cw_node *node)
 {
-	request_claims_changed(node);
+	request_check_claims(node);
 }
 
 void claims_close(struct cw_node *node)
@@ -176,8 +176,8 @@
 	struct json_object *record = json_object_new_object();
 	uint64_t last = node->checkpoint_after;
 
-	if (cw_claims_add_kept(node->claims, record, node->checkpoint_after, CHECKPOINT_BATCH_KEYS,
-			       &last) == 0) {
+	if (cw_claims_add_checkpoint(node->claims, record, node->checkpoint_after,
+				     CHECKPOINT_BATCH_KEYS, &last) == 0) {
 		cw_claims_add_floor(record, node->checkpoint_floor);
 		node_log_event(node, "claims", "floor", "floor=%" G_GUINT64_FORMAT,
 			       node->checkpoint_floor);
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -505,7 +505,7 @@
 
 	g_strlcpy(binding.model, bind->model, CW_NAME_MAX);
 	g_strlcpy(binding.version, bind->model_version, CW_NAME_MAX);
-	request_bound(node, &binding, handle);
+	request_handle_binding(node, &binding, handle);
 }
 
 static void send_binding(struct cw_node *node, const struct cw_member *member,
--- a/packages/node/src/node_internal.h
+++ b/packages/node/src/node_internal.h
@@ -51,10 +51,10 @@
 	int64_t deadline_ms;
 	int64_t wait_until_ms; /* end of the wait in the current state */
 
-	struct cw_binding binding; /* key 0: no session */
-	size_t answers_awaited;	   /* owners that have not answered the binding query */
-	uint64_t avoid;		   /* version id that failed this request, 0 none */
-	int rebound;		   /* the version of its session was withdrawn */
+	struct cw_binding binding;	/* key 0: no session */
+	size_t pending_binding_answers; /* owners that have not answered the binding query */
+	uint64_t failed_version;	/* version id that failed this request, 0 none */
+	int rebound;			/* the version of its session was withdrawn */
 
 	struct cw_claim claim; /* claim 0: none */
 
@@ -228,36 +228,37 @@
 
 /* node_request.c */
 void request_begin(struct cw_node *node, const struct cw_node_request *in);
-void request_attempt_end(struct cw_node *node, const struct cw_attempt_end *end);
-void request_caller_gone(struct cw_node *node, uint64_t handle);
-void request_rated(struct cw_node *node, uint64_t handle, double score);
-void request_bound(struct cw_node *node, const struct cw_binding *binding, uint64_t handle);
-void request_claims_changed(struct cw_node *node);
-void request_bill_safe(struct cw_node *node, const char *bill_id);
-void request_tick(struct cw_node *node);
+void request_handle_attempt_end(struct cw_node *node, const struct cw_attempt_end *end);
+void request_handle_disconnect(struct cw_node *node, uint64_t handle);
+void request_handle_rating(struct cw_node *node, uint64_t handle, double score);
+void request_handle_binding(struct cw_node *node, const struct cw_binding *binding,
+			    uint64_t handle);
+void request_check_claims(struct cw_node *node);
+void request_confirm_bill(struct cw_node *node, const char *bill_id);
+void request_check_timeouts(struct cw_node *node);
 
 /* node_request.c, for request_attempt.c */
 struct request *request_find(struct cw_node *node, uint64_t handle); /* NULL: not found */
 void request_destroy(struct cw_node *node, struct request *request);
 void request_abandon(struct cw_node *node, struct request *request);
-void request_keep_binding(struct cw_node *node, struct request *request);
-void request_refuse(struct cw_node *node, struct request *request, enum cw_error_code code,
+void request_store_binding(struct cw_node *node, struct request *request);
+void request_reject(struct cw_node *node, struct request *request, enum cw_error_code code,
 		    int64_t retry_after_ms, const char *format, ...)
 	__attribute__((format(printf, 5, 6)));
 
 /* request_attempt.c */
 void request_dispatch(struct cw_node *node, struct request *request, enum cw_dispatch_mode mode);
-void request_finish(struct cw_node *node, struct request *request);
-void request_release(struct cw_node *node, struct request *request);
-int64_t request_busy_ms(struct cw_node *node, double wait_ms); /* retry time, with jitter */
+void request_start_billing(struct cw_node *node, struct request *request);
+void request_complete(struct cw_node *node, struct request *request);
+int64_t request_retry_after_ms(struct cw_node *node, double wait_ms); /* retry time, with jitter */
 
 /* request_choice.c */
-enum choice_result { CHOICE_OK, CHOICE_NOT_ALLOWED, CHOICE_NO_WEIGHT, CHOICE_BEHIND };
-enum choice_result choice_version(struct cw_node *node, struct request *request);
+enum choice_result { CHOICE_OK, CHOICE_NOT_ALLOWED, CHOICE_NO_WEIGHT, CHOICE_TABLE_OUTDATED };
+enum choice_result choice_select_version(struct cw_node *node, struct request *request);
 void choice_merge_binding(struct cw_node *node, const struct cw_binding *binding);
-void choice_take_option(struct request *request, size_t index);
-int choice_holds(struct cw_node *node,
-		 const struct request *request); /* 1: its version is still allowed */
+void choice_apply_option(struct request *request, size_t index);
+int choice_is_allowed(struct cw_node *node,
+		      const struct request *request); /* 1: its version is still allowed */
 
 /* node_log.c */
 void log_open(struct cw_node *node);
--- a/packages/node/src/node_log.c
+++ b/packages/node/src/node_log.c
@@ -282,7 +282,8 @@
 			log_apply_table_record(node, record);
 		break;
 	case CW_STREAM_CLAIMS:
-		cw_claims_fold(node->claims, record->offset, record->time_ms, record->data, NULL);
+		cw_claims_apply_record(node->claims, record->offset, record->time_ms, record->data,
+				       NULL);
 		if (cw_claims_floor(node->claims) > floor)
 			node->checkpoint_wall_ms = record->time_ms;
 		break;
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -24,7 +24,7 @@
 	if (!cw_quarantine_contains(node->quarantine, request->fingerprint) ||
 	    begin_trial(node, request))
 		return 0;
-	request_refuse(node, request, CW_CODE_QUARANTINED, 0,
+	request_reject(node, request, CW_CODE_QUARANTINED, 0,
 		       "backend servers ended under this request");
 	return 1;
 }
--- a/packages/node/src/node_request.c
+++ b/packages/node/src/node_request.c
@@ -10,7 +10,7 @@
 #define PLATFORM_RETRY_MS     1000
 #define BINDING_ANNOUNCE_MS   10000 /* interval of announcing a binding in use to its owners */
 
-static struct request *request_create(struct cw_node *node, const struct cw_request_in *in);
+static struct request *request_create(struct cw_node *node, const struct cw_node_request *in);
 static int resolve_service(struct cw_node *node, struct request *request);
 static void resolve_session(struct cw_node *node, struct request *request);
 static int needs_binding_query(const struct cw_node *node);
@@ -26,22 +26,22 @@
 	const char *organisation;
 
 	if (node->running > CW_MAX_REQUESTS) {
-		request_refuse(node, request, CW_CODE_OVERLOADED, request_busy_ms(node, 1000),
-			       "this instance is full");
+		request_reject(node, request, CW_CODE_OVERLOADED,
+			       request_retry_after_ms(node, 1000), "this instance is full");
 		return;
 	}
 	if (node_rejects_requests(node)) {
-		request_refuse(node, request, CW_CODE_LEAVING, 100, "this instance is leaving");
+		request_reject(node, request, CW_CODE_LEAVING, 100, "this instance is leaving");
 		return;
 	}
 	if (cw_table_offset(node->table) == 0) {
-		request_refuse(node, request, CW_CODE_PLATFORM_UNAVAILABLE, PLATFORM_RETRY_MS,
+		request_reject(node, request, CW_CODE_PLATFORM_UNAVAILABLE, PLATFORM_RETRY_MS,
 			       "no table was learned yet");
 		return;
 	}
 	organisation = cw_table_find_organisation(node->table, in->key_sha256);
 	if (!organisation) {
-		request_refuse(node, request, CW_CODE_UNAUTHORISED, 0,
+		request_reject(node, request, CW_CODE_UNAUTHORISED, 0,
 			       "no organisation has this key");
 		return;
 	}
@@ -57,7 +57,7 @@
 	resolve_session(node, request);
 }
 
-void request_caller_gone(struct cw_node *node, uint64_t handle)
+void request_handle_disconnect(struct cw_node *node, uint64_t handle)
 {
 	struct request *request = request_find(node, handle);
 
@@ -75,7 +75,7 @@
 	request_abandon(node, request);
 }
 
-void request_bound(struct cw_node *node, const struct cw_binding *binding, uint64_t handle)
+void request_handle_binding(struct cw_node *node, const struct cw_binding *binding, uint64_t handle)
 {
 	struct request *request = request_find(node, handle);
 
@@ -83,13 +83,13 @@
 		choice_merge_binding(node, binding);
 	if (!request || request->state != REQUEST_BINDING || request->binding.key != binding->key)
 		return;
-	if (request->answers_awaited > 0)
-		request->answers_awaited--;
-	if (binding->bound_at || request->answers_awaited == 0)
+	if (request->pending_binding_answers > 0)
+		request->pending_binding_answers--;
+	if (binding->bound_at || request->pending_binding_answers == 0)
 		admit_with_binding(node, request);
 }
 
-void request_claims_changed(struct cw_node *node)
+void request_check_claims(struct cw_node *node)
 {
 	struct request *request = LIST_FIRST(&node->requests);
 
@@ -102,7 +102,7 @@
 	}
 }
 
-void request_bill_safe(struct cw_node *node, const char *bill_id)
+void request_confirm_bill(struct cw_node *node, const char *bill_id)
 {
 	struct request *request = LIST_FIRST(&node->requests);
 	char id[CW_NAME_MAX + CW_ID_MAX + 2];
@@ -114,13 +114,13 @@
 			g_snprintf(id, sizeof(id), "%s/%s", request->organisation,
 				   request->in.request_id);
 			if (!strcmp(id, bill_id))
-				request_release(node, request);
+				request_complete(node, request);
 		}
 		request = next;
 	}
 }
 
-void request_tick(struct cw_node *node)
+void request_check_timeouts(struct cw_node *node)
 {
 	struct request *request = LIST_FIRST(&node->requests);
 
@@ -128,16 +128,16 @@
 		struct request *next = LIST_NEXT(request, link);
 
 		if (request->state == REQUEST_BILLING && node->now_ms >= request->wait_until_ms)
-			request_release(node, request);
+			request_complete(node, request);
 		else if (request->state == REQUEST_BINDING &&
 			 node->now_ms >= request->wait_until_ms)
 			admit_with_binding(node, request);
 		else if (request->state == REQUEST_RATING && node->now_ms >= request->wait_until_ms)
-			request_rated(node, request->in.handle, -1);
+			request_handle_rating(node, request->in.handle, -1);
 		else if (request->state == REQUEST_CLAIMING &&
 			 (node->now_ms >= request->wait_until_ms ||
 			  !log_is_up(node, CW_STREAM_CLAIMS)))
-			request_refuse(node, request, CW_CODE_PLATFORM_UNAVAILABLE,
+			request_reject(node, request, CW_CODE_PLATFORM_UNAVAILABLE,
 				       PLATFORM_RETRY_MS, "the claim was not confirmed by the log");
 		request = next;
 	}
@@ -187,7 +187,7 @@
  * Ends a request with an error. The error says "not_run" only if no byte may have reached a backend
  * server. The claim is then released, so that the caller may use the idempotency key again.
  */
-void request_refuse(struct cw_node *node, struct request *request, enum cw_error_code code,
+void request_reject(struct cw_node *node, struct request *request, enum cw_error_code code,
 		    int64_t retry_after_ms, const char *format, ...)
 {
 	struct cw_effect *effect = node_add_effect(node, CW_EFFECT_REJECT, request->in.handle);
@@ -228,7 +228,7 @@
 	g_snprintf(request->model, CW_NAME_MAX, CW_SERVICE_PREFIX "%s", request->in.target);
 	row = cw_table_find_row(node->table, request->organisation, request->model, "");
 	if (!cw_table_is_allowed(row)) {
-		request_refuse(node, request, CW_CODE_NOT_ALLOWED, 0, "service %s is not allowed",
+		request_reject(node, request, CW_CODE_NOT_ALLOWED, 0, "service %s is not allowed",
 			       request->in.target);
 		return 0;
 	}
@@ -263,9 +263,9 @@
 	}
 	stored = cw_session_find(node->sessions, request->binding.key, node->now_ms);
 	if (!stored && needs_binding_query(node)) {
-		request->answers_awaited =
+		request->pending_binding_answers =
 			gossip_request_binding(node, request->binding.key, request->in.handle);
-		if (request->answers_awaited > 0) {
+		if (request->pending_binding_answers > 0) {
 			request->state = REQUEST_BINDING;
 			request->wait_until_ms = node->now_ms + node->config.session_ask_ms;
 			return;
@@ -294,7 +294,7 @@
 	admit(node, request);
 }
 
-void request_keep_binding(struct cw_node *node, struct request *request)
+void request_store_binding(struct cw_node *node, struct request *request)
 {
 	const struct cw_binding *stored;
 
@@ -310,7 +310,7 @@
 	if (!stored ||
 	    (stored->announced_ms && node->now_ms - stored->announced_ms < BINDING_ANNOUNCE_MS))
 		return;
-	gossip_push_binding(node, stored);
+	gossip_announce_binding(node, stored);
 	cw_session_mark_announced(node->sessions, request->binding.key, node->now_ms);
 }
 
@@ -319,17 +319,17 @@
 	int64_t retry_after_ms = 0;
 
 	if (!(request->in.flags & CW_REQUEST_SERVICE)) {
-		switch (choice_version(node, request)) {
+		switch (choice_select_version(node, request)) {
 		case CHOICE_NOT_ALLOWED:
-			request_refuse(node, request, CW_CODE_NOT_ALLOWED, 0,
+			request_reject(node, request, CW_CODE_NOT_ALLOWED, 0,
 				       "model %s is not allowed", request->in.target);
 			return;
 		case CHOICE_NO_WEIGHT:
-			request_refuse(node, request, CW_CODE_NO_BACKEND_SERVER, PLATFORM_RETRY_MS,
+			request_reject(node, request, CW_CODE_NO_BACKEND_SERVER, PLATFORM_RETRY_MS,
 				       "no version of %s has a weight", request->in.target);
 			return;
-		case CHOICE_BEHIND:
-			request_refuse(node, request, CW_CODE_PLATFORM_UNAVAILABLE,
+		case CHOICE_TABLE_OUTDATED:
+			request_reject(node, request, CW_CODE_PLATFORM_UNAVAILABLE,
 				       PLATFORM_RETRY_MS,
 				       "the session's version is newer than this instance's table");
 			return;
@@ -337,16 +337,16 @@
 			break;
 		}
 		if (request->binding.key)
-			request_keep_binding(node, request);
+			request_store_binding(node, request);
 	}
 	if (!acquire_limits(node, request, &retry_after_ms)) {
 		if (!cw_limits_has_share(node->limits)) {
-			request_refuse(node, request, CW_CODE_PLATFORM_UNAVAILABLE,
+			request_reject(node, request, CW_CODE_PLATFORM_UNAVAILABLE,
 				       PLATFORM_RETRY_MS,
 				       "this instance has no share of the limits yet");
 			return;
 		}
-		request_refuse(node, request, CW_CODE_LIMIT_EXCEEDED,
+		request_reject(node, request, CW_CODE_LIMIT_EXCEEDED,
 			       retry_after_ms + (int64_t)(node_random(node) % RETRY_JITTER_MS),
 			       "the limit of %s is reached", request->model);
 		return;
@@ -394,7 +394,7 @@
 				     request->in.idempotency_key);
 
 	if (!log_is_up(node, CW_STREAM_CLAIMS) || !cw_claims_is_complete(node->claims)) {
-		request_refuse(node, request, CW_CODE_PLATFORM_UNAVAILABLE, PLATFORM_RETRY_MS,
+		request_reject(node, request, CW_CODE_PLATFORM_UNAVAILABLE, PLATFORM_RETRY_MS,
 			       "the log of claims can't be read, so the order can't be guarded");
 		return;
 	}
@@ -406,7 +406,7 @@
 		return;
 	}
 	if (cw_claims_is_full(node->claims)) {
-		request_refuse(node, request, CW_CODE_OVERLOADED, PLATFORM_RETRY_MS,
+		request_reject(node, request, CW_CODE_OVERLOADED, PLATFORM_RETRY_MS,
 			       "no room to guard another order");
 		return;
 	}
@@ -425,21 +425,21 @@
 	if (view.state == CW_CLAIM_FREE)
 		return;
 	if (view.state == CW_CLAIM_PENDING && view.holder == own_claim) {
-		node_event(node, "claims", "claimed", "request=%s organisation=%s",
-			   request->in.request_id, request->organisation);
+		node_log_event(node, "claims", "claimed", "request=%s organisation=%s",
+			       request->in.request_id, request->organisation);
 		request_dispatch(node, request, CW_DISPATCH_FRESH);
 		return;
 	}
 	request->claim.claim = 0; /* lost the key or never claimed it: no claim to release */
 	if (view.body_hash != request->claim.body) {
-		request_refuse(node, request, CW_CODE_DUPLICATE, 0,
+		request_reject(node, request, CW_CODE_DUPLICATE, 0,
 			       "the idempotency key was used for another request");
 		return;
 	}
 	/* An earlier request with the key may have run, so "not_run" must not be reported. */
 	request->sent = 1;
 	if (view.state == CW_CLAIM_PENDING) {
-		request_refuse(node, request, CW_CODE_DUPLICATE, DUPLICATE_RETRY_MS,
+		request_reject(node, request, CW_CODE_DUPLICATE, DUPLICATE_RETRY_MS,
 			       "the same request was taken before and its outcome is not known");
 		return;
 	}
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -23,7 +23,7 @@
 static void start_rating(struct cw_node *node, struct request *request, const char *answer,
 			 int checked);
 
-void request_attempt_end(struct cw_node *node, const struct cw_attempt_end *end)
+void request_handle_attempt_end(struct cw_node *node, const struct cw_attempt_end *end)
 {
 	struct request *request = request_find(node, end->handle);
 
@@ -39,7 +39,7 @@
 	case CW_ATTEMPT_CLIENT_ERROR:
 		request->http_status = end->http_status;
 		request->answer = g_strdup(end->answer);
-		request_release(node, request);
+		request_complete(node, request);
 		break;
 	case CW_ATTEMPT_CANCELLED:
 		request_abandon(node, request);
@@ -50,7 +50,7 @@
 	}
 }
 
-void request_rated(struct cw_node *node, uint64_t handle, double score)
+void request_handle_rating(struct cw_node *node, uint64_t handle, double score)
 {
 	struct request *request = request_find(node, handle);
 	size_t escalation;
@@ -60,21 +60,21 @@
 	escalation = request->plan.then;
 	/* Without a rating (score < 0) the cheaper answer may be poor, so the request is escalated
 	 * to the costlier version. */
-	if (score >= 0 && !cw_cascade_falls_short(&request->choice, score)) {
-		request_finish(node, request);
+	if (score >= 0 && !cw_cascade_should_escalate(&request->choice, score)) {
+		request_start_billing(node, request);
 		return;
 	}
-	choice_take_option(request, escalation);
+	choice_apply_option(request, escalation);
 	request->escalated = 1;
 	request->tried_count = 0;
 	node_log_event(node, "cascade", "escalate", "request=%s score=%.3f model=%s version=%s",
 		       request->in.request_id, score, request->model, request->version);
-	if (!choice_holds(node, request) || request->attempt_count >= CW_MAX_ATTEMPTS) {
+	if (!choice_is_allowed(node, request) || request->attempt_count >= CW_MAX_ATTEMPTS) {
 		const struct attempt *last = &request->attempts[request->attempt_count - 1];
 
 		g_strlcpy(request->model, last->model, CW_NAME_MAX);
 		g_strlcpy(request->version, last->version, CW_NAME_MAX);
-		request_finish(node, request);
+		request_start_billing(node, request);
 		return;
 	}
 	request_dispatch(node, request, CW_DISPATCH_FRESH);
@@ -91,24 +91,25 @@
 	if (quarantine_reject(node, request))
 		return;
 	if (node->now_ms >= request->deadline_ms) {
-		request_refuse(node, request, CW_CODE_DEADLINE, 0, "the deadline has passed");
+		request_reject(node, request, CW_CODE_DEADLINE, 0, "the deadline has passed");
 		return;
 	}
-	if (!choice_holds(node, request)) {
+	if (!choice_is_allowed(node, request)) {
 		if (request->shown || request->in.flags & CW_REQUEST_SERVICE ||
-		    choice_version(node, request) != CHOICE_OK) {
-			request_refuse(node, request, CW_CODE_NOT_ALLOWED, 0, "%s/%s was withdrawn",
+		    choice_select_version(node, request) != CHOICE_OK) {
+			request_reject(node, request, CW_CODE_NOT_ALLOWED, 0, "%s/%s was withdrawn",
 				       request->model, request->version);
 			return;
 		}
 		request->tried_count = 0;
 		if (request->binding.key)
-			request_keep_binding(node, request);
+			request_store_binding(node, request);
 	}
 	server = mode == CW_DISPATCH_RESUME ? cw_pool_find(node->pool, request->server)
 					    : choose_server(node, request);
 	if (!server) {
-		request_refuse(node, request, CW_CODE_NO_BACKEND_SERVER, request_busy_ms(node, 500),
+		request_reject(node, request, CW_CODE_NO_BACKEND_SERVER,
+			       request_retry_after_ms(node, 500),
 			       "no backend server can take %s%s%s", request->model,
 			       *request->version ? "/" : "", request->version);
 		return;
@@ -118,8 +119,8 @@
 	max_wait_ms = MIN(max_wait_ms, (double)(request->deadline_ms - node->now_ms));
 	wait_ms = cw_pool_wait_ms(server, node->now_ms);
 	if (mode == CW_DISPATCH_FRESH && request->attempt_count == 0 && wait_ms > max_wait_ms) {
-		request_refuse(node, request, CW_CODE_OVERLOADED,
-			       request_busy_ms(node, wait_ms - max_wait_ms),
+		request_reject(node, request, CW_CODE_OVERLOADED,
+			       request_retry_after_ms(node, wait_ms - max_wait_ms),
 			       "the predicted wait is %.0f ms", wait_ms);
 		return;
 	}
@@ -143,7 +144,7 @@
 	request->server = server->id;
 	request->tried[request->tried_count++] =
 		server->id; /* within bounds: one entry per attempt at most */
-	cw_pool_dispatched(server, node->now_ms);
+	cw_pool_record_dispatch(server, node->now_ms);
 	effect->dispatch.mode = mode;
 	effect->dispatch.attempt = request->attempt_count;
 	effect->dispatch.server = server->id;
@@ -189,7 +190,7 @@
 	return cw_pool_choose(node->pool, &choice);
 }
 
-int64_t request_busy_ms(struct cw_node *node, double wait_ms)
+int64_t request_retry_after_ms(struct cw_node *node, double wait_ms)
 {
 	int64_t base = (int64_t)CLAMP(wait_ms, 100, 10000);
 
@@ -216,7 +217,7 @@
 	attempt->completion_tokens = answered || end->shown ? end->completion_tokens : 0;
 	/* A request may have run unless it was never sent or was rejected with 429 before it ran.
 	 */
-	if (end->result != CW_ATTEMPT_UNSENT &&
+	if (end->result != CW_ATTEMPT_NOT_SENT &&
 	    !(end->result == CW_ATTEMPT_BUSY && end->http_status == 429))
 		request->sent = 1;
 	if (server)
@@ -253,13 +254,13 @@
 static void handle_answer(struct cw_node *node, struct request *request,
 			  const struct cw_attempt_end *end)
 {
-	uint64_t task = cw_cascade_task(request->organisation, request->in.task);
+	uint64_t task = cw_cascade_task_key(request->organisation, request->in.task);
 	double sample;
 
 	request->http_status = end->http_status;
 	if (request->in.flags & CW_REQUEST_SERVICE) {
 		request->answer = g_strdup(end->answer);
-		request_finish(node, request);
+		request_start_billing(node, request);
 		return;
 	}
 	cw_cascade_add_cost(node->cascade, task, cw_cascade_task_key("", request->in.task),
@@ -275,7 +276,7 @@
 	if (end->answer &&
 	    sample < cw_cascade_sample_rate(node->cascade, task, request->version_id))
 		start_rating(node, request, end->answer, 0);
-	request_finish(node, request);
+	request_start_billing(node, request);
 }
 
 static void handle_failure(struct cw_node *node, struct request *request,
@@ -288,14 +289,14 @@
 		 * The server may have received a non-idempotent request. A retry could execute its
 		 * order twice, seen as two orders with one key, so the outcome is reported unknown.
 		 */
-		request_refuse(node, request, CW_CODE_UPSTREAM_FAILED, 0,
+		request_reject(node, request, CW_CODE_UPSTREAM_FAILED, 0,
 			       "the backend server did not answer; it may have run");
 		return;
 	}
 	if (request->attempt_count >= CW_MAX_ATTEMPTS) {
-		request_refuse(node, request,
+		request_reject(node, request,
 			       request->sent ? CW_CODE_UPSTREAM_FAILED : CW_CODE_NO_BACKEND_SERVER,
-			       request_busy_ms(node, 500), "%u attempts failed",
+			       request_retry_after_ms(node, 500), "%u attempts failed",
 			       request->attempt_count);
 		return;
 	}
@@ -305,10 +306,10 @@
 static void retry_request(struct cw_node *node, struct request *request,
 			  const struct cw_attempt_end *end)
 {
-	int64_t retry_ms = request_busy_ms(node, 500);
+	int64_t retry_ms = request_retry_after_ms(node, 500);
 
 	if (!cw_retry_budget_take(&node->retry_budget)) {
-		request_refuse(node, request,
+		request_reject(node, request,
 			       request->sent ? CW_CODE_UPSTREAM_FAILED : CW_CODE_NO_BACKEND_SERVER,
 			       retry_ms, "the budget of retries is spent");
 		return;
@@ -321,7 +322,7 @@
 	}
 	/* A broken stream is resumed once on its server. If the resumed stream fails too, another
 	 * server continues from the text that was forwarded. */
-	if (end->result == CW_ATTEMPT_BROKEN && !request->resumed) {
+	if (end->result == CW_ATTEMPT_INTERRUPTED && !request->resumed) {
 		request->resumed = 1;
 		request->tried_count--;
 		request_dispatch(node, request, CW_DISPATCH_RESUME);
@@ -342,8 +343,9 @@
 	if (end->result != CW_ATTEMPT_FAILED || !request->version_id || request->binding.key ||
 	    request->planned)
 		return;
-	request->avoid = request->version_id;
-	if (choice_version(node, request) == CHOICE_OK && request->version_id != request->avoid)
+	request->failed_version = request->version_id;
+	if (choice_select_version(node, request) == CHOICE_OK &&
+	    request->version_id != request->failed_version)
 		request->tried_count = 0;
 }
 
@@ -371,7 +373,7 @@
  * answer once the bill is mirrored or bill_hold_ms have passed. Without the mirror, a crash of this
  * instance before the bill is in the log would leave an answer without a bill.
  */
-void request_finish(struct cw_node *node, struct request *request)
+void request_start_billing(struct cw_node *node, struct request *request)
 {
 	request->state = REQUEST_BILLING;
 	request->wait_until_ms = node->now_ms + node->config.bill_hold_ms;
@@ -381,7 +383,7 @@
 	bills_add(node, request);
 }
 
-void request_release(struct cw_node *node, struct request *request)
+void request_complete(struct cw_node *node, struct request *request)
 {
 	const struct attempt *last = &request->attempts[request->attempt_count - 1];
 
--- a/packages/node/src/request_choice.c
+++ b/packages/node/src/request_choice.c
@@ -16,14 +16,14 @@
 static void set_version(struct request *request, const struct cw_row *row);
 static uint64_t rendezvous_key(const struct request *request);
 
-enum choice_result choice_version(struct cw_node *node, struct request *request)
+enum choice_result choice_select_version(struct cw_node *node, struct request *request)
 {
 	const struct cw_row *row;
 
 	if (request->binding.key && *request->binding.model) {
-		row = cw_table_row(node->table, request->organisation, request->binding.model,
-				   request->binding.version);
-		if (cw_table_binding_holds(row, request->binding.bound_at)) {
+		row = cw_table_find_row(node->table, request->organisation, request->binding.model,
+					request->binding.version);
+		if (cw_table_is_binding_valid(row, request->binding.bound_at)) {
 			set_version(request, row);
 			return CHOICE_OK;
 		}
@@ -34,7 +34,7 @@
 		 */
 		if (!cw_table_is_allowed(row) &&
 		    request->binding.bound_at > cw_table_offset(node->table))
-			return CHOICE_BEHIND;
+			return CHOICE_TABLE_OUTDATED;
 		/* The version was withdrawn: the session continues on another version, and the
 		 * dispatch event reports session=rebound. */
 		cw_session_remove(node->sessions, request->binding.key);
@@ -56,20 +56,20 @@
 {
 	const struct cw_binding *stored =
 		cw_session_find(node->sessions, binding->key, node->now_ms);
-	const struct cw_row *row = cw_table_row_by_id(node->table, binding->row);
+	const struct cw_row *row = cw_table_find_row_by_id(node->table, binding->row);
 	int is_table_behind = binding->bound_at > cw_table_offset(node->table);
 
-	if (!is_table_behind && !cw_table_binding_holds(row, binding->bound_at))
+	if (!is_table_behind && !cw_table_is_binding_valid(row, binding->bound_at))
 		return;
 	if (stored && stored->bound_at < binding->bound_at &&
 	    (is_table_behind ||
-	     !cw_table_binding_holds(cw_table_row_by_id(node->table, stored->row),
-				     stored->bound_at)))
+	     !cw_table_is_binding_valid(cw_table_find_row_by_id(node->table, stored->row),
+					stored->bound_at)))
 		cw_session_remove(node->sessions, binding->key);
 	cw_session_merge(node->sessions, binding, node->now_ms);
 }
 
-void choice_take_option(struct request *request, size_t index)
+void choice_apply_option(struct request *request, size_t index)
 {
 	g_strlcpy(request->model, request->option_model[index], CW_NAME_MAX);
 	g_strlcpy(request->version, request->option_version[index], CW_NAME_MAX);
@@ -77,7 +77,7 @@
 	request->cost_per_1k = request->options[index].cost_per_1k;
 }
 
-int choice_holds(struct cw_node *node, const struct request *request)
+int choice_is_allowed(struct cw_node *node, const struct request *request)
 {
 	const struct cw_row *row = cw_table_find_row(node->table, request->organisation,
 						     request->model, request->version);
@@ -127,16 +127,16 @@
 	}
 	if (request->choice.count == 0)
 		return allowed ? CHOICE_NO_WEIGHT : CHOICE_NOT_ALLOWED;
-	request->choice.task = cw_cascade_task(request->organisation, request->in.task);
-	request->choice.common = cw_cascade_task("", request->in.task);
+	request->choice.task = cw_cascade_task_key(request->organisation, request->in.task);
+	request->choice.common = cw_cascade_task_key("", request->in.task);
 	/* A session stays on one version and chunks of a stream can't be withdrawn, so neither can
 	 * be escalated to a second version. */
-	request->choice.may_check =
+	request->choice.can_check =
 		!(request->in.flags & CW_REQUEST_STREAM) && !request->binding.key;
 	request->choice.random = node_random(node);
 	cw_cascade_plan(node->cascade, &request->choice, &request->plan);
 	request->planned = 1;
-	choice_take_option(request, request->plan.first);
+	choice_apply_option(request, request->plan.first);
 	row = cw_table_find_row(node->table, request->organisation, request->model,
 				request->version);
 	request->row = row->id;
@@ -163,8 +163,8 @@
 		return NULL;
 	TAILQ_FOREACH(row, rows, organisation_link) {
 		double weight = row->cell[CW_COLUMN_WEIGHT];
-		uint64_t id = cw_pool_version(row->model, row->version);
-		double weight_factor = cw_health_factor(node->health, id, node->now_ms);
+		uint64_t id = cw_pool_version_hash(row->model, row->version);
+		double weight_factor = cw_health_weight_factor(node->health, id, node->now_ms);
 		double score;
 
 		if (strcmp(row->model, model) != 0 || !cw_table_is_allowed(row))
@@ -172,9 +172,9 @@
 		*allowed = 1;
 		if (isnan(weight) || weight <= 0)
 			continue;
-		cw_health_sibling(node->health, id, cw_pool_version(row->model, ""));
+		cw_health_set_model(node->health, id, cw_pool_version_hash(row->model, ""));
 		/* A version that failed this request is used only if no other version is left. */
-		if (id == request->avoid)
+		if (id == request->failed_version)
 			weight_factor = 0;
 		score = cw_rendezvous(key, id, weight * weight_factor);
 		if (weight_factor > 0 && score > best_score) {
--- a/packages/request/include/cw_claims.h
+++ b/packages/request/include/cw_claims.h
@@ -40,9 +40,10 @@
 uint64_t cw_claims_key(const char *organisation, const char *service, const char *idempotency_key);
 struct cw_claims *cw_claims_create(size_t max_keys, int64_t window_ms);
 void cw_claims_destroy(struct cw_claims *claims);
-enum cw_status cw_claims_fold(struct cw_claims *claims, uint64_t offset, int64_t time_ms,
-			      const char *record,
-			      struct cw_error *error); /* CW_INVALID: offset is not the next one */
+enum cw_status
+cw_claims_apply_record(struct cw_claims *claims, uint64_t offset, int64_t time_ms,
+		       const char *record,
+		       struct cw_error *error); /* CW_INVALID: offset is not the next one */
 void cw_claims_start_at(struct cw_claims *claims, uint64_t next_offset); /* older records expired */
 int cw_claims_is_complete(const struct cw_claims *claims); /* all guarded keys are known; before
 							      that no claim is reliable */
@@ -59,7 +60,7 @@
 void cw_claims_add_outcome(struct json_object *record, const struct cw_claim *claim, int status,
 			   const char *answer);
 void cw_claims_add_release(struct json_object *record, const struct cw_claim *claim);
-size_t cw_claims_add_kept(
+size_t cw_claims_add_checkpoint(
 	const struct cw_claims *claims, struct json_object *record, uint64_t after_offset,
 	size_t batch_size,
 	uint64_t *last_offset); /* keys claimed after after_offset; returns how many were added */
--- a/packages/request/include/cw_ledger.h
+++ b/packages/request/include/cw_ledger.h
@@ -19,10 +19,10 @@
 	char *origin;		   /* "instance#boot" that ran the request; "" for own bills */
 	uint64_t read_back_offset; /* known end of the stream when the bill was made */
 	uint64_t append; /* ticket of the append in progress that contains the bill, 0 none */
-	int64_t made_ms;
-	int mirrored;	   /* a peer has confirmed its copy of the bill */
-	uint64_t homes[2]; /* ids of the members that the bill was sent to, 0 none */
-	int64_t asked_ms;  /* mirrored bills: when the origin was last asked about the bill */
+	int64_t created_ms;
+	int mirrored;		    /* a peer has confirmed its copy of the bill */
+	uint64_t mirror_members[2]; /* ids of the members that the bill was sent to, 0 none */
+	int64_t origin_asked_ms; /* mirrored bills: when the origin was last asked about the bill */
 };
 
 TAILQ_HEAD(cw_bill_list, cw_bill);
@@ -39,20 +39,19 @@
 void cw_ledger_settle(struct cw_ledger *ledger, const char *id); /* found in the log: removed */
 void cw_ledger_settle_record(struct cw_ledger *ledger,
 			     const char *record); /* settles all bills of a record of the log */
-size_t
-cw_ledger_take(struct cw_ledger *ledger, uint64_t append_ticket, const char *origin,
-	       size_t max_bills,
-	       char **record); /* marks up to max bills and builds their record; g_free(record) */
-void cw_ledger_append_failed(
+size_t cw_ledger_begin_append(
+	struct cw_ledger *ledger, uint64_t append_ticket, const char *origin, size_t max_bills,
+	char **record); /* marks up to max bills and builds their record; g_free(record) */
+void cw_ledger_fail_append(
 	struct cw_ledger *ledger,
 	uint64_t append_ticket); /* its bills may be appended again, after reading back */
-size_t
-cw_ledger_append_done(struct cw_ledger *ledger, uint64_t append_ticket,
-		      struct cw_bill_list *settled); /* moves its bills to settled; caller frees */
+size_t cw_ledger_complete_append(
+	struct cw_ledger *ledger, uint64_t append_ticket,
+	struct cw_bill_list *settled); /* moves its bills to settled; caller frees */
 void cw_bill_destroy(struct cw_bill *bill);
 uint64_t
-cw_ledger_oldest_noted(const struct cw_ledger *ledger,
-		       const char *origin); /* smallest read_back_offset, UINT64_MAX: none */
+cw_ledger_read_back_offset(const struct cw_ledger *ledger,
+			   const char *origin); /* smallest read_back_offset, UINT64_MAX: none */
 size_t cw_ledger_count(const struct cw_ledger *ledger, const char *origin); /* NULL: all origins */
 const struct cw_bill_list *cw_ledger_bills(const struct cw_ledger *ledger);
 
--- a/packages/request/src/answer.c
+++ b/packages/request/src/answer.c
@@ -50,7 +50,7 @@
 	g_free(answer);
 }
 
-void cw_answer_begin(struct cw_answer *answer, int resumed)
+void cw_answer_begin_attempt(struct cw_answer *answer, int resumed)
 {
 	g_string_truncate(answer->pending, 0);
 	answer->tokens_before_resume =
@@ -64,32 +64,34 @@
 				    void (*forward)(void *context, const char *event, size_t size),
 				    void *context)
 {
-	enum cw_answer_state state = CW_ANSWER_MORE;
+	enum cw_answer_state state = CW_ANSWER_INCOMPLETE;
 	size_t length;
 	char *event;
 
 	g_string_append_len(answer->pending, data, (gssize)size);
-	while (state == CW_ANSWER_MORE && (event = copy_first_event(answer->pending, &length))) {
+	while (state == CW_ANSWER_INCOMPLETE &&
+	       (event = copy_first_event(answer->pending, &length))) {
 		state = parse_event(answer, event, forward, context);
 		g_free(event);
 		g_string_erase(answer->pending, 0, (gssize)length);
 	}
-	if (state == CW_ANSWER_MORE && answer->pending->len + answer->text->len > answer->max_bytes)
+	if (state == CW_ANSWER_INCOMPLETE &&
+	    answer->pending->len + answer->text->len > answer->max_bytes)
 		return CW_ANSWER_MALFORMED;
 	return state;
 }
 
-uint64_t cw_answer_sequence(const struct cw_answer *answer)
+uint64_t cw_answer_last_sequence(const struct cw_answer *answer)
 {
 	return answer->last_sequence < 0 ? 0 : (uint64_t)answer->last_sequence;
 }
 
-unsigned int cw_answer_shown(const struct cw_answer *answer)
+unsigned int cw_answer_forwarded_chunks(const struct cw_answer *answer)
 {
 	return answer->forwarded_chunks;
 }
 
-unsigned int cw_answer_dropped(const struct cw_answer *answer)
+unsigned int cw_answer_dropped_chunks(const struct cw_answer *answer)
 {
 	return answer->dropped_chunks;
 }
@@ -109,8 +111,9 @@
 	return answer->text->str;
 }
 
-enum cw_status cw_answer_parse_whole(const char *body, size_t size, unsigned int *prompt_tokens,
-				     unsigned int *completion_tokens, char **text)
+enum cw_status cw_answer_parse_completion(const char *body, size_t size,
+					  unsigned int *prompt_tokens,
+					  unsigned int *completion_tokens, char **text)
 {
 	struct json_object *parsed = size ? json_tokener_parse(body) : NULL;
 	struct cw_answer counts = {0};
@@ -133,7 +136,7 @@
 	    void (*forward)(void *context, const char *event, size_t size), void *context)
 {
 	char **lines = g_strsplit(event, "\n", -1);
-	enum cw_answer_state state = CW_ANSWER_MORE;
+	enum cw_answer_state state = CW_ANSWER_INCOMPLETE;
 	const char *data = NULL;
 	int64_t sequence = -1;
 	int has_field = 0;
@@ -150,7 +153,7 @@
 		else
 			state = CW_ANSWER_MALFORMED;
 	}
-	if (has_field && state == CW_ANSWER_MORE)
+	if (has_field && state == CW_ANSWER_INCOMPLETE)
 		state = data ? handle_chunk(answer, sequence, data, forward, context)
 			     : CW_ANSWER_MALFORMED;
 	g_strfreev(lines);
@@ -177,16 +180,16 @@
 		return CW_ANSWER_DONE;
 	if (sequence >= 0 && sequence <= answer->last_sequence) {
 		answer->dropped_chunks++;
-		return CW_ANSWER_MORE;
+		return CW_ANSWER_INCOMPLETE;
 	}
 	state = parse_chunk_data(answer, data);
 	answer->last_sequence = sequence >= 0 ? sequence : next_sequence;
-	if (state != CW_ANSWER_MORE)
+	if (state != CW_ANSWER_INCOMPLETE)
 		return state;
 	event = g_strdup_printf("id: %u\ndata: %s\n\n", ++answer->forwarded_chunks, data);
 	forward(context, event, strlen(event));
 	g_free(event);
-	return CW_ANSWER_MORE;
+	return CW_ANSWER_INCOMPLETE;
 }
 
 static enum cw_answer_state parse_chunk_data(struct cw_answer *answer, const char *data)
@@ -206,7 +209,7 @@
 	}
 	record_usage(answer, chunk);
 	json_object_put(chunk);
-	return CW_ANSWER_MORE;
+	return CW_ANSWER_INCOMPLETE;
 }
 
 static void record_usage(struct cw_answer *answer, struct json_object *chunk)
--- a/packages/request/src/claims.c
+++ b/packages/request/src/claims.c
@@ -91,8 +91,8 @@
 	g_free(claims);
 }
 
-enum cw_status cw_claims_fold(struct cw_claims *claims, uint64_t offset, int64_t time_ms,
-			      const char *record, struct cw_error *error)
+enum cw_status cw_claims_apply_record(struct cw_claims *claims, uint64_t offset, int64_t time_ms,
+				      const char *record, struct cw_error *error)
 {
 	struct json_object *parsed;
 	uint64_t floor;
@@ -188,8 +188,8 @@
 	add_item(record, "releases", claim);
 }
 
-size_t cw_claims_add_kept(const struct cw_claims *claims, struct json_object *record,
-			  uint64_t after_offset, size_t batch_size, uint64_t *last_offset)
+size_t cw_claims_add_checkpoint(const struct cw_claims *claims, struct json_object *record,
+				uint64_t after_offset, size_t batch_size, uint64_t *last_offset)
 {
 	const struct entry *entry;
 	size_t added = 0;
--- a/packages/request/src/ledger.c
+++ b/packages/request/src/ledger.c
@@ -46,7 +46,7 @@
 	bill->text = g_strdup(text);
 	bill->origin = g_strdup(origin);
 	bill->read_back_offset = read_back_offset;
-	bill->made_ms = now_ms;
+	bill->created_ms = now_ms;
 	TAILQ_INSERT_TAIL(&ledger->bills, bill, link);
 	g_hash_table_insert(ledger->by_id, bill->id, bill);
 	return bill;
@@ -91,8 +91,8 @@
 	json_object_put(parsed);
 }
 
-size_t cw_ledger_take(struct cw_ledger *ledger, uint64_t append_ticket, const char *origin,
-		      size_t max_bills, char **record)
+size_t cw_ledger_begin_append(struct cw_ledger *ledger, uint64_t append_ticket, const char *origin,
+			      size_t max_bills, char **record)
 {
 	GString *text = g_string_new("{\"bills\":[");
 	struct cw_bill *bill;
@@ -112,7 +112,7 @@
 	return count;
 }
 
-void cw_ledger_append_failed(struct cw_ledger *ledger, uint64_t append_ticket)
+void cw_ledger_fail_append(struct cw_ledger *ledger, uint64_t append_ticket)
 {
 	struct cw_bill *bill;
 
@@ -122,8 +122,8 @@
 	}
 }
 
-size_t cw_ledger_append_done(struct cw_ledger *ledger, uint64_t append_ticket,
-			     struct cw_bill_list *settled)
+size_t cw_ledger_complete_append(struct cw_ledger *ledger, uint64_t append_ticket,
+				 struct cw_bill_list *settled)
 {
 	struct cw_bill *bill = TAILQ_FIRST(&ledger->bills);
 	size_t count = 0;
@@ -149,7 +149,7 @@
 	g_free(bill);
 }
 
-uint64_t cw_ledger_oldest_noted(const struct cw_ledger *ledger, const char *origin)
+uint64_t cw_ledger_read_back_offset(const struct cw_ledger *ledger, const char *origin)
 {
 	const struct cw_bill *bill;
 	uint64_t oldest = UINT64_MAX;
--- a/tests/bench/capacity.c
+++ b/tests/bench/capacity.c
@@ -237,7 +237,8 @@
 					      "42\",\"metres\":12}");
 			text = json_object_to_json_string_ext(record, JSON_C_TO_STRING_PLAIN);
 			bytes += (double)strlen(text);
-			cw_claims_fold(claims, cw_claims_offset(claims) + 1, 1000, text, NULL);
+			cw_claims_apply_record(claims, cw_claims_offset(claims) + 1, 1000, text,
+					       NULL);
 			json_object_put(record);
 		}
 		began = (cpu_ms() - began) / sizes[i] * 1000;
--- a/tests/unit/test_answer.c
+++ b/tests/unit/test_answer.c
@@ -32,9 +32,9 @@
 		struct cw_answer *answer = cw_answer_create(10000);
 		GString *forwarded = g_string_new(NULL);
 
-		cw_answer_begin(answer, 0);
+		cw_answer_begin_attempt(answer, 0);
 		assert_int_equal(cw_answer_feed(answer, stream, split, collect, forwarded),
-				 CW_ANSWER_MORE);
+				 CW_ANSWER_INCOMPLETE);
 		assert_int_equal(feed(answer, forwarded, stream + split), CW_ANSWER_DONE);
 		assert_string_equal(cw_answer_text(answer), "a b ");
 		assert_int_equal(cw_answer_attempt_tokens(answer), 2);
@@ -53,16 +53,16 @@
 	struct cw_answer *answer = cw_answer_create(10000);
 	GString *forwarded = g_string_new(NULL);
 
-	cw_answer_begin(answer, 0);
+	cw_answer_begin_attempt(answer, 0);
 	feed(answer, forwarded, CHUNK("1", "a ") CHUNK("2", "b ") "id: 3\ndata: {\"cho");
-	cw_answer_begin(answer, 1);
-	assert_int_equal(cw_answer_sequence(answer), 2);
+	cw_answer_begin_attempt(answer, 1);
+	assert_int_equal(cw_answer_last_sequence(answer), 2);
 	assert_int_equal(
 		feed(answer, forwarded, CHUNK("2", "b ") CHUNK("3", "c ") "data: [DONE]\n\n"),
 		CW_ANSWER_DONE);
 	assert_string_equal(cw_answer_text(answer), "a b c ");
-	assert_int_equal(cw_answer_dropped(answer), 1);
-	assert_int_equal(cw_answer_shown(answer), 3);
+	assert_int_equal(cw_answer_dropped_chunks(answer), 1);
+	assert_int_equal(cw_answer_forwarded_chunks(answer), 3);
 	g_string_free(forwarded, TRUE);
 	cw_answer_destroy(answer);
 }
@@ -72,7 +72,7 @@
 	struct cw_answer *answer = cw_answer_create(10000);
 	GString *forwarded = g_string_new(NULL);
 
-	cw_answer_begin(answer, 0);
+	cw_answer_begin_attempt(answer, 0);
 	assert_int_equal(feed(answer, forwarded, CHUNK("1", "a ") CHUNK("3", "c ")),
 			 CW_ANSWER_MALFORMED);
 	assert_string_equal(cw_answer_text(answer), "a ");
@@ -96,10 +96,10 @@
 		struct cw_answer *answer = cw_answer_create(10000);
 		GString *forwarded = g_string_new(NULL);
 
-		cw_answer_begin(answer, 0);
+		cw_answer_begin_attempt(answer, 0);
 		assert_int_equal(feed(answer, forwarded, streams[i]), CW_ANSWER_DONE);
 		assert_string_equal(cw_answer_text(answer), "a b c ");
-		assert_int_equal(cw_answer_dropped(answer), 0);
+		assert_int_equal(cw_answer_dropped_chunks(answer), 0);
 		g_string_free(forwarded, TRUE);
 		cw_answer_destroy(answer);
 	}
@@ -110,7 +110,7 @@
 	struct cw_answer *answer = cw_answer_create(10000);
 	GString *forwarded = g_string_new(NULL);
 
-	cw_answer_begin(answer, 0);
+	cw_answer_begin_attempt(answer, 0);
 	assert_int_equal(feed(answer, forwarded, CHUNK("1", "a ") "id: 3\ndata: [DONE]\n\n"),
 			 CW_ANSWER_MALFORMED);
 	g_string_free(forwarded, TRUE);
@@ -122,9 +122,9 @@
 	struct cw_answer *answer = cw_answer_create(10000);
 	GString *forwarded = g_string_new(NULL);
 
-	cw_answer_begin(answer, 0);
+	cw_answer_begin_attempt(answer, 0);
 	feed(answer, forwarded, CHUNK("1", "a "));
-	cw_answer_begin(answer, 0);
+	cw_answer_begin_attempt(answer, 0);
 	assert_int_equal(feed(answer, forwarded, CHUNK("1", "b ") "data: [DONE]\n\n"),
 			 CW_ANSWER_DONE);
 	assert_string_equal(cw_answer_text(answer), "a b ");
@@ -147,7 +147,7 @@
 		struct cw_answer *answer = cw_answer_create(1000);
 		GString *forwarded = g_string_new(NULL);
 
-		cw_answer_begin(answer, 0);
+		cw_answer_begin_attempt(answer, 0);
 		assert_int_equal(feed(answer, forwarded, malformed[i]), CW_ANSWER_MALFORMED);
 		assert_int_equal(forwarded->len, 0);
 		g_string_free(forwarded, TRUE);
@@ -161,7 +161,7 @@
 	GString *forwarded = g_string_new(NULL);
 	char *oversized = g_strnfill(2000, 'x');
 
-	cw_answer_begin(answer, 0);
+	cw_answer_begin_attempt(answer, 0);
 	assert_int_equal(feed(answer, forwarded, oversized), CW_ANSWER_MALFORMED);
 	g_free(oversized);
 	g_string_free(forwarded, TRUE);
@@ -178,14 +178,15 @@
 	unsigned int completion;
 	char *text;
 
-	assert_int_equal(cw_answer_parse_whole(valid, strlen(valid), &prompt, &completion, &text),
-			 CW_OK);
+	assert_int_equal(
+		cw_answer_parse_completion(valid, strlen(valid), &prompt, &completion, &text),
+		CW_OK);
 	assert_string_equal(text, "hi");
 	assert_int_equal(prompt, 3);
 	g_free(text);
 	for (size_t i = 0; i < G_N_ELEMENTS(invalid); i++)
-		assert_int_equal(cw_answer_parse_whole(invalid[i], strlen(invalid[i]), &prompt,
-						       &completion, &text),
+		assert_int_equal(cw_answer_parse_completion(invalid[i], strlen(invalid[i]), &prompt,
+							    &completion, &text),
 				 CW_INVALID);
 }
 
--- a/tests/unit/test_claims.c
+++ b/tests/unit/test_claims.c
@@ -13,8 +13,8 @@
 
 static void apply_next(struct cw_claims *claims, int64_t time_ms, struct json_object *record)
 {
-	assert_int_equal(cw_claims_fold(claims, cw_claims_offset(claims) + 1, time_ms,
-					json_object_to_json_string(record), NULL),
+	assert_int_equal(cw_claims_apply_record(claims, cw_claims_offset(claims) + 1, time_ms,
+						json_object_to_json_string(record), NULL),
 			 CW_OK);
 	json_object_put(record);
 }
@@ -113,7 +113,7 @@
 
 	apply_next(existing, 1000, make_claim(&first));
 	apply_next(existing, 1001, make_outcome(&first, "done"));
-	assert_int_equal(cw_claims_add_kept(existing, checkpoint, 0, 10, &last), 1);
+	assert_int_equal(cw_claims_add_checkpoint(existing, checkpoint, 0, 10, &last), 1);
 	cw_claims_add_floor(floor, 3);
 	cw_claims_start_at(joining, 3);
 	assert_false(cw_claims_is_complete(joining));
@@ -160,11 +160,11 @@
 
 	apply_next(claims, 1000, make_claim(&first));
 	for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++)
-		assert_int_equal(cw_claims_fold(claims, cw_claims_offset(claims) + 1, 1000,
-						malformed[i], NULL),
+		assert_int_equal(cw_claims_apply_record(claims, cw_claims_offset(claims) + 1, 1000,
+							malformed[i], NULL),
 				 CW_OK);
 	assert_int_equal(cw_claims_lookup(claims, 7).holder, 1);
-	assert_int_equal(cw_claims_fold(claims, 99, 1000, "{}", NULL), CW_INVALID);
+	assert_int_equal(cw_claims_apply_record(claims, 99, 1000, "{}", NULL), CW_INVALID);
 	cw_claims_destroy(claims);
 }
 
