--- a/tests/bench/fleet/fleet.c
+++ b/tests/bench/fleet/fleet.c
@@ -1,6 +1,6 @@
 /*
- * Plays the model of a fleet at several sizes, prints what each size costs and how it grows, and
- * fails where a bound is passed. --json writes the same for a plot or another program.
+ * Simulates a fleet of instances at several sizes, prints the costs of each size and their growth,
+ * and fails if a cost exceeds its bound. --json appends the same figures to a file for programs.
  */
 #include "fleet.h"
 
@@ -10,54 +10,61 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define SIZES_MAX    8
-#define SERVERS_EACH 10	   /* of an instance */
-#define READY_MS     8000  /* from the start of all to the last that can serve */
-#define CHANGE_MS    5000  /* from a change to the last that has it */
-#define READERS	     4	   /* that read for all at one moment: two, and two as they change */
-#define CALLS_EACH   0.5   /* calls of the store for one instance, */
-#define CALLS_FEW    100   /* beside those of the readers and seeds */
-#define CALLS_READER 4.0   /* a second */
-#define UNKNOWN_PART 0.01  /* of the instances, that one doesn't know at the end */
-#define BYTES	     21000 /* of messages, a second and instance */
-
-static const char *const scenarios[] = {
-	[FLEET_START] = "start",
+#define SIZES_MAX	     8
+#define SERVERS_PER_INSTANCE 10
+#define READY_MAX_MS	     8000 /* from the start until all instances can serve */
+#define CHANGE_MAX_MS	     5000 /* from a configuration change until all instances have it */
+#define READERS_MAX	     4	  /* at one moment: two, and two more while readers change */
+/* Calls to the shared store. */
+#define STORE_CALLS_PER_INSTANCE 0.5
+#define STORE_CALLS_BASE	 100 /* of the readers and seeds at the start, at any size */
+#define STORE_CALLS_PER_READER_S 4.0 /* per reader and second, in the whole run */
+
+#define UNKNOWN_SHARE_MAX	 0.01  /* of all instances, unknown to one at the end */
+#define GOSSIP_BYTES_PER_S_MAX	 21000 /* sent per instance */
+
+static const char *const scenario_names[] = {
+	[FLEET_FIRST_START] = "start",
 	[FLEET_RESTART] = "restart",
-	[FLEET_READERS] = "readers",
+	[FLEET_READER_CRASH] = "readers",
 };
 
-static const char *name_of(enum fleet_scenario scenario)
+static const char *scenario_name(enum fleet_scenario scenario)
 {
-	return (size_t)scenario < G_N_ELEMENTS(scenarios) ? scenarios[scenario] : "-";
+	return (size_t)scenario < G_N_ELEMENTS(scenario_names) ? scenario_names[scenario] : "-";
 }
 
-static int fails(const char *what, double value, double bound)
+static int exceeds_bound(const char *quantity, double value, double bound)
 {
 	if (value <= bound)
 		return 0;
-	printf("  over its bound: %s %.1f, %.1f allowed\n", what, value, bound);
+	printf("  over its bound: %s %.1f, %.1f allowed\n", quantity, value, bound);
 	return 1;
 }
 
-static int check(const struct fleet_options *options, const struct fleet_report *report)
+static int count_exceeded_bounds(const struct fleet_options *options,
+				 const struct fleet_report *report)
 {
-	double seconds = (double)options->end_ms / 1000;
-	double calls = CALLS_FEW + CALLS_EACH * (double)options->instances +
-		       CALLS_READER * READERS * seconds;
+	double seconds = (double)options->duration_ms / 1000;
+	double max_store_calls = STORE_CALLS_BASE +
+				 STORE_CALLS_PER_INSTANCE * (double)options->instance_count +
+				 STORE_CALLS_PER_READER_S * READERS_MAX * seconds;
 	double ready_ms = report->ready_ms[2] < 0 ? INFINITY : (double)report->ready_ms[2];
 	double change_ms = report->change_ms[2] < 0 ? INFINITY : (double)report->change_ms[2];
-	int failures = 0;
-
-	failures += fails("time until all can serve, ms", ready_ms, READY_MS);
-	failures += fails("time of a change to all, ms", change_ms, CHANGE_MS);
-	failures += fails("calls of the store", (double)report->store_calls, calls);
-	failures += fails("instances that read for all", (double)report->readers_most, READERS);
-	failures += fails("bytes of messages a second", report->bytes, BYTES);
-	failures += fails("members that one doesn't know",
-			  (double)(options->instances - report->members_least),
-			  UNKNOWN_PART * (double)options->instances);
-	return failures;
+	int exceeded = 0;
+
+	exceeded += exceeds_bound("time until all can serve, ms", ready_ms, READY_MAX_MS);
+	exceeded += exceeds_bound("time of a change to all, ms", change_ms, CHANGE_MAX_MS);
+	exceeded +=
+		exceeds_bound("calls of the store", (double)report->store_calls, max_store_calls);
+	exceeded += exceeds_bound("instances that read for all", (double)report->max_readers,
+				  READERS_MAX);
+	exceeded += exceeds_bound("bytes of messages a second", report->bytes_per_s,
+				  GOSSIP_BYTES_PER_S_MAX);
+	exceeded += exceeds_bound("members that one doesn't know",
+				  (double)(options->instance_count - report->min_members),
+				  UNKNOWN_SHARE_MAX * (double)options->instance_count);
+	return exceeded;
 }
 
 static void print_report(const struct fleet_options *options, const struct fleet_report *report)
@@ -65,11 +72,12 @@
 	printf("%-8s %5zu instances %6zu servers: ready %ld %ld %ld ms, change %ld %ld %ld ms, "
 	       "calls %zu (%zu failed, %.1f MB), readers %zu, messages %.0f/s %.1f kB/s, fetches "
 	       "%.1f (%.1f declined)\n",
-	       name_of(options->scenario), options->instances, options->servers,
+	       scenario_name(options->scenario), options->instance_count, options->server_count,
 	       (long)report->ready_ms[0], (long)report->ready_ms[1], (long)report->ready_ms[2],
 	       (long)report->change_ms[0], (long)report->change_ms[1], (long)report->change_ms[2],
-	       report->store_calls, report->calls_failed, report->store_mb, report->readers_most,
-	       report->messages, report->bytes / 1000, report->fetches, report->declined);
+	       report->store_calls, report->store_calls_failed, report->store_mb,
+	       report->max_readers, report->messages_per_s, report->bytes_per_s / 1000,
+	       report->fetches, report->fetches_declined);
 	fflush(stdout);
 }
 
@@ -81,60 +89,63 @@
 		"\"ready_ms\":[%ld,%ld,%ld],\"change_ms\":[%ld,%ld,%ld],\"store_calls\":%zu,"
 		"\"calls_failed\":%zu,\"store_mb\":%.2f,\"readers\":%zu,\"messages\":%.1f,"
 		"\"bytes\":%.0f,\"fetches\":%.2f,\"declined\":%.2f}\n",
-		name_of(options->scenario), options->instances, options->servers, options->seed,
-		(long)report->ready_ms[0], (long)report->ready_ms[1], (long)report->ready_ms[2],
-		(long)report->change_ms[0], (long)report->change_ms[1], (long)report->change_ms[2],
-		report->store_calls, report->calls_failed, report->store_mb, report->readers_most,
-		report->messages, report->bytes, report->fetches, report->declined);
+		scenario_name(options->scenario), options->instance_count, options->server_count,
+		options->seed, (long)report->ready_ms[0], (long)report->ready_ms[1],
+		(long)report->ready_ms[2], (long)report->change_ms[0], (long)report->change_ms[1],
+		(long)report->change_ms[2], report->store_calls, report->store_calls_failed,
+		report->store_mb, report->max_readers, report->messages_per_s, report->bytes_per_s,
+		report->fetches, report->fetches_declined);
 }
 
-/* How a cost grows with the size: its power over the sizes at both ends. */
-static void print_power(const char *what, double first, double last, double sizes)
+/* The exponent k of a cost that grows as size^k, from its values at both ends of the sizes. */
+static void print_growth_exponent(const char *quantity, double first, double last,
+				  double size_ratio)
 {
 	if (first > 0 && last > 0)
-		printf("  grows as size to the power %.2f: %s\n", log(last / first) / log(sizes),
-		       what);
+		printf("  grows as size to the power %.2f: %s\n",
+		       log(last / first) / log(size_ratio), quantity);
 }
 
 static int find_scenario(const char *name)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(scenarios); i++)
-		if (!g_strcmp0(scenarios[i], name))
+	for (size_t i = 0; i < G_N_ELEMENTS(scenario_names); i++)
+		if (!g_strcmp0(scenario_names[i], name))
 			return (int)i;
 	return -1;
 }
 
-/* The growth between the smallest and the largest size. */
+/* Growth between the first and the last size, which should be the smallest and the largest. */
 static void print_growth(const struct fleet_report *first, const struct fleet_report *last,
-			 double factor)
+			 double size_ratio)
 {
-	print_power("time until all can serve", (double)first->ready_ms[2],
-		    (double)last->ready_ms[2], factor);
-	print_power("time of a change to all", (double)first->change_ms[2],
-		    (double)last->change_ms[2], factor);
-	print_power("calls of the store", (double)first->store_calls, (double)last->store_calls,
-		    factor);
-	print_power("bytes of messages, an instance", first->bytes, last->bytes, factor);
+	print_growth_exponent("time until all can serve", (double)first->ready_ms[2],
+			      (double)last->ready_ms[2], size_ratio);
+	print_growth_exponent("time of a change to all", (double)first->change_ms[2],
+			      (double)last->change_ms[2], size_ratio);
+	print_growth_exponent("calls of the store", (double)first->store_calls,
+			      (double)last->store_calls, size_ratio);
+	print_growth_exponent("bytes of messages, an instance", first->bytes_per_s,
+			      last->bytes_per_s, size_ratio);
 }
 
-/* The exit code: 0, 1 where a bound is passed, 2 where the file can't be written. */
-static int play_sizes(struct fleet_options *options, const int *sizes, size_t count,
-		      const char *json)
+/* Returns the exit code: 0, 1 if a cost exceeds its bound, 2 if the file can't be written. */
+static int simulate_sizes(struct fleet_options *options, const int *sizes, size_t count,
+			  const char *json_path)
 {
 	struct fleet_report reports[SIZES_MAX] = {0};
 	FILE *file = NULL;
-	int failures = 0;
+	int exceeded = 0;
 
-	if (json && !(file = fopen(json, "a"))) {
-		fprintf(stderr, "%s: can't be written\n", json);
+	if (json_path && !(file = fopen(json_path, "a"))) {
+		fprintf(stderr, "%s: can't be written\n", json_path);
 		return 2;
 	}
 	for (size_t i = 0; i < count; i++) {
-		options->instances = (size_t)MAX(sizes[i], 1);
-		options->servers = options->instances * SERVERS_EACH;
-		fleet_play(options, &reports[i]);
+		options->instance_count = (size_t)MAX(sizes[i], 1);
+		options->server_count = options->instance_count * SERVERS_PER_INSTANCE;
+		fleet_simulate(options, &reports[i]);
 		print_report(options, &reports[i]);
-		failures += check(options, &reports[i]);
+		exceeded += count_exceeded_bounds(options, &reports[i]);
 		if (file)
 			write_json(file, options, &reports[i]);
 	}
@@ -143,7 +154,7 @@
 			     (double)sizes[count - 1] / MAX(sizes[0], 1));
 	if (file)
 		fclose(file);
-	return failures ? EXIT_FAILURE : EXIT_SUCCESS;
+	return exceeded ? EXIT_FAILURE : EXIT_SUCCESS;
 }
 
 int main(int argc, char **argv)
@@ -168,12 +179,12 @@
 	} else {
 		struct fleet_options options = {0};
 
-		fleet_defaults(&options);
+		fleet_set_defaults(&options);
 		options.scenario = (enum fleet_scenario)find_scenario(scenario->sval[0]);
 		options.seed = seed->count > 0 ? (uint32_t)seed->ival[0] : options.seed;
 		options.lost_per_mille = lost->count > 0 ? lost->ival[0] : 0;
-		code = play_sizes(&options, sizes->ival, (size_t)sizes->count,
-				  json->count > 0 ? json->filename[0] : NULL);
+		code = simulate_sizes(&options, sizes->ival, (size_t)sizes->count,
+				      json->count > 0 ? json->filename[0] : NULL);
 	}
 	arg_freetable(table, G_N_ELEMENTS(table));
 	return code;
--- a/tests/bench/fleet/fleet_report.c
+++ b/tests/bench/fleet/fleet_report.c
@@ -3,12 +3,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-int64_t fleet_steady_ms(const struct world *world)
+int64_t fleet_steady_from_ms(const struct fleet *fleet)
 {
-	return world->options->change_ms / 2;
+	return fleet->options->change_ms / 2;
 }
 
-static gint by_time(gconstpointer one, gconstpointer other)
+static gint compare_times(gconstpointer one, gconstpointer other)
 {
 	int64_t first = *(const int64_t *)one;
 	int64_t second = *(const int64_t *)other;
@@ -16,46 +16,47 @@
 	return first < second ? -1 : first > second;
 }
 
-/* times of those that are up; -1: never. Until 50, 99 and 100 in 100 of them. */
-static void parts_of(int64_t *times, size_t count, int64_t since_ms, int64_t parts[3])
+/* The 50th, 99th and 100th percentile of times, from since_ms; -1: never. Sorts times. */
+static void compute_percentiles(int64_t *times, size_t count, int64_t since_ms,
+				int64_t percentiles[3])
 {
-	static const double part[] = {0.5, 0.99, 1};
+	static const double shares[] = {0.5, 0.99, 1};
 
 	for (size_t i = 0; i < count; i++)
 		times[i] = times[i] < 0 ? G_MAXINT64 : times[i] - since_ms;
-	qsort(times, count, sizeof(*times), by_time);
-	for (size_t i = 0; i < G_N_ELEMENTS(part); i++) {
-		size_t at = (size_t)(part[i] * (double)(count - 1) + 0.5);
+	qsort(times, count, sizeof(*times), compare_times);
+	for (size_t i = 0; i < G_N_ELEMENTS(shares); i++) {
+		size_t index = (size_t)(shares[i] * (double)(count - 1) + 0.5);
 
-		parts[i] = times[at] == G_MAXINT64 ? -1 : times[at];
+		percentiles[i] = times[index] == G_MAXINT64 ? -1 : times[index];
 	}
 }
 
-void fleet_report_on(struct world *world)
+void fleet_fill_report(struct fleet *fleet)
 {
-	size_t instances = world->options->instances;
-	int64_t *ready = g_new(int64_t, instances);
-	int64_t *change = g_new(int64_t, instances);
-	double seconds = (double)(world->options->end_ms - fleet_steady_ms(world)) / 1000;
-	size_t up = 0;
+	size_t instance_count = fleet->options->instance_count;
+	int64_t *ready = g_new(int64_t, instance_count);
+	int64_t *change = g_new(int64_t, instance_count);
+	double seconds = (double)(fleet->options->duration_ms - fleet_steady_from_ms(fleet)) / 1000;
+	size_t up_count = 0;
 
-	world->report->members_least = instances;
-	for (size_t i = 0; i < instances; i++) {
-		struct node *node = &world->nodes[i];
+	fleet->report->min_members = instance_count;
+	for (size_t i = 0; i < instance_count; i++) {
+		struct instance *instance = &fleet->instances[i];
 
-		if (!node->is_up)
+		if (!instance->is_up)
 			continue;
-		ready[up] = node->ready_ms;
-		change[up++] = node->change_ms;
-		world->report->members_least =
-			MIN(world->report->members_least, cw_membership_size(node->membership));
+		ready[up_count] = instance->ready_ms;
+		change[up_count++] = instance->change_ms;
+		fleet->report->min_members =
+			MIN(fleet->report->min_members, cw_membership_size(instance->membership));
 	}
-	parts_of(ready, up, 0, world->report->ready_ms);
-	parts_of(change, up, world->options->change_ms, world->report->change_ms);
-	world->report->messages = world->messages / seconds / (double)instances;
-	world->report->bytes = world->bytes / seconds / (double)instances;
-	world->report->fetches /= (double)instances;
-	world->report->declined /= (double)instances;
+	compute_percentiles(ready, up_count, 0, fleet->report->ready_ms);
+	compute_percentiles(change, up_count, fleet->options->change_ms, fleet->report->change_ms);
+	fleet->report->messages_per_s = fleet->messages_sent / seconds / (double)instance_count;
+	fleet->report->bytes_per_s = fleet->bytes_sent / seconds / (double)instance_count;
+	fleet->report->fetches /= (double)instance_count;
+	fleet->report->fetches_declined /= (double)instance_count;
 	g_free(ready);
 	g_free(change);
 }
--- a/tests/bench/fleet/fleet_world.c
+++ b/tests/bench/fleet/fleet_world.c
@@ -7,516 +7,548 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ROUND_MS       150
-#define CHECK_MS       100
-#define WAY_MS	       1
-#define SILENT_MS      2000
-#define SETTLE_MS      2000
-#define CALM_MS	       500
-#define ALONE_MS       3000
-#define CALL_MS	       4    /* of the store, without the bytes */
-#define GIVE_UP_MS     1000 /* an instance waits so long for the store */
-#define OVERLOAD_MS    2000 /* of waiting reads: the store rejects further ones */
-#define POLL_MS	       700  /* of a reader's call without news */
-#define PAGE_ENTRIES   500
-#define FETCH_GAP_MS   100
-#define DECLINED_MS    1000
-#define STAGGER_MS     300 /* all start within */
-#define SEEDS	       3
-#define INTRODUCTIONS  400
-#define ANSWERS	       8
-#define READERS_KEY    1
-#define MESSAGE_BYTES  (16 * 1024)
-#define READERS_DIE_MS 200 /* before the change */
-
-static uint64_t draw(struct world *world)
+/* Timings and limits of gossip, fetches and polls equal those of apps/corianderwalk. */
+#define GOSSIP_ROUND_MS		150
+#define FOLLOW_CHECK_MS		100
+#define LATENCY_MS		1    /* of the network, one way */
+#define MEMBER_TIMEOUT_MS	2000 /* without a sign of life for longer: not live */
+#define SETTLE_MS		2000 /* after a start and after each growth by a quarter */
+#define STABLE_MS		500  /* without growth by a quarter: ranks are reliable */
+#define ALONE_SETTLE_MS		3000 /* after the start, for an instance that knows no other */
+#define STORE_CALL_MS		4    /* of a call to the shared store, without the transfer */
+#define STORE_TIMEOUT_MS	1000 /* of a call to the shared store */
+#define STORE_QUEUE_MAX_MS	2000 /* of queued transfers: the store rejects further calls */
+#define LONG_POLL_MS		700  /* of a reader's call for the server list, without changes */
+#define PAGE_ENTRIES		500
+#define FETCH_GAP_MS		100  /* least time between two fetches of a topic */
+#define DECLINED_WAIT_MS	1000 /* after a declined fetch, for other peers' state */
+#define START_SPREAD_MS		300  /* all instances start within this time */
+#define SEED_COUNT		3
+#define INTRODUCTIONS_PER_ROUND 400
+#define ANSWERS_PER_ROUND	8
+#define READERS_KEY		1 /* of the rendezvous hashing that ranks the readers */
+#define MESSAGE_MAX_BYTES	(16 * 1024)
+#define READER_CRASH_LEAD_MS	200 /* from the readers' crash to the change */
+
+static uint64_t random_u64(struct fleet *fleet)
 {
-	return (uint64_t)g_rand_int(world->random) << 32 | g_rand_int(world->random);
+	return (uint64_t)g_rand_int(fleet->random) << 32 | g_rand_int(fleet->random);
 }
 
-static void plan(struct world *world, int64_t at_ms, struct event event)
+static void schedule_event(struct fleet *fleet, int64_t at_ms, struct event event)
 {
-	at_ms = MAX(at_ms, world->now_ms + 1);
-	if (at_ms >= world->options->end_ms) {
-		g_clear_pointer(&event.bytes, g_bytes_unref);
+	at_ms = MAX(at_ms, fleet->now_ms + 1);
+	if (at_ms >= fleet->options->duration_ms) {
+		g_clear_pointer(&event.message, g_bytes_unref);
 		return;
 	}
-	event.boot = world->nodes[event.node].boot;
-	if (!world->agenda[at_ms])
-		world->agenda[at_ms] = g_ptr_array_new_with_free_func(g_free);
-	g_ptr_array_add(world->agenda[at_ms], g_memdup2(&event, sizeof(event)));
+	event.boot = fleet->instances[event.instance_index].boot;
+	if (!fleet->schedule[at_ms])
+		fleet->schedule[at_ms] = g_ptr_array_new_with_free_func(g_free);
+	g_ptr_array_add(fleet->schedule[at_ms], g_memdup2(&event, sizeof(event)));
 }
 
-static size_t index_of(const struct world *world, const struct node *node)
+static size_t instance_index(const struct fleet *fleet, const struct instance *instance)
 {
-	return (size_t)(node - world->nodes);
+	return (size_t)(instance - fleet->instances);
 }
 
-static int is_ready(const struct node *node)
+static int is_ready(const struct instance *instance)
 {
-	return node->topics[OPERATOR].version && node->topics[SERVERS].version;
+	return instance->topics[TOPIC_CONFIG].version && instance->topics[TOPIC_SERVERS].version;
 }
 
-static int is_settled(const struct world *world, const struct node *node)
+static int is_settled(const struct fleet *fleet, const struct instance *instance)
 {
-	int64_t running_ms = world->now_ms - node->started_ms;
+	int64_t running_ms = fleet->now_ms - instance->started_ms;
 
 	if (running_ms < CW_READERS_DISCOVERY_MS ||
-	    (cw_membership_size(node->membership) == 1 && running_ms < ALONE_MS))
+	    (cw_membership_size(instance->membership) == 1 && running_ms < ALONE_SETTLE_MS))
 		return 0;
-	return cw_membership_is_stable(node->membership, world->now_ms, CALM_MS);
+	return cw_membership_is_stable(instance->membership, fleet->now_ms, STABLE_MS);
 }
 
-static size_t rank_of(const struct world *world, const struct node *node)
+static size_t reader_rank(const struct fleet *fleet, const struct instance *instance)
 {
-	return cw_membership_rank(node->membership, READERS_KEY, world->now_ms);
+	return cw_membership_rank(instance->membership, READERS_KEY, fleet->now_ms);
 }
 
-static int is_reader(const struct world *world, const struct node *node)
+static int is_reader(const struct fleet *fleet, const struct instance *instance)
 {
-	return is_settled(world, node) && cw_readers_is_reader(rank_of(world, node));
+	return is_settled(fleet, instance) && cw_readers_is_reader(reader_rank(fleet, instance));
 }
 
-static int is_awaited(const struct world *world, const struct node *node)
+static int is_awaited(const struct fleet *fleet, const struct instance *instance)
 {
-	return node->is_seed ||
-	       (is_settled(world, node) && rank_of(world, node) < CW_READERS_STANDBY);
+	return instance->is_seed ||
+	       (is_settled(fleet, instance) && reader_rank(fleet, instance) < CW_READERS_STANDBY);
 }
 
-static void note_state(struct world *world, struct node *node)
+static void record_times(struct fleet *fleet, struct instance *instance)
 {
-	if (is_ready(node) && node->ready_ms < 0)
-		node->ready_ms = world->now_ms;
-	if (node->topics[OPERATOR].version > 1 && node->change_ms < 0)
-		node->change_ms = world->now_ms;
+	if (is_ready(instance) && instance->ready_ms < 0)
+		instance->ready_ms = fleet->now_ms;
+	if (instance->topics[TOPIC_CONFIG].version > 1 && instance->change_ms < 0)
+		instance->change_ms = fleet->now_ms;
 }
 
-/* The store answers in turn, as fast as its bytes allow; who gave up costs as much. */
-static void call_store(struct world *world, struct node *node, enum topic topic, double bytes,
-		       int64_t wait_ms)
+/*
+ * The shared store sends its answers one after another, at its bandwidth. An answer that the caller
+ * no longer waits for takes as long.
+ */
+static void call_store(struct fleet *fleet, struct instance *instance, enum topic topic,
+		       double bytes, int64_t poll_ms)
 {
-	double waiting_ms = MAX(world->store_free_ms - (double)world->now_ms, 0);
-	struct event event = {.kind = CALLED, .node = index_of(world, node), .topic = topic};
-	int64_t took_ms;
-
-	node->topics[topic].is_asking = 1;
-	world->report->store_calls++;
-	if (waiting_ms > OVERLOAD_MS) {
-		plan(world, world->now_ms + CALL_MS, event);
+	double queue_ms = MAX(fleet->store_idle_at_ms - (double)fleet->now_ms, 0);
+	struct event event = {.kind = EVENT_STORE_ANSWER,
+			      .instance_index = instance_index(fleet, instance),
+			      .topic = topic};
+	int64_t answer_ms;
+
+	instance->topics[topic].is_call_pending = 1;
+	fleet->report->store_calls++;
+	if (queue_ms > STORE_QUEUE_MAX_MS) {
+		schedule_event(fleet, fleet->now_ms + STORE_CALL_MS, event);
 		return;
 	}
-	world->store_free_ms = MAX(world->store_free_ms, (double)world->now_ms) +
-			       bytes / (world->options->store_mb_per_s * 1000);
-	world->report->store_mb += bytes / 1e6;
-	took_ms = CALL_MS + (int64_t)(world->store_free_ms - (double)world->now_ms);
-	event.is_good = took_ms <= GIVE_UP_MS;
-	event.value = world->version;
-	plan(world, world->now_ms + MIN(took_ms, GIVE_UP_MS) + wait_ms, event);
+	fleet->store_idle_at_ms = MAX(fleet->store_idle_at_ms, (double)fleet->now_ms) +
+				  bytes / (fleet->options->store_mb_per_s * 1000);
+	fleet->report->store_mb += bytes / 1e6;
+	answer_ms = STORE_CALL_MS + (int64_t)(fleet->store_idle_at_ms - (double)fleet->now_ms);
+	event.is_success = answer_ms <= STORE_TIMEOUT_MS;
+	event.version = fleet->config_version;
+	schedule_event(fleet, fleet->now_ms + MIN(answer_ms, STORE_TIMEOUT_MS) + poll_ms, event);
 }
 
-static double page_bytes(const struct world *world, enum topic topic)
+static double page_bytes(const struct fleet *fleet, enum topic topic)
 {
-	double entries = (double)world->options->servers;
+	double entries = (double)fleet->options->server_count;
 
-	if (topic == OPERATOR)
-		return world->options->config_bytes;
-	if (world->options->scenario == FLEET_START)
+	if (topic == TOPIC_CONFIG)
+		return fleet->options->config_store_bytes;
+	if (fleet->options->scenario == FLEET_FIRST_START)
 		return 0;
-	return MIN(entries, PAGE_ENTRIES) * world->options->entry_bytes;
+	return MIN(entries, PAGE_ENTRIES) * fleet->options->entry_store_bytes;
 }
 
-static void ask_at(struct world *world, struct node *node, enum topic topic, int64_t at_ms)
+static void schedule_read(struct fleet *fleet, struct instance *instance, enum topic topic,
+			  int64_t at_ms)
 {
-	plan(world, at_ms,
-	     (struct event){.kind = ASK, .node = index_of(world, node), .topic = topic});
+	schedule_event(fleet, at_ms,
+		       (struct event){.kind = EVENT_READ_DUE,
+				      .instance_index = instance_index(fleet, instance),
+				      .topic = topic});
 }
 
-static void on_ask(struct world *world, struct node *node, enum topic topic)
+static void on_read_due(struct fleet *fleet, struct instance *instance, enum topic topic)
 {
-	struct reading *reading = &node->topics[topic];
+	struct topic_state *state = &instance->topics[topic];
 	struct cw_readers_view view = {
-		.is_awaited = is_awaited(world, node),
-		.is_peer_sending = reading->is_fetching ||
-				   (reading->declined_ms &&
-				    world->now_ms - reading->declined_ms < DECLINED_MS),
-		.is_jitter_done = reading->is_jitter_done,
-		.knows_peers = cw_membership_size(node->membership) > 1,
-		.running_ms = world->now_ms - node->started_ms,
+		.is_awaited = is_awaited(fleet, instance),
+		.is_peer_sending = state->is_fetching ||
+				   (state->last_declined_ms &&
+				    fleet->now_ms - state->last_declined_ms < DECLINED_WAIT_MS),
+		.is_jitter_done = state->is_jitter_done,
+		.knows_peers = cw_membership_size(instance->membership) > 1,
+		.running_ms = fleet->now_ms - instance->started_ms,
 	};
 
-	if (reading->version || reading->is_asking)
+	if (state->version || state->is_call_pending)
 		return;
 	switch (cw_readers_next_step(&view)) {
 	case CW_READERS_READ:
-		call_store(world, node, topic, page_bytes(world, topic), 0);
+		call_store(fleet, instance, topic, page_bytes(fleet, topic), 0);
 		break;
 	case CW_READERS_AWAIT_PEER:
-		ask_at(world, node, topic, world->now_ms + CHECK_MS);
+		schedule_read(fleet, instance, topic, fleet->now_ms + FOLLOW_CHECK_MS);
 		break;
 	case CW_READERS_WAIT_JITTER:
-		reading->is_jitter_done = 1;
-		ask_at(world, node, topic, world->now_ms + cw_readers_jitter_ms(draw(world)));
+		state->is_jitter_done = 1;
+		schedule_read(fleet, instance, topic,
+			      fleet->now_ms + cw_readers_jitter_ms(random_u64(fleet)));
 		break;
 	}
 }
 
-static void read_on(struct world *world, struct node *node)
+static void continue_list_read(struct fleet *fleet, struct instance *instance)
 {
-	struct reading *list = &node->topics[SERVERS];
-	size_t pages = (world->options->servers + PAGE_ENTRIES - 1) / PAGE_ENTRIES;
+	struct topic_state *list = &instance->topics[TOPIC_SERVERS];
+	size_t pages = (fleet->options->server_count + PAGE_ENTRIES - 1) / PAGE_ENTRIES;
 	int is_first = list->pages_left == 0;
 
-	if (world->options->scenario == FLEET_START)
+	if (fleet->options->scenario == FLEET_FIRST_START)
 		pages = 1;
 	list->pages_left = is_first ? pages - 1 : list->pages_left - 1;
 	if (list->pages_left == 0) {
 		list->version = 1;
-		cw_follow_end_read(&node->follow, world->now_ms);
+		cw_follow_end_read(&instance->follow, fleet->now_ms);
 		return;
 	}
-	if (is_first && !is_awaited(world, node))
-		ask_at(world, node, SERVERS, world->now_ms + cw_readers_jitter_ms(draw(world)));
+	if (is_first && !is_awaited(fleet, instance))
+		schedule_read(fleet, instance, TOPIC_SERVERS,
+			      fleet->now_ms + cw_readers_jitter_ms(random_u64(fleet)));
 	else
-		call_store(world, node, SERVERS, page_bytes(world, SERVERS), 0);
+		call_store(fleet, instance, TOPIC_SERVERS, page_bytes(fleet, TOPIC_SERVERS), 0);
 }
 
-static void on_called(struct world *world, struct node *node, const struct event *event)
+static void on_store_answer(struct fleet *fleet, struct instance *instance,
+			    const struct event *event)
 {
-	struct reading *reading = &node->topics[event->topic];
-	size_t rank = rank_of(world, node);
-
-	reading->is_asking = 0;
-	if (!event->is_good) {
-		world->report->calls_failed++;
-		reading->failures++;
-		ask_at(world, node, event->topic,
-		       world->now_ms + cw_readers_retry_ms(rank, reading->failures, draw(world)));
+	struct topic_state *state = &instance->topics[event->topic];
+	size_t rank = reader_rank(fleet, instance);
+
+	state->is_call_pending = 0;
+	if (!event->is_success) {
+		fleet->report->store_calls_failed++;
+		state->failures++;
+		schedule_read(fleet, instance, event->topic,
+			      fleet->now_ms + cw_readers_retry_ms(rank, state->failures,
+								  random_u64(fleet)));
 		return;
 	}
-	reading->failures = 0;
-	if (event->topic == OPERATOR)
-		reading->version = MAX(reading->version, event->value);
-	else if (!reading->version)
-		read_on(world, node);
+	state->failures = 0;
+	if (event->topic == TOPIC_CONFIG)
+		state->version = MAX(state->version, event->version);
+	else if (!state->version)
+		continue_list_read(fleet, instance);
 	else
-		cw_follow_end_read(&node->follow, world->now_ms);
-	note_state(world, node);
+		cw_follow_end_read(&instance->follow, fleet->now_ms);
+	record_times(fleet, instance);
 }
 
-/* What a reader or one that steps in learns: is there anything new? */
-static void follow(struct world *world, struct node *node)
+/* Asks for changes of list and configuration, as a reader or taking over from the readers. */
+static void poll_store(struct fleet *fleet, struct instance *instance)
 {
-	struct reading *operator= & node->topics[OPERATOR];
-	struct reading *servers = &node->topics[SERVERS];
-	size_t rank = rank_of(world, node);
-	int reads = is_reader(world, node);
+	struct topic_state *config = &instance->topics[TOPIC_CONFIG];
+	struct topic_state *servers = &instance->topics[TOPIC_SERVERS];
+	size_t rank = reader_rank(fleet, instance);
+	int reads_for_all = is_reader(fleet, instance);
 
-	if (!is_ready(node) || !is_settled(world, node))
+	if (!is_ready(instance) || !is_settled(fleet, instance))
 		return;
-	if (!servers->is_asking &&
-	    (reads || cw_follow_is_reader(&node->follow, rank, world->now_ms)))
-		call_store(world, node, SERVERS, 0, reads ? POLL_MS : 0);
-	else if (!reads)
+	if (!servers->is_call_pending &&
+	    (reads_for_all || cw_follow_is_reader(&instance->follow, rank, fleet->now_ms)))
+		call_store(fleet, instance, TOPIC_SERVERS, 0, reads_for_all ? LONG_POLL_MS : 0);
+	else if (!reads_for_all)
 		return;
-	/* A long poll ends as soon as there is news. */
-	if (!operator->is_asking && operator->version<world->version)
-		call_store(world, node, OPERATOR, world->options->config_bytes, 0);
+	/* The long poll for the configuration is answered at once after a change. Polls that end
+	 * without a change are not simulated. */
+	if (!config->is_call_pending && config->version < fleet->config_version)
+		call_store(fleet, instance, TOPIC_CONFIG, fleet->options->config_store_bytes, 0);
 }
 
-static void send_message(struct world *world, const char *address, GBytes *message)
+static void send_message(struct fleet *fleet, const char *address, GBytes *message)
 {
-	struct node *to = g_hash_table_lookup(world->by_address, address);
+	struct instance *recipient = g_hash_table_lookup(fleet->instances_by_address, address);
 
-	if (world->now_ms >= fleet_steady_ms(world)) {
-		world->messages++;
-		world->bytes += (double)g_bytes_get_size(message);
+	if (fleet->now_ms >= fleet_steady_from_ms(fleet)) {
+		fleet->messages_sent++;
+		fleet->bytes_sent += (double)g_bytes_get_size(message);
 	}
-	if (!to || g_rand_int_range(world->random, 0, 1000) < world->options->lost_per_mille)
+	if (!recipient || g_rand_int_range(fleet->random, 0, 1000) < fleet->options->lost_per_mille)
 		return;
-	plan(world, world->now_ms + WAY_MS,
-	     (struct event){
-		     .kind = MESSAGE, .node = index_of(world, to), .bytes = g_bytes_ref(message)});
+	schedule_event(fleet, fleet->now_ms + LATENCY_MS,
+		       (struct event){.kind = EVENT_MESSAGE,
+				      .instance_index = instance_index(fleet, recipient),
+				      .message = g_bytes_ref(message)});
 }
 
-static GBytes *write_message(struct world *world, const struct node *node, int is_bare)
+static GBytes *encode_message(struct fleet *fleet, const struct instance *instance, int omits_state)
 {
 	struct cw_gossip *gossip = g_new0(struct cw_gossip, 1);
-	char *bytes = g_malloc(MESSAGE_BYTES);
+	char *buffer = g_malloc(MESSAGE_MAX_BYTES);
 	size_t size;
 
-	g_strlcpy(gossip->sender.instance, node->name, CW_NAME_MAX);
-	g_strlcpy(gossip->sender.failure_domain, node->domain, CW_NAME_MAX);
-	g_strlcpy(gossip->sender.address, node->address, CW_ADDRESS_MAX);
-	gossip->boot = node->boot;
+	g_strlcpy(gossip->sender.instance, instance->name, CW_NAME_MAX);
+	g_strlcpy(gossip->sender.failure_domain, instance->failure_domain, CW_NAME_MAX);
+	g_strlcpy(gossip->sender.address, instance->address, CW_ADDRESS_MAX);
+	gossip->boot = instance->boot;
 	gossip->servers_age_ms = CW_GOSSIP_NO_AGE;
-	if (!is_bare)
-		gossip->operator_offset = node->topics[OPERATOR].version;
-	if (!is_bare && node->topics[SERVERS].version) {
-		gossip->servers_offset = node->follow.from;
-		gossip->servers_age_ms = (uint32_t)(world->now_ms - node->follow.fresh_ms);
-		gossip->servers_evidence = node->follow.evidence;
+	if (!omits_state)
+		gossip->operator_offset = instance->topics[TOPIC_CONFIG].version;
+	if (!omits_state && instance->topics[TOPIC_SERVERS].version) {
+		gossip->servers_offset = instance->follow.from;
+		gossip->servers_age_ms = (uint32_t)(fleet->now_ms - instance->follow.fresh_ms);
+		gossip->servers_evidence = instance->follow.evidence;
 	}
-	cw_gossip_add_members(gossip, node->membership, READERS_KEY, draw(world), world->now_ms);
-	size = cw_gossip_encode(gossip, bytes, MESSAGE_BYTES);
+	cw_gossip_add_members(gossip, instance->membership, READERS_KEY, random_u64(fleet),
+			      fleet->now_ms);
+	size = cw_gossip_encode(gossip, buffer, MESSAGE_MAX_BYTES);
 	g_free(gossip);
-	return g_bytes_new_take(g_realloc(bytes, size), size);
+	return g_bytes_new_take(g_realloc(buffer, size), size);
 }
 
-static void tell(struct world *world, struct node *node, const char *address, int is_bare)
+static void send_to_peer(struct fleet *fleet, struct instance *instance, const char *address,
+			 int omits_state)
 {
-	GBytes *message = write_message(world, node, is_bare);
+	GBytes *message = encode_message(fleet, instance, omits_state);
 
-	send_message(world, address, message);
+	send_message(fleet, address, message);
 	g_bytes_unref(message);
 }
 
-static void on_round(struct world *world, struct node *node)
+static void on_gossip_round(struct fleet *fleet, struct instance *instance)
 {
-	GBytes *message = write_message(world, node, 0);
+	GBytes *message = encode_message(fleet, instance, 0);
 	struct cw_audience audience;
 
-	node->introductions = INTRODUCTIONS;
-	node->answers = ANSWERS;
-	cw_membership_remove_stale(node->membership, world->now_ms, 60000);
-	cw_audience_choose(&audience, node->membership, node->domain, draw(world));
+	instance->introductions_left = INTRODUCTIONS_PER_ROUND;
+	instance->answers_left = ANSWERS_PER_ROUND;
+	cw_membership_remove_stale(instance->membership, fleet->now_ms, 60000);
+	cw_audience_choose(&audience, instance->membership, instance->failure_domain,
+			   random_u64(fleet));
 	for (size_t i = 0; i < audience.full_count; i++)
-		send_message(world, audience.members[i]->address, message);
+		send_message(fleet, audience.members[i]->address, message);
 	cw_audience_clear(&audience);
-	if (node->rounds++ % 8 == 0 || cw_audience_needs_seeds(node->membership, is_ready(node)))
-		for (size_t i = 0; i < MIN(SEEDS, world->options->instances); i++)
-			if (&world->nodes[i] != node)
-				send_message(world, world->nodes[i].address, message);
+	if (instance->rounds++ % 8 == 0 ||
+	    cw_audience_needs_seeds(instance->membership, is_ready(instance)))
+		for (size_t i = 0; i < MIN(SEED_COUNT, fleet->options->instance_count); i++)
+			if (&fleet->instances[i] != instance)
+				send_message(fleet, fleet->instances[i].address, message);
 	g_bytes_unref(message);
-	plan(world, world->now_ms + ROUND_MS,
-	     (struct event){.kind = ROUND, .node = index_of(world, node)});
+	schedule_event(fleet, fleet->now_ms + GOSSIP_ROUND_MS,
+		       (struct event){.kind = EVENT_GOSSIP_ROUND,
+				      .instance_index = instance_index(fleet, instance)});
 }
 
-static void fetch(struct world *world, struct node *node, enum topic topic, struct node *peer)
+static void fetch_from_peer(struct fleet *fleet, struct instance *instance, enum topic topic,
+			    struct instance *peer)
 {
-	struct reading *reading = &node->topics[topic];
-	double size = topic == OPERATOR
-			      ? world->options->config_packed
-			      : (double)world->options->servers * world->options->entry_packed;
-	double per_ms = world->options->link_mbps * 125;
-	struct event event = {.kind = FETCHED, .node = index_of(world, node), .topic = topic};
-
-	if (reading->is_fetching || world->now_ms - reading->tried_ms < FETCH_GAP_MS)
+	struct topic_state *state = &instance->topics[topic];
+	double size = topic == TOPIC_CONFIG ? fleet->options->config_peer_bytes
+					    : (double)fleet->options->server_count *
+						      fleet->options->entry_peer_bytes;
+	double bytes_per_ms = fleet->options->link_mbps * 125;
+	struct event event = {.kind = EVENT_FETCH_ANSWER,
+			      .instance_index = instance_index(fleet, instance),
+			      .topic = topic};
+
+	if (state->is_fetching || fleet->now_ms - state->last_fetch_ms < FETCH_GAP_MS)
 		return;
-	if (topic == SERVERS && world->options->scenario == FLEET_START)
+	if (topic == TOPIC_SERVERS && fleet->options->scenario == FLEET_FIRST_START)
 		size = 0;
-	reading->is_fetching = 1;
-	reading->tried_ms = world->now_ms;
-	world->report->fetches++;
-	event.is_good = cw_uplink_admits(&peer->uplink, world->now_ms);
-	event.value = peer->topics[topic].version;
-	if (event.is_good)
-		cw_uplink_add_transfer(&peer->uplink, (size_t)size, world->now_ms);
+	state->is_fetching = 1;
+	state->last_fetch_ms = fleet->now_ms;
+	fleet->report->fetches++;
+	event.is_success = cw_uplink_admits(&peer->uplink, fleet->now_ms);
+	event.version = peer->topics[topic].version;
+	if (event.is_success)
+		cw_uplink_add_transfer(&peer->uplink, (size_t)size, fleet->now_ms);
 	else
-		world->report->declined++;
-	plan(world, world->now_ms + 4 * WAY_MS + (event.is_good ? (int64_t)(2 * size / per_ms) : 0),
-	     event);
+		fleet->report->fetches_declined++;
+	schedule_event(fleet,
+		       fleet->now_ms + 4 * LATENCY_MS +
+			       (event.is_success ? (int64_t)(2 * size / bytes_per_ms) : 0),
+		       event);
 }
 
-static void on_fetched(struct world *world, struct node *node, const struct event *event)
+static void on_fetch_answer(struct fleet *fleet, struct instance *instance,
+			    const struct event *event)
 {
-	struct reading *reading = &node->topics[event->topic];
+	struct topic_state *state = &instance->topics[event->topic];
 
-	reading->is_fetching = 0;
-	if (!event->is_good) {
-		reading->declined_ms = world->now_ms;
+	state->is_fetching = 0;
+	if (!event->is_success) {
+		state->last_declined_ms = fleet->now_ms;
 		return;
 	}
-	if (event->topic == SERVERS && !reading->version)
-		node->follow.fresh_ms = world->now_ms;
-	reading->version = MAX(reading->version, event->value);
-	note_state(world, node);
+	if (event->topic == TOPIC_SERVERS && !state->version)
+		instance->follow.fresh_ms = fleet->now_ms;
+	state->version = MAX(state->version, event->version);
+	record_times(fleet, instance);
 }
 
-static void on_message(struct world *world, struct node *node, GBytes *bytes)
+static void on_message(struct fleet *fleet, struct instance *instance, GBytes *message)
 {
 	struct cw_gossip *gossip = g_new0(struct cw_gossip, 1);
 	struct cw_follow_report peer_report = {0};
-	struct node *sender;
+	struct instance *sender;
 	gsize size;
-	const char *text = g_bytes_get_data(bytes, &size);
+	const char *data = g_bytes_get_data(message, &size);
 	int is_new;
 
-	if (cw_gossip_decode(text, size, gossip) != CW_OK ||
-	    !cw_gossip_merge_members(gossip, node->membership, &is_new, world->now_ms)) {
+	if (cw_gossip_decode(data, size, gossip) != CW_OK ||
+	    !cw_gossip_merge_members(gossip, instance->membership, &is_new, fleet->now_ms)) {
 		g_free(gossip);
 		return;
 	}
-	sender = g_hash_table_lookup(world->by_address, gossip->sender.address);
-	if (is_new && node->introductions-- > 0)
-		tell(world, node, gossip->sender.address, 1);
-	if (gossip->operator_offset == 0 && is_ready(node) && node->answers-- > 0)
-		tell(world, node, gossip->sender.address, 0);
-	if (gossip->operator_offset > node->topics[OPERATOR].version)
-		fetch(world, node, OPERATOR, sender);
+	sender = g_hash_table_lookup(fleet->instances_by_address, gossip->sender.address);
+	if (is_new && instance->introductions_left-- > 0)
+		send_to_peer(fleet, instance, gossip->sender.address, 1);
+	if (gossip->operator_offset == 0 && is_ready(instance) && instance->answers_left-- > 0)
+		send_to_peer(fleet, instance, gossip->sender.address, 0);
+	if (gossip->operator_offset > instance->topics[TOPIC_CONFIG].version)
+		fetch_from_peer(fleet, instance, TOPIC_CONFIG, sender);
 	peer_report.from = gossip->servers_offset;
 	peer_report.age_ms = gossip->servers_age_ms;
 	peer_report.evidence = gossip->servers_evidence;
 	if (gossip->servers_age_ms == CW_GOSSIP_NO_AGE)
 		;
-	else if (!node->topics[SERVERS].version)
-		fetch(world, node, SERVERS, sender);
+	else if (!instance->topics[TOPIC_SERVERS].version)
+		fetch_from_peer(fleet, instance, TOPIC_SERVERS, sender);
 	else
-		cw_follow_merge_changes(&node->follow, NULL, 0, &peer_report, world->now_ms, NULL,
-					NULL);
+		cw_follow_merge_changes(&instance->follow, NULL, 0, &peer_report, fleet->now_ms,
+					NULL, NULL);
 	g_free(gossip);
 }
 
-static void start_node(struct world *world, size_t number)
+static void start_instance(struct fleet *fleet, size_t index)
 {
-	struct node *node = &world->nodes[number];
+	struct instance *instance = &fleet->instances[index];
 	struct cw_readers_start start = {
-		.is_first = world->options->scenario == FLEET_START,
-		.is_seed = number < SEEDS,
-		.random = draw(world),
+		.is_first = fleet->options->scenario == FLEET_FIRST_START,
+		.is_seed = index < SEED_COUNT,
+		.random = random_u64(fleet),
 	};
-	struct cw_readers_first_call first;
-
-	node->membership = cw_membership_create(node->name, node->domain, SILENT_MS);
-	cw_membership_start_settling(node->membership, world->now_ms, SETTLE_MS, 0);
-	node->is_up = 1;
-	node->is_seed = start.is_seed;
-	node->started_ms = world->now_ms;
-	node->boot = draw(world) | 1;
-	node->follow.self = node->boot;
-	node->introductions = INTRODUCTIONS;
-	cw_uplink_open(&node->uplink, world->options->link_mbps);
-	cw_readers_start(&start, &first);
-	for (enum topic topic = OPERATOR; topic < TOPICS; topic++) {
-		node->topics[topic].is_jitter_done = first.is_early;
-		node->topics[topic].tried_ms = -FETCH_GAP_MS;
-		ask_at(world, node, topic, world->now_ms + first.wait_ms);
+	struct cw_readers_first_call first_call;
+
+	instance->membership =
+		cw_membership_create(instance->name, instance->failure_domain, MEMBER_TIMEOUT_MS);
+	cw_membership_start_settling(instance->membership, fleet->now_ms, SETTLE_MS, 0);
+	instance->is_up = 1;
+	instance->is_seed = start.is_seed;
+	instance->started_ms = fleet->now_ms;
+	instance->boot = random_u64(fleet) | 1;
+	instance->follow.self = instance->boot;
+	instance->introductions_left = INTRODUCTIONS_PER_ROUND;
+	cw_uplink_open(&instance->uplink, fleet->options->link_mbps);
+	cw_readers_start(&start, &first_call);
+	for (enum topic topic = TOPIC_CONFIG; topic < TOPIC_COUNT; topic++) {
+		instance->topics[topic].is_jitter_done = first_call.is_early;
+		instance->topics[topic].last_fetch_ms = -FETCH_GAP_MS;
+		schedule_read(fleet, instance, topic, fleet->now_ms + first_call.wait_ms);
 	}
-	plan(world, world->now_ms + 10, (struct event){.kind = ROUND, .node = number});
-	plan(world, world->now_ms + CHECK_MS, (struct event){.kind = CHECK, .node = number});
+	schedule_event(fleet, fleet->now_ms + 10,
+		       (struct event){.kind = EVENT_GOSSIP_ROUND, .instance_index = index});
+	schedule_event(fleet, fleet->now_ms + FOLLOW_CHECK_MS,
+		       (struct event){.kind = EVENT_FOLLOW_CHECK, .instance_index = index});
 }
 
-static void kill_readers(struct world *world)
+static void crash_readers(struct fleet *fleet)
 {
-	for (size_t i = 0; i < world->options->instances; i++) {
-		struct node *node = &world->nodes[i];
+	for (size_t i = 0; i < fleet->options->instance_count; i++) {
+		struct instance *instance = &fleet->instances[i];
 
-		if (is_reader(world, node))
-			node->is_up = 0;
+		if (is_reader(fleet, instance))
+			instance->is_up = 0;
 	}
 }
 
-static void carry_out(struct world *world, const struct event *event)
+static void handle_event(struct fleet *fleet, const struct event *event)
 {
-	struct node *node = &world->nodes[event->node];
+	struct instance *instance = &fleet->instances[event->instance_index];
 
-	if (!node->is_up || node->boot != event->boot)
+	if (!instance->is_up || instance->boot != event->boot)
 		return;
 	switch (event->kind) {
-	case ROUND:
-		on_round(world, node);
+	case EVENT_GOSSIP_ROUND:
+		on_gossip_round(fleet, instance);
 		break;
-	case CHECK:
-		follow(world, node);
-		plan(world, world->now_ms + CHECK_MS,
-		     (struct event){.kind = CHECK, .node = event->node});
+	case EVENT_FOLLOW_CHECK:
+		poll_store(fleet, instance);
+		schedule_event(fleet, fleet->now_ms + FOLLOW_CHECK_MS,
+			       (struct event){.kind = EVENT_FOLLOW_CHECK,
+					      .instance_index = event->instance_index});
 		break;
-	case ASK:
-		on_ask(world, node, event->topic);
+	case EVENT_READ_DUE:
+		on_read_due(fleet, instance, event->topic);
 		break;
-	case CALLED:
-		on_called(world, node, event);
+	case EVENT_STORE_ANSWER:
+		on_store_answer(fleet, instance, event);
 		break;
-	case MESSAGE:
-		on_message(world, node, event->bytes);
+	case EVENT_MESSAGE:
+		on_message(fleet, instance, event->message);
 		break;
-	case FETCHED:
-		on_fetched(world, node, event);
+	case EVENT_FETCH_ANSWER:
+		on_fetch_answer(fleet, instance, event);
 		break;
 	}
 }
 
-static void pass(struct world *world)
+static void handle_due_events(struct fleet *fleet)
 {
-	GPtrArray *events = world->agenda[world->now_ms];
+	GPtrArray *events = fleet->schedule[fleet->now_ms];
 
-	world->agenda[world->now_ms] = NULL;
+	fleet->schedule[fleet->now_ms] = NULL;
 	for (guint i = 0; events && i < events->len; i++) {
 		struct event *event = events->pdata[i];
 
-		carry_out(world, event);
-		g_clear_pointer(&event->bytes, g_bytes_unref);
+		handle_event(fleet, event);
+		g_clear_pointer(&event->message, g_bytes_unref);
 	}
 	if (events)
 		g_ptr_array_unref(events);
 }
 
-static void count_readers(struct world *world)
+static void update_max_readers(struct fleet *fleet)
 {
 	size_t count = 0;
 
-	for (size_t i = 0; i < world->options->instances; i++)
-		count += world->nodes[i].is_up && is_reader(world, &world->nodes[i]);
-	world->report->readers_most = MAX(world->report->readers_most, count);
+	for (size_t i = 0; i < fleet->options->instance_count; i++)
+		count += fleet->instances[i].is_up && is_reader(fleet, &fleet->instances[i]);
+	fleet->report->max_readers = MAX(fleet->report->max_readers, count);
 }
 
-void fleet_defaults(struct fleet_options *options)
+void fleet_set_defaults(struct fleet_options *options)
 {
 	*options = (struct fleet_options){
-		.instances = 200,
-		.servers = 2000,
-		.domains = 6,
+		.instance_count = 200,
+		.server_count = 2000,
+		.failure_domain_count = 6,
 		.scenario = FLEET_RESTART,
 		.seed = 1,
 		.link_mbps = 20,
 		.store_mb_per_s = 20,
-		.config_bytes = 113000,
-		.config_packed = 30000,
-		.entry_bytes = 385,
-		.entry_packed = 45,
-		.end_ms = 15000,
+		.config_store_bytes = 113000,
+		.config_peer_bytes = 30000,
+		.entry_store_bytes = 385,
+		.entry_peer_bytes = 45,
+		.duration_ms = 15000,
 		.change_ms = 10000,
 	};
 }
 
-void fleet_play(const struct fleet_options *options, struct fleet_report *report)
+void fleet_simulate(const struct fleet_options *options, struct fleet_report *report)
 {
-	struct world world = {.options = options, .report = report, .version = 1};
+	struct fleet fleet = {.options = options, .report = report, .config_version = 1};
 
 	memset(report, 0, sizeof(*report));
-	world.random = g_rand_new_with_seed(options->seed);
-	world.nodes = g_new0(struct node, options->instances);
-	world.agenda = g_new0(GPtrArray *, options->end_ms);
-	world.by_address = g_hash_table_new(g_str_hash, g_str_equal);
-	for (size_t i = 0; i < options->instances; i++) {
-		struct node *node = &world.nodes[i];
-
-		snprintf(node->name, CW_NAME_MAX, "edge-%zu", i);
-		snprintf(node->domain, CW_NAME_MAX, "domain-%zu", i % options->domains);
-		snprintf(node->address, CW_ADDRESS_MAX, "10.%zu.%zu.%zu:7000", i % options->domains,
-			 i / 250, i % 250);
-		node->ready_ms = node->change_ms = -1;
-		g_hash_table_insert(world.by_address, node->address, node);
+	fleet.random = g_rand_new_with_seed(options->seed);
+	fleet.instances = g_new0(struct instance, options->instance_count);
+	fleet.schedule = g_new0(GPtrArray *, options->duration_ms);
+	fleet.instances_by_address = g_hash_table_new(g_str_hash, g_str_equal);
+	for (size_t i = 0; i < options->instance_count; i++) {
+		struct instance *instance = &fleet.instances[i];
+
+		snprintf(instance->name, CW_NAME_MAX, "edge-%zu", i);
+		snprintf(instance->failure_domain, CW_NAME_MAX, "domain-%zu",
+			 i % options->failure_domain_count);
+		snprintf(instance->address, CW_ADDRESS_MAX, "10.%zu.%zu.%zu:7000",
+			 i % options->failure_domain_count, i / 250, i % 250);
+		instance->ready_ms = instance->change_ms = -1;
+		g_hash_table_insert(fleet.instances_by_address, instance->address, instance);
 	}
-	for (; world.now_ms < options->end_ms; world.now_ms++) {
-		for (size_t i = 0; world.now_ms < STAGGER_MS && i < options->instances; i++)
-			if (!world.nodes[i].membership &&
-			    (int64_t)(cw_hash(&i, sizeof(i), options->seed) % STAGGER_MS) <=
-				    world.now_ms)
-				start_node(&world, i);
-		if (options->scenario == FLEET_READERS &&
-		    world.now_ms == options->change_ms - READERS_DIE_MS)
-			kill_readers(&world);
-		if (world.now_ms == options->change_ms)
-			world.version = 2;
-		pass(&world);
-		if (world.now_ms % 1000 == 0 && world.now_ms >= fleet_steady_ms(&world))
-			count_readers(&world);
+	for (; fleet.now_ms < options->duration_ms; fleet.now_ms++) {
+		for (size_t i = 0; fleet.now_ms < START_SPREAD_MS && i < options->instance_count;
+		     i++)
+			if (!fleet.instances[i].membership &&
+			    (int64_t)(cw_hash(&i, sizeof(i), options->seed) % START_SPREAD_MS) <=
+				    fleet.now_ms)
+				start_instance(&fleet, i);
+		if (options->scenario == FLEET_READER_CRASH &&
+		    fleet.now_ms == options->change_ms - READER_CRASH_LEAD_MS)
+			crash_readers(&fleet);
+		if (fleet.now_ms == options->change_ms)
+			fleet.config_version = 2;
+		handle_due_events(&fleet);
+		if (fleet.now_ms % 1000 == 0 && fleet.now_ms >= fleet_steady_from_ms(&fleet))
+			update_max_readers(&fleet);
 	}
-	fleet_report_on(&world);
-	for (size_t i = 0; i < options->instances; i++)
-		cw_membership_destroy(world.nodes[i].membership);
-	g_hash_table_destroy(world.by_address);
-	g_rand_free(world.random);
-	g_free(world.agenda);
-	g_free(world.nodes);
+	fleet_fill_report(&fleet);
+	for (size_t i = 0; i < options->instance_count; i++)
+		cw_membership_destroy(fleet.instances[i].membership);
+	g_hash_table_destroy(fleet.instances_by_address);
+	g_rand_free(fleet.random);
+	g_free(fleet.schedule);
+	g_free(fleet.instances);
 }
