--- a/tests/bench/bench_client.c
+++ b/tests/bench/bench_client.c
@@ -1,11 +1,14 @@
-/* bench-client IP:PORT N: N whole answers by each transport, one after another; prints medians. */
+/*
+ * bench-client IP:PORT [N]: makes N calls (2000) with each HTTP transport, one after another, and
+ * prints the median and the 99th percentile of the time to the whole answer.
+ */
 #include "cw_http_client.h"
 
 #include <glib.h>
 #include <stdio.h>
 #include <stdlib.h>
 
-static gint compare(gconstpointer a, gconstpointer b)
+static gint compare_doubles(gconstpointer a, gconstpointer b)
 {
 	double left = *(const double *)a;
 	double right = *(const double *)b;
@@ -13,7 +16,8 @@
 	return left < right ? -1 : left > right;
 }
 
-static void measure(const struct cw_http_transport *transport, const char *address, int count)
+static void measure_transport(const struct cw_http_transport *transport, const char *address,
+			      int call_count)
 {
 	struct cw_http_call call = {.method = "GET",
 				    .address = address,
@@ -21,32 +25,32 @@
 				    .connect_ms = 1000,
 				    .total_ms = 5000,
 				    .max_size = 65536};
-	double *ms = g_new(double, (gsize)count);
-	int failed = 0;
+	double *times_ms = g_new(double, (gsize)call_count);
+	int failures = 0;
 
-	for (int i = 0; i < count; i++) {
+	for (int i = 0; i < call_count; i++) {
 		struct cw_http_answer answer;
 		int64_t start_us = g_get_monotonic_time();
 
-		failed += transport->perform(&call, &answer, NULL) != CW_OK;
-		ms[i] = (double)(g_get_monotonic_time() - start_us) / 1000;
+		failures += transport->perform(&call, &answer, NULL) != CW_OK;
+		times_ms[i] = (double)(g_get_monotonic_time() - start_us) / 1000;
 		cw_http_answer_clear(&answer);
 	}
-	qsort(ms, (size_t)count, sizeof(double), compare);
-	printf("transport=%s calls=%d failed=%d ms_50=%.3f ms_99=%.3f\n", transport->name, count,
-	       failed, ms[count / 2], ms[count * 99 / 100]);
-	g_free(ms);
+	qsort(times_ms, (size_t)call_count, sizeof(double), compare_doubles);
+	printf("transport=%s calls=%d failed=%d ms_50=%.3f ms_99=%.3f\n", transport->name,
+	       call_count, failures, times_ms[call_count / 2], times_ms[call_count * 99 / 100]);
+	g_free(times_ms);
 }
 
 int main(int argc, char **argv)
 {
-	int count = argc > 2 ? (int)strtol(argv[2], NULL, 10) : 2000;
+	int call_count = argc > 2 ? (int)strtol(argv[2], NULL, 10) : 2000;
 
-	if (argc < 2 || count < 1)
+	if (argc < 2 || call_count < 1)
 		return 2;
 	cw_http_open();
-	measure(&cw_http_ulfius, argv[1], count);
-	measure(&cw_http_pooled, argv[1], count);
+	measure_transport(&cw_http_ulfius, argv[1], call_count);
+	measure_transport(&cw_http_pooled, argv[1], call_count);
 	cw_http_close();
 	return 0;
 }
--- a/tests/bench/capacity.c
+++ b/tests/bench/capacity.c
@@ -1,7 +1,7 @@
 /*
- * capacity: the slopes of docs/CAPACITY.md. Each part is measured at several sizes on this machine;
- * a line is fitted and its largest residual printed. In-process nodes stand for instances, so the
- * processor time includes the fakes around them: an upper bound.
+ * capacity: measures the linear cost models of docs/CAPACITY.md. Each cost is measured at several
+ * sizes on this machine; a fitted line and its largest residual are printed. All instances are
+ * cw_nodes in this process, so the processor time includes the fakes around them: an upper bound.
  */
 #include "world.h"
 
@@ -16,10 +16,10 @@
 #include <string.h>
 #include <time.h>
 
-#define SPAN_MS	   5000
+#define MEASURE_MS 5000
 #define POINTS_MAX 8
 
-struct line {
+struct points {
 	double x[POINTS_MAX], y[POINTS_MAX];
 	size_t count;
 };
@@ -37,32 +37,33 @@
 	return (double)mallinfo2().uordblks;
 }
 
-static void add(struct line *line, double x, double y)
+static void add_point(struct points *points, double x, double y)
 {
-	line->x[line->count] = x;
-	line->y[line->count++] = y;
+	points->x[points->count] = x;
+	points->y[points->count++] = y;
 }
 
-static void fit(const char *name, const struct line *line, const char *unit)
+static void print_linear_fit(const char *name, const struct points *points, const char *unit)
 {
-	double n = (double)line->count, sx = 0, sy = 0, sxx = 0, sxy = 0, worst = 0;
-	double slope, base;
-
-	for (size_t i = 0; i < line->count; i++) {
-		sx += line->x[i];
-		sy += line->y[i];
-		sxx += line->x[i] * line->x[i];
-		sxy += line->x[i] * line->y[i];
+	double n = (double)points->count, sx = 0, sy = 0, sxx = 0, sxy = 0, max_residual = 0;
+	double slope, intercept;
+
+	for (size_t i = 0; i < points->count; i++) {
+		sx += points->x[i];
+		sy += points->y[i];
+		sxx += points->x[i] * points->x[i];
+		sxy += points->x[i] * points->y[i];
 	}
 	slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-	base = (sy - slope * sx) / n;
-	for (size_t i = 0; i < line->count; i++)
-		worst = MAX(worst, fabs(line->y[i] - base - slope * line->x[i]));
-	printf("  fit: %s = %.5g + %.5g x %s (largest residual %.3g)\n", name, base, slope, unit,
-	       worst);
+	intercept = (sy - slope * sx) / n;
+	for (size_t i = 0; i < points->count; i++)
+		max_residual =
+			MAX(max_residual, fabs(points->y[i] - intercept - slope * points->x[i]));
+	printf("  fit: %s = %.5g + %.5g x %s (largest residual %.3g)\n", name, intercept, slope,
+	       unit, max_residual);
 }
 
-static struct world *start(int nodes, int servers, struct cw_node_config *node)
+static struct world *start_world(int nodes, int servers, struct cw_node_config *node)
 {
 	struct world_config config = {.nodes = nodes,
 				      .domains = 8,
@@ -83,61 +84,63 @@
 	return world;
 }
 
-/* Instances that only gossip, tail the log and tick: no requests, no loads. */
-static void gossip(void)
+/* Instances that only gossip, poll the log and run timers: no requests, no load reports. */
+static void measure_gossip(void)
 {
 	static const int sizes[] = {8, 16, 32, 64, 128, 256, 350};
-	struct line messages = {0}, bytes = {0}, cpu = {0}, memory = {0};
+	struct points messages_points = {0}, bytes_points = {0}, cpu_points = {0},
+		      memory_points = {0};
 
 	printf("\n## gossip: instances without requests, heartbeat 250 ms, at most 8 peers a "
 	       "beat\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		struct cw_node_config node;
-		double heap = heap_bytes();
+		double heap_before = heap_bytes();
 		struct world *world;
-		double sent = 0, sent_bytes = 0, began, state;
+		double sent_messages = 0, sent_bytes = 0, cpu_time, heap_per_node;
 
 		cw_node_defaults(&node);
-		world = start(sizes[i], 0, &node);
+		world = start_world(sizes[i], 0, &node);
 		world_key(world, "o");
 		world_run(world, 2000);
 		for (int j = 0; j < sizes[i]; j++) {
-			sent -= (double)world_node(world, j)->messages;
+			sent_messages -= (double)world_node(world, j)->messages;
 			sent_bytes -= (double)world_node(world, j)->bytes;
 		}
-		began = cpu_ms();
-		world_run(world, SPAN_MS);
-		began = cpu_ms() - began;
+		cpu_time = cpu_ms();
+		world_run(world, MEASURE_MS);
+		cpu_time = cpu_ms() - cpu_time;
 		for (int j = 0; j < sizes[i]; j++) {
-			sent += (double)world_node(world, j)->messages;
+			sent_messages += (double)world_node(world, j)->messages;
 			sent_bytes += (double)world_node(world, j)->bytes;
 		}
-		state = (heap_bytes() - heap) / sizes[i];
-		sent /= sizes[i] * SPAN_MS / 1000.0;
-		sent_bytes /= sizes[i] * SPAN_MS / 1000.0;
-		began /= sizes[i] * SPAN_MS / 1000.0;
+		heap_per_node = (heap_bytes() - heap_before) / sizes[i];
+		sent_messages /= sizes[i] * MEASURE_MS / 1000.0;
+		sent_bytes /= sizes[i] * MEASURE_MS / 1000.0;
+		cpu_time /= sizes[i] * MEASURE_MS / 1000.0;
 		printf("  nodes %3d: messages %.1f/s, bytes %.0f/s, processor %.3f ms/s (%.2f %% "
 		       "of a core), heap %.0f kB a node\n",
-		       sizes[i], sent, sent_bytes, began, began / 10, state / 1024);
+		       sizes[i], sent_messages, sent_bytes, cpu_time, cpu_time / 10,
+		       heap_per_node / 1024);
 		if (sizes[i] >= 16) {
-			add(&messages, sizes[i], sent);
-			add(&bytes, sizes[i], sent_bytes);
-			add(&cpu, sizes[i], began);
+			add_point(&messages_points, sizes[i], sent_messages);
+			add_point(&bytes_points, sizes[i], sent_bytes);
+			add_point(&cpu_points, sizes[i], cpu_time);
 		}
-		add(&memory, sizes[i], state / 1024);
+		add_point(&memory_points, sizes[i], heap_per_node / 1024);
 		world_destroy(world);
 	}
-	fit("messages/s", &messages, "nodes (16 and more)");
-	fit("bytes/s", &bytes, "nodes (16 and more)");
-	fit("processor ms/s", &cpu, "nodes (16 and more)");
-	fit("heap kB", &memory, "nodes");
+	print_linear_fit("messages/s", &messages_points, "nodes (16 and more)");
+	print_linear_fit("bytes/s", &bytes_points, "nodes (16 and more)");
+	print_linear_fit("processor ms/s", &cpu_points, "nodes (16 and more)");
+	print_linear_fit("heap kB", &memory_points, "nodes");
 }
 
-/* One beat's size as versions and servers grow. */
-static void beat_size(void)
+/* Size of one heartbeat, by the number of versions with evidence. */
+static void measure_heartbeat_size(void)
 {
 	static const int sizes[] = {1, 7, 14, 27, 54};
-	struct line line = {0};
+	struct points points = {0};
 
 	printf("\n## bytes of one heartbeat, by versions with evidence\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
@@ -154,24 +157,24 @@
 		if (cw_peer_seal(key, &message, &sealed) != CW_OK)
 			continue;
 		printf("  versions %2d: %zu bytes\n", sizes[i], sealed.size);
-		add(&line, sizes[i], (double)sealed.size);
+		add_point(&points, sizes[i], (double)sealed.size);
 		g_free(sealed.data);
 	}
-	fit("bytes", &line, "versions");
+	print_linear_fit("bytes", &points, "versions");
 }
 
-/* The table: memory by rows, time to fold an edit of one cell, size of a snapshot. */
-static void table(void)
+/* The table: memory, time to apply an edit of one cell and size of a snapshot, by rows. */
+static void measure_table(void)
 {
 	static const int sizes[] = {270, 1000, 2700, 5400};
-	struct line memory = {0}, fold = {0}, snapshot = {0};
+	struct points memory_points = {0}, apply_points = {0}, snapshot_points = {0};
 
 	printf("\n## table\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-		double heap = heap_bytes();
+		double heap_used = heap_bytes();
 		struct cw_table *table = cw_table_create();
 		enum cw_table_result result;
-		double began;
+		double cpu_time;
 		char *text;
 		char *record;
 
@@ -185,8 +188,8 @@
 					      NULL);
 			g_free(record);
 		}
-		heap = heap_bytes() - heap;
-		began = cpu_ms();
+		heap_used = heap_bytes() - heap_used;
+		cpu_time = cpu_ms();
 		for (int edit = 0; edit < 2000; edit++) {
 			record = g_strdup_printf(
 				"{\"edit\":\"e%d\",\"by\":\"t\",\"cells\":[{\"organisation\":"
@@ -197,32 +200,32 @@
 					      NULL);
 			g_free(record);
 		}
-		began = (cpu_ms() - began) / 2000 * 1000;
+		cpu_time = (cpu_ms() - cpu_time) / 2000 * 1000;
 		text = cw_table_create_snapshot(table);
 		printf("  rows %4d: %.0f kB, %.1f us an edit, snapshot %.0f kB\n", sizes[i],
-		       heap / 1024, began, (double)strlen(text) / 1024);
-		add(&memory, sizes[i], heap / 1024);
-		add(&fold, sizes[i], began);
-		add(&snapshot, sizes[i], (double)strlen(text) / 1024);
+		       heap_used / 1024, cpu_time, (double)strlen(text) / 1024);
+		add_point(&memory_points, sizes[i], heap_used / 1024);
+		add_point(&apply_points, sizes[i], cpu_time);
+		add_point(&snapshot_points, sizes[i], (double)strlen(text) / 1024);
 		g_free(text);
 		cw_table_destroy(table);
 	}
-	fit("kB", &memory, "rows");
-	fit("us an edit", &fold, "rows");
-	fit("snapshot kB", &snapshot, "rows");
+	print_linear_fit("kB", &memory_points, "rows");
+	print_linear_fit("us an edit", &apply_points, "rows");
+	print_linear_fit("snapshot kB", &snapshot_points, "rows");
 }
 
-/* Claims: memory by guarded keys, time to fold, bytes in the log. */
-static void claims(void)
+/* Claims: memory, time to apply one with its outcome and bytes in the log, by guarded keys. */
+static void measure_claims(void)
 {
 	static const int sizes[] = {10000, 30000, 100000, 300000};
-	struct line memory = {0}, fold = {0};
+	struct points memory_points = {0}, apply_points = {0};
 
 	printf("\n## claims (with a 60-byte outcome kept)\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
-		double heap = heap_bytes();
+		double heap_before = heap_bytes();
 		struct cw_claims *claims = cw_claims_create(1 << 20, INT64_MAX / 2);
-		double began = cpu_ms();
+		double cpu_time = cpu_ms();
 		double bytes = 0;
 
 		for (int key = 0; key < sizes[i]; key++) {
@@ -240,22 +243,26 @@
 			cw_claims_fold(claims, cw_claims_offset(claims) + 1, 1000, text, NULL);
 			json_object_put(record);
 		}
-		began = (cpu_ms() - began) / sizes[i] * 1000;
+		cpu_time = (cpu_ms() - cpu_time) / sizes[i] * 1000;
 		printf("  keys %6d: %.1f MB, %.1f us a claim with its outcome, %.0f bytes of log\n",
-		       sizes[i], (heap_bytes() - heap) / 1048576, began, bytes / sizes[i]);
-		add(&memory, sizes[i], (heap_bytes() - heap) / 1024);
-		add(&fold, sizes[i], began);
+		       sizes[i], (heap_bytes() - heap_before) / 1048576, cpu_time,
+		       bytes / sizes[i]);
+		add_point(&memory_points, sizes[i], (heap_bytes() - heap_before) / 1024);
+		add_point(&apply_points, sizes[i], cpu_time);
 		cw_claims_destroy(claims);
 	}
-	fit("kB", &memory, "keys");
-	fit("us a claim", &fold, "keys");
+	print_linear_fit("kB", &memory_points, "keys");
+	print_linear_fit("us a claim", &apply_points, "keys");
 }
 
-/* Requests through one node: the whole decision, its bill and its part of the log. */
-static void requests(void)
+/*
+ * Requests through one instance: processor time of the decisions, bills and log records together,
+ * and the instance's appends to the log.
+ */
+static void measure_requests(void)
 {
 	static const int sizes[] = {50, 100, 200, 400};
-	struct line cpu = {0}, bills = {0};
+	struct points cpu_points = {0}, append_points = {0};
 
 	printf("\n## requests: one instance's decisions, by requests a second (3 instances, 4 "
 	       "engines)\n");
@@ -271,70 +278,70 @@
 						.bad_from_ms = -1};
 		struct cw_node_config node;
 		struct world *world;
-		double began, idle;
+		double cpu_time, idle_cpu_time;
 		uint64_t appends;
 
 		cw_node_defaults(&node);
-		world = start(3, 4, &node);
+		world = start_world(3, 4, &node);
 		world_profile(world, &profile);
 		world_load_everywhere(world, "m", "1");
 		world_publish(world, rows);
 		world_key(world, "o");
 		world_run(world, 2000);
-		idle = cpu_ms();
-		world_run(world, SPAN_MS);
-		idle = cpu_ms() - idle;
+		idle_cpu_time = cpu_ms();
+		world_run(world, MEASURE_MS);
+		idle_cpu_time = cpu_ms() - idle_cpu_time;
 		appends = world_node(world, 0)->appends;
-		began = cpu_ms();
-		for (int sent = 0; sent < sizes[i] * SPAN_MS / 1000; sent++) {
+		cpu_time = cpu_ms();
+		for (int sent = 0; sent < sizes[i] * MEASURE_MS / 1000; sent++) {
 			struct cw_request_in in;
 
 			world_request_init(&in, "o", "m", CW_REQUEST_IDEMPOTENT);
 			world_send(world, 0, &in, 10);
 			world_run(world, 1000 / sizes[i]);
 		}
-		began = cpu_ms() - began - idle;
+		cpu_time = cpu_ms() - cpu_time - idle_cpu_time;
 		appends = world_node(world, 0)->appends - appends;
 		printf("  requests %3d/s: %.1f us a request, %.2f appends/s\n", sizes[i],
-		       began / (sizes[i] * SPAN_MS / 1000.0) * 1000,
-		       (double)appends / (SPAN_MS / 1000.0));
-		add(&cpu, sizes[i], began / (SPAN_MS / 1000.0));
-		add(&bills, sizes[i], (double)appends / (SPAN_MS / 1000.0));
+		       cpu_time / (sizes[i] * MEASURE_MS / 1000.0) * 1000,
+		       (double)appends / (MEASURE_MS / 1000.0));
+		add_point(&cpu_points, sizes[i], cpu_time / (MEASURE_MS / 1000.0));
+		add_point(&append_points, sizes[i], (double)appends / (MEASURE_MS / 1000.0));
 		world_destroy(world);
 	}
-	fit("processor ms/s", &cpu, "requests/s");
-	fit("appends/s", &bills, "requests/s");
+	print_linear_fit("processor ms/s", &cpu_points, "requests/s");
+	print_linear_fit("appends/s", &append_points, "requests/s");
 }
 
-/* Load reports: a node asks those it tracks; what it merely knows of costs memory. */
-static void loads(void)
+/* Load reports: an instance polls the servers that it tracks; other known ones use memory only. */
+static void measure_load_reports(void)
 {
 	static const int tracked[] = {4, 8, 16, 32};
 	static const int known[] = {64, 128, 256, 512};
-	struct line cpu = {0}, memory = {0};
+	struct points cpu_points = {0}, memory_points = {0};
 
 	printf("\n## load reports: one instance, by servers tracked (each asked every 200 ms)\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(tracked); i++) {
 		struct cw_node_config node;
 		struct world *world;
-		double began;
+		double cpu_time;
 
 		cw_node_defaults(&node);
-		world = start(1, tracked[i], &node);
+		world = start_world(1, tracked[i], &node);
 		world_load_everywhere(world, "m", "1");
 		world_run(world, 2000);
-		began = cpu_ms();
-		world_run(world, SPAN_MS);
-		began = (cpu_ms() - began) / (SPAN_MS / 1000.0);
-		printf("  servers %2d: processor %.3f ms/s, %.0f polls/s\n", tracked[i], began,
+		cpu_time = cpu_ms();
+		world_run(world, MEASURE_MS);
+		cpu_time = (cpu_ms() - cpu_time) / (MEASURE_MS / 1000.0);
+		printf("  servers %2d: processor %.3f ms/s, %.0f polls/s\n", tracked[i], cpu_time,
 		       tracked[i] * 5.0);
-		add(&cpu, tracked[i], began);
+		add_point(&cpu_points, tracked[i], cpu_time);
 		world_destroy(world);
 	}
-	fit("processor ms/s", &cpu, "servers tracked");
+	print_linear_fit("processor ms/s", &cpu_points, "servers tracked");
 	for (size_t i = 0; i < G_N_ELEMENTS(known); i++) {
 		struct cw_pool *pool = cw_pool_create(&cw_choice_affinity);
-		double heap = heap_bytes();
+		double heap_before = heap_bytes();
 
 		for (int j = 0; j < known[i]; j++) {
 			char *name = g_strdup_printf("runner-%d", j);
@@ -344,70 +351,71 @@
 		}
 		cw_pool_select_tracked(pool, 7, "own");
 		printf("  servers known %3d: heap %.0f kB\n", known[i],
-		       (heap_bytes() - heap) / 1024);
-		add(&memory, known[i], (heap_bytes() - heap) / 1024);
+		       (heap_bytes() - heap_before) / 1024);
+		add_point(&memory_points, known[i], (heap_bytes() - heap_before) / 1024);
 		cw_pool_destroy(pool);
 	}
-	fit("heap kB", &memory, "servers known");
+	print_linear_fit("heap kB", &memory_points, "servers known");
 }
 
-/* A changed cell until it is in force on every instance, all of them reading the log. */
-static void changes(void)
+/* Time until a changed cell is in force on all instances, each of which reads the log. */
+static void measure_changes(void)
 {
 	static const int sizes[] = {8, 32, 128, 350};
-	struct line cpu = {0};
+	struct points cpu_points = {0};
 
 	printf("\n## changes: ms until in force everywhere, and processor time of one change a "
 	       "second\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(sizes); i++) {
 		struct cw_node_config node;
 		struct world *world;
-		double calm, began, worst = 0;
+		double idle_cpu_time, cpu_time, max_ms = 0;
 
 		cw_node_defaults(&node);
-		world = start(sizes[i], 0, &node);
+		world = start_world(sizes[i], 0, &node);
 		world_key(world, "o");
 		world_run(world, 2000);
-		calm = cpu_ms();
-		world_run(world, SPAN_MS);
-		calm = cpu_ms() - calm;
-		began = cpu_ms();
-		for (int edit = 0; edit < SPAN_MS / 1000; edit++) {
-			int64_t at_ms = world_now(world);
+		idle_cpu_time = cpu_ms();
+		world_run(world, MEASURE_MS);
+		idle_cpu_time = cpu_ms() - idle_cpu_time;
+		cpu_time = cpu_ms();
+		for (int edit = 0; edit < MEASURE_MS / 1000; edit++) {
+			int64_t edited_ms = world_now(world);
 			uint64_t offset;
-			int done = 0;
+			int applied_count = 0;
 
 			world_set(world, "o", "m", "1", "weight", edit % 2 ? "1" : "2");
 			offset = world_log(world, CW_STREAM_TABLE)->len;
-			while (done < sizes[i]) {
+			while (applied_count < sizes[i]) {
 				world_run(world, 1);
-				done = 0;
+				applied_count = 0;
 				for (int j = 0; j < sizes[i]; j++)
-					done += cw_table_offset(cw_node_table(
+					applied_count +=
+						cw_table_offset(cw_node_table(
 							world_node(world, j)->node)) >= offset;
 			}
-			worst = MAX(worst, (double)(world_now(world) - at_ms));
-			world_run(world, 1000 - (world_now(world) - at_ms));
+			max_ms = MAX(max_ms, (double)(world_now(world) - edited_ms));
+			world_run(world, 1000 - (world_now(world) - edited_ms));
 		}
-		began = (cpu_ms() - began - calm) / (SPAN_MS / 1000.0) / sizes[i];
+		cpu_time = (cpu_ms() - cpu_time - idle_cpu_time) / (MEASURE_MS / 1000.0) / sizes[i];
 		printf("  nodes %3d: in force within %.0f ms, %.4f ms of processor a change and "
 		       "node\n",
-		       sizes[i], worst, began);
-		add(&cpu, sizes[i], began);
+		       sizes[i], max_ms, cpu_time);
+		add_point(&cpu_points, sizes[i], cpu_time);
 		world_destroy(world);
 	}
-	fit("ms a change", &cpu, "nodes");
+	print_linear_fit("ms a change", &cpu_points, "nodes");
 }
 
 int main(void)
 {
 	setlinebuf(stdout);
-	gossip();
-	beat_size();
-	table();
-	claims();
-	requests();
-	loads();
-	changes();
+	measure_gossip();
+	measure_heartbeat_size();
+	measure_table();
+	measure_claims();
+	measure_requests();
+	measure_load_reports();
+	measure_changes();
 	return 0;
 }
--- a/tests/bench/experiment.c
+++ b/tests/bench/experiment.c
@@ -1,7 +1,7 @@
 /*
- * experiment NAME: drives the real decisions of several instances with fake backend servers in
- * virtual time, for several seeds, and prints median and range beside the baselines.
- * NAME: cost, latency, exposure, limits, cells.
+ * experiment NAME: runs several instances of the real cw_node with fake backend servers in virtual
+ * time, for several seeds, and prints the median and the range of each result, beside those of the
+ * baseline policies. NAME: cost, latency, exposure, limits, cells.
  */
 #include "experiment.h"
 
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* ---- cost at the quality target ---- */
+/* ---- cost of reaching the quality target ---- */
 
 static void add_models(struct world *world)
 {
@@ -53,8 +53,8 @@
 	}
 }
 
-static void cost_run(const struct cw_cascade_policy *policy, double target, int stream,
-		     uint64_t seed, struct figures *figures)
+static void run_cost(const struct cw_cascade_policy *policy, double target, int stream,
+		     uint64_t seed, struct results *results)
 {
 	static const char *const rows[] = {"small,1,100,0.2", "middle,1,100,0.7", "large,1,100,2.0",
 					   NULL};
@@ -63,13 +63,13 @@
 	const GPtrArray *requests;
 	double cost = 0, quality = 0, task_quality[TASKS] = {0};
 	int count = 0, task_count[TASKS] = {0};
-	double worst = 1;
+	double worst_task_quality = 1;
 
 	cw_node_defaults(&node);
 	node.cascade = policy;
-	driver_world(seed, &node, &driver);
+	driver_create_world(seed, &node, &driver);
 	add_models(driver.world);
-	driver_publish(driver.world, rows, target);
+	driver_publish_table(driver.world, rows, target);
 	world_run(driver.world, 2000);
 	driver_run(&driver, 20, 400000);
 	requests = world_requests(driver.world);
@@ -88,11 +88,11 @@
 			}
 	}
 	for (int task = 0; task < TASKS; task++)
-		worst = MIN(worst, task_quality[task] / task_count[task]);
-	figures->values[0][seed] = cost / count * 1000;
-	figures->values[1][seed] = quality / count;
-	figures->values[2][seed] = worst;
-	figures->values[3][seed] = 100.0 * count / requests->len;
+		worst_task_quality = MIN(worst_task_quality, task_quality[task] / task_count[task]);
+	results->values[0][seed] = cost / count * 1000;
+	results->values[1][seed] = quality / count;
+	results->values[2][seed] = worst_task_quality;
+	results->values[3][seed] = 100.0 * count / requests->len;
 	driver_destroy(&driver);
 }
 
@@ -109,16 +109,16 @@
 		       stream ? "streamed (no check possible)" : "whole answers");
 		for (size_t t = 0; t < G_N_ELEMENTS(targets); t++) {
 			for (size_t p = 0; p < G_N_ELEMENTS(policies); p++) {
-				struct figures figures = {0};
+				struct results results = {0};
 				char label[64];
 
 				if (p > 0 && t > 0)
 					continue;
-				for (uint64_t seed = 0; seed < SEEDS; seed++)
-					cost_run(policies[p], targets[t], stream, seed, &figures);
+				for (uint64_t seed = 0; seed < SEED_COUNT; seed++)
+					run_cost(policies[p], targets[t], stream, seed, &results);
 				g_snprintf(label, sizeof(label), "%s%s%.2f", policies[p]->name,
 					   p ? ", any target " : ", target ", p ? 0.0 : targets[t]);
-				driver_print(label, &figures, columns, G_N_ELEMENTS(columns));
+				driver_print_row(label, &results, columns, G_N_ELEMENTS(columns));
 			}
 		}
 	}
@@ -126,8 +126,8 @@
 
 /* ---- latency and goodput under load ---- */
 
-static void latency_run(const struct cw_choice_policy *policy, double load, uint64_t seed,
-			struct figures *figures)
+static void run_latency(const struct cw_choice_policy *policy, double load, uint64_t seed,
+			struct results *results)
 {
 	static const char *const rows[] = {"m,1,100,1", NULL};
 	static const struct world_profile profile = {.model = "m",
@@ -140,23 +140,23 @@
 						     .bad_from_ms = -1,
 						     .failure = 0.002};
 	struct cw_node_config node;
-	struct driver driver = {.target = "m", .node_skew = -1, .stream = 1, .callers_return = 1};
-	GArray *first = g_array_new(FALSE, FALSE, sizeof(double));
-	GArray *total = g_array_new(FALSE, FALSE, sizeof(double));
+	struct driver driver = {.target = "m", .node_skew = -1, .stream = 1, .callers_retry = 1};
+	GArray *first_chunk_ms = g_array_new(FALSE, FALSE, sizeof(double));
+	GArray *total_ms = g_array_new(FALSE, FALSE, sizeof(double));
 	const GPtrArray *requests;
-	double refused = 0, sent = 0, dispatched = 0, answered = 0;
+	double rejected = 0, sent = 0, dispatched = 0, answered = 0;
 	double tokens = 0;
 	int64_t span_ms;
 
 	cw_node_defaults(&node);
 	node.choice = policy;
-	driver_world(seed, &node, &driver);
+	driver_create_world(seed, &node, &driver);
 	world_profile(driver.world, &profile);
 	world_load_everywhere(driver.world, "m", "1");
-	driver_publish(driver.world, rows, 0.8);
+	driver_publish_table(driver.world, rows, 0.8);
 	world_run(driver.world, 2000);
-	driver.measure_from_ms = world_now(driver.world) + WARM_MS;
-	driver_run(&driver, load * capacity_per_s(), 40000);
+	driver.measure_from_ms = world_now(driver.world) + WARM_UP_MS;
+	driver_run(&driver, load * driver_capacity_per_s(), 40000);
 	span_ms = world_now(driver.world) - driver.measure_from_ms;
 	requests = world_requests(driver.world);
 	for (guint i = 0; i < requests->len; i++) {
@@ -170,28 +170,29 @@
 		if (request->ended_ms < 0)
 			continue;
 		if (request->end == CW_EFFECT_REFUSE) {
-			refused++;
+			rejected++;
 			continue;
 		}
 		answered++;
 		tokens += request->tokens;
 		value = (double)(request->first_ms - request->began_ms);
-		g_array_append_val(first, value);
+		g_array_append_val(first_chunk_ms, value);
 		value = (double)(request->ended_ms - request->began_ms);
-		g_array_append_val(total, value);
+		g_array_append_val(total_ms, value);
 	}
-	g_array_sort(first, driver_compare);
-	g_array_sort(total, driver_compare);
-	figures->values[0][seed] = driver_percentile(first, 0.5);
-	figures->values[1][seed] = driver_percentile(first, 0.95);
-	figures->values[2][seed] = driver_percentile(first, 0.99);
-	figures->values[3][seed] = driver_percentile(total, 0.5);
-	figures->values[4][seed] = driver_percentile(total, 0.99);
-	figures->values[5][seed] = 100.0 * answered / ((double)span_ms / 1000) / capacity_per_s();
-	figures->values[6][seed] = 100.0 * refused / sent;
-	figures->values[7][seed] = dispatched / MAX(answered, 1);
-	g_array_unref(first);
-	g_array_unref(total);
+	g_array_sort(first_chunk_ms, driver_compare_doubles);
+	g_array_sort(total_ms, driver_compare_doubles);
+	results->values[0][seed] = driver_percentile(first_chunk_ms, 0.5);
+	results->values[1][seed] = driver_percentile(first_chunk_ms, 0.95);
+	results->values[2][seed] = driver_percentile(first_chunk_ms, 0.99);
+	results->values[3][seed] = driver_percentile(total_ms, 0.5);
+	results->values[4][seed] = driver_percentile(total_ms, 0.99);
+	results->values[5][seed] =
+		100.0 * answered / ((double)span_ms / 1000) / driver_capacity_per_s();
+	results->values[6][seed] = 100.0 * rejected / sent;
+	results->values[7][seed] = dispatched / MAX(answered, 1);
+	g_array_unref(first_chunk_ms);
+	g_array_unref(total_ms);
 	driver_destroy(&driver);
 }
 
@@ -208,27 +209,28 @@
 
 	for (size_t l = 0; l < G_N_ELEMENTS(loads); l++) {
 		printf("\n## latency in ms at %.0f %% of capacity (%.0f requests/s)\n",
-		       loads[l] * 100, capacity_per_s() * loads[l]);
+		       loads[l] * 100, driver_capacity_per_s() * loads[l]);
 		for (size_t p = 0; p < G_N_ELEMENTS(policies); p++) {
-			struct figures figures = {0};
+			struct results results = {0};
 
-			for (uint64_t seed = 0; seed < SEEDS; seed++)
-				latency_run(policies[p], loads[l], seed, &figures);
-			driver_print(policies[p]->name, &figures, columns, G_N_ELEMENTS(columns));
+			for (uint64_t seed = 0; seed < SEED_COUNT; seed++)
+				run_latency(policies[p], loads[l], seed, &results);
+			driver_print_row(policies[p]->name, &results, columns,
+					 G_N_ELEMENTS(columns));
 		}
 	}
 }
 
-/* ---- exposure to bad versions ---- */
+/* ---- requests sent to a bad version ---- */
 
-enum fault { FAULT_NONE, FAULT_FAILS, FAULT_DEGRADES, FAULT_SLOW };
+enum fault { FAULT_NONE, FAULT_ERRORS, FAULT_LOW_QUALITY, FAULT_SLOWDOWN };
 
-static void exposure_run(const struct cw_health_policy *policy, enum fault fault, const char *share,
-			 uint64_t seed, struct figures *figures)
+static void run_exposure(const struct cw_health_policy *policy, enum fault fault, const char *share,
+			 uint64_t seed, struct results *results)
 {
-	char row[64];
-	char other[64];
-	const char *const rows[] = {other, row, NULL};
+	char new_version_row[64];
+	char old_version_row[64];
+	const char *const rows[] = {old_version_row, new_version_row, NULL};
 	struct world_profile profile = {.model = "m",
 					.version = "1",
 					.quality = 0.88,
@@ -246,34 +248,35 @@
 	struct driver driver = {.target = "m", .node_skew = -1, .stream = 1};
 	const GPtrArray *requests;
 	int64_t bad_from_ms;
-	double exposed = 0;
+	double exposed_requests = 0;
 	double trips = 0;
 
 	cw_node_defaults(&node);
 	node.health = policy;
-	driver_world(seed, &node, &driver);
-	g_snprintf(other, sizeof(other), "m,1,%g,1", 100 - g_ascii_strtod(share, NULL));
-	g_snprintf(row, sizeof(row), "m,2,%s,1", share);
+	driver_create_world(seed, &node, &driver);
+	g_snprintf(old_version_row, sizeof(old_version_row), "m,1,%g,1",
+		   100 - g_ascii_strtod(share, NULL));
+	g_snprintf(new_version_row, sizeof(new_version_row), "m,2,%s,1", share);
 	world_profile(driver.world, &profile);
 	world_load_everywhere(driver.world, "m", "1");
 	world_load_everywhere(driver.world, "m", "2");
 	bad_from_ms = world_now(driver.world) + 2000 + 60000;
 	g_strlcpy(profile.version, "2", CW_NAME_MAX);
 	profile.bad_from_ms = fault == FAULT_NONE ? -1 : bad_from_ms;
-	profile.bad_failure = fault == FAULT_FAILS ? 1.0 : 0.01;
-	profile.bad_quality = fault == FAULT_DEGRADES ? 0.76 : 0.88;
-	profile.bad_slow = fault == FAULT_SLOW ? 8 : 1;
+	profile.bad_failure = fault == FAULT_ERRORS ? 1.0 : 0.01;
+	profile.bad_quality = fault == FAULT_LOW_QUALITY ? 0.76 : 0.88;
+	profile.bad_slow = fault == FAULT_SLOWDOWN ? 8 : 1;
 	world_profile(driver.world, &profile);
-	driver_publish(driver.world, rows, 0.8);
+	driver_publish_table(driver.world, rows, 0.8);
 	world_run(driver.world, 2000);
-	/* The hold after a trip is 20 s: what is measured ends before a tripped version is probed.
-	 */
+	/* A tripped version gets no requests for 20 s: the run ends before the first probes. */
 	driver_run(&driver, 60, fault == FAULT_NONE ? 300000 : 60000 + 19000);
 	requests = world_requests(driver.world);
 	for (guint i = 0; i < requests->len; i++) {
 		const struct world_request *request = g_ptr_array_index(requests, i);
 
-		exposed += request->began_ms >= bad_from_ms && !strcmp(request->version, "2");
+		exposed_requests +=
+			request->began_ms >= bad_from_ms && !strcmp(request->version, "2");
 	}
 	for (guint i = 0; i < world_log(driver.world, CW_STREAM_NOTICES)->len; i++) {
 		const struct world_record *record =
@@ -281,9 +284,9 @@
 
 		trips += strstr(record->data, "\"trip\"") != NULL;
 	}
-	figures->values[0][seed] = fault == FAULT_NONE ? 0 : exposed;
-	figures->values[1][seed] = trips;
-	figures->values[2][seed] = requests->len;
+	results->values[0][seed] = fault == FAULT_NONE ? 0 : exposed_requests;
+	results->values[1][seed] = trips;
+	results->values[2][seed] = requests->len;
 	driver_destroy(&driver);
 }
 
@@ -302,22 +305,22 @@
 			printf("\n## a version at %s %% of 60 requests/s: %s\n", shares[s],
 			       faults[fault]);
 			for (size_t p = 0; p < G_N_ELEMENTS(policies); p++) {
-				struct figures figures = {0};
+				struct results results = {0};
 
-				for (uint64_t seed = 0; seed < SEEDS; seed++)
-					exposure_run(policies[p], fault, shares[s], seed, &figures);
-				driver_print(policies[p]->name, &figures, columns,
-					     G_N_ELEMENTS(columns));
+				for (uint64_t seed = 0; seed < SEED_COUNT; seed++)
+					run_exposure(policies[p], fault, shares[s], seed, &results);
+				driver_print_row(policies[p]->name, &results, columns,
+						 G_N_ELEMENTS(columns));
 			}
 		}
 	}
 }
 
-/* ---- limits divided among instances ---- */
+/* ---- request limits shared by the instances ---- */
 
-enum limits_case { LIMITS_CALM, LIMITS_SKEWED, LIMITS_PARTITION, LIMITS_DEATH, LIMITS_CASES };
+enum limits_case { LIMITS_EVEN, LIMITS_SKEWED, LIMITS_PARTITION, LIMITS_CRASH, LIMITS_CASE_COUNT };
 
-static void limits_run(enum limits_case which, uint64_t seed, struct figures *figures)
+static void run_limits(enum limits_case limits_case, uint64_t seed, struct results *results)
 {
 	static const char *const rows[] = {"m,1,100,1", NULL};
 	static const struct world_profile profile = {.model = "m",
@@ -328,36 +331,37 @@
 						     .first_ms = 10,
 						     .token_ms = 1,
 						     .bad_from_ms = -1};
-	const double limit = 100;
+	const double limit_per_s = 100;
 	struct cw_node_config node;
 	struct driver driver = {
-		.target = "m", .stream = 0, .node_skew = which == LIMITS_CALM ? -1 : 0.5};
+		.target = "m", .stream = 0, .node_skew = limits_case == LIMITS_EVEN ? -1 : 0.5};
 	const GPtrArray *requests;
-	GHashTable *seconds = g_hash_table_new(NULL, NULL);
+	GHashTable *admitted_by_second = g_hash_table_new(NULL, NULL);
 	GHashTableIter iter;
 	gpointer second, count;
-	double over = 0, used = 0;
+	double overshoot_percent = 0, admitted = 0;
 	int64_t from_ms;
-	int spans = 0;
+	int second_count = 0;
 
 	cw_node_defaults(&node);
-	driver_world(seed, &node, &driver);
+	driver_create_world(seed, &node, &driver);
 	world_profile(driver.world, &profile);
 	world_load_everywhere(driver.world, "m", "1");
-	driver_publish(driver.world, rows, 0.8);
-	for (int i = 0; i < ORGANISATIONS; i++) {
+	driver_publish_table(driver.world, rows, 0.8);
+	for (int i = 0; i < ORGANISATION_COUNT; i++) {
 		char name[8];
 
 		g_snprintf(name, sizeof(name), "o%d", i);
 		world_set(driver.world, name, "m", "1", "requests_per_s", i ? "1000" : "100");
 	}
 	world_run(driver.world, 4000);
-	/* The largest organisation asks for 0.3 of it: 150 a second against a limit of 100. */
+	/* The largest organisation sends 0.3 of 500 requests per second: 150, with a limit of 100.
+	 */
 	driver_run(&driver, 500, 10000);
 	from_ms = world_now(driver.world);
-	if (which == LIMITS_PARTITION)
+	if (limits_case == LIMITS_PARTITION)
 		world_cut(driver.world, 1, 1);
-	if (which == LIMITS_DEATH)
+	if (limits_case == LIMITS_CRASH)
 		world_crash(driver.world, 1);
 	driver_run(&driver, 500, 20000);
 	requests = world_requests(driver.world);
@@ -369,20 +373,23 @@
 		    !request->dispatched)
 			continue;
 		g_hash_table_insert(
-			seconds, key,
-			GINT_TO_POINTER(GPOINTER_TO_INT(g_hash_table_lookup(seconds, key)) + 1));
+			admitted_by_second, key,
+			GINT_TO_POINTER(
+				GPOINTER_TO_INT(g_hash_table_lookup(admitted_by_second, key)) + 1));
 	}
-	g_hash_table_iter_init(&iter, seconds);
+	g_hash_table_iter_init(&iter, admitted_by_second);
 	while (g_hash_table_iter_next(&iter, &second, &count)) {
-		used += GPOINTER_TO_INT(count);
-		spans++;
+		admitted += GPOINTER_TO_INT(count);
+		second_count++;
 	}
-	/* Over a window of the whole span: a bucket may lend one second's burst, never more. */
-	over = MAX(0, used - limit * spans) / (limit * spans) * 100;
-	figures->values[0][seed] = over;
-	figures->values[1][seed] = MAX(0, limit * spans - used) / (limit * spans) * 100;
-	figures->values[2][seed] = used / spans;
-	g_hash_table_destroy(seconds);
+	/* Overshoot of the whole run: a token bucket may allow one second's burst, but no more. */
+	overshoot_percent =
+		MAX(0, admitted - limit_per_s * second_count) / (limit_per_s * second_count) * 100;
+	results->values[0][seed] = overshoot_percent;
+	results->values[1][seed] =
+		MAX(0, limit_per_s * second_count - admitted) / (limit_per_s * second_count) * 100;
+	results->values[2][seed] = admitted / second_count;
+	g_hash_table_destroy(admitted_by_second);
 	driver_destroy(&driver);
 }
 
@@ -390,81 +397,83 @@
 {
 	static const char *const columns[] = {"overshoot % over 20 s", "waste %",
 					      "admitted/s of 100, 150 asked"};
-	static const char *const names[] = {"calm, even", "half of the requests on one of 8",
-					    "skewed, a failure domain cut off",
-					    "skewed, an instance dead"};
+	static const char *const labels[] = {"calm, even", "half of the requests on one of 8",
+					     "skewed, a failure domain cut off",
+					     "skewed, an instance dead"};
 
 	printf("\n## limits: 100 requests/s of one organisation over 8 instances\n");
-	for (int which = 0; which < LIMITS_CASES; which++) {
-		struct figures figures = {0};
+	for (int limits_case = 0; limits_case < LIMITS_CASE_COUNT; limits_case++) {
+		struct results results = {0};
 
-		for (uint64_t seed = 0; seed < SEEDS; seed++)
-			limits_run(which, seed, &figures);
-		driver_print(names[which], &figures, columns, G_N_ELEMENTS(columns));
+		for (uint64_t seed = 0; seed < SEED_COUNT; seed++)
+			run_limits(limits_case, seed, &results);
+		driver_print_row(labels[limits_case], &results, columns, G_N_ELEMENTS(columns));
 	}
 }
 
-/* ---- changed cells ---- */
+/* ---- delay of a changed table cell ---- */
 
-static void cells_run(int cut_nodes, uint64_t seed, struct figures *figures)
+static void run_cells(int partitioned_count, uint64_t seed, struct results *results)
 {
 	static const char *const rows[] = {"m,1,100,1", NULL};
 	struct cw_node_config node;
 	struct driver driver = {.target = "m"};
-	GArray *times = g_array_new(FALSE, FALSE, sizeof(double));
+	GArray *apply_times_ms = g_array_new(FALSE, FALSE, sizeof(double));
 
 	cw_node_defaults(&node);
-	driver_world(seed, &node, &driver);
-	driver_publish(driver.world, rows, 0.8);
+	driver_create_world(seed, &node, &driver);
+	driver_publish_table(driver.world, rows, 0.8);
 	world_run(driver.world, 3000);
-	for (int i = 0; i < cut_nodes; i++)
+	for (int i = 0; i < partitioned_count; i++)
 		world_cut_platform(driver.world, i, 1);
 	world_run(driver.world, 10000);
 	for (int edit = 0; edit < 200; edit++) {
 		int64_t began_ms = world_now(driver.world);
 		uint64_t offset;
 		double took_ms;
-		int done = 0;
+		int applied_count = 0;
 
 		world_set(driver.world, "o0", "m", "1", "weight", edit % 2 ? "50" : "60");
 		offset = world_log(driver.world, CW_STREAM_TABLE)->len;
-		while (done < NODES && world_now(driver.world) - began_ms < 30000) {
+		while (applied_count < NODE_COUNT && world_now(driver.world) - began_ms < 30000) {
 			world_run(driver.world, 5);
-			done = 0;
-			for (int i = 0; i < NODES; i++)
-				done += cw_table_offset(cw_node_table(
+			applied_count = 0;
+			for (int i = 0; i < NODE_COUNT; i++)
+				applied_count +=
+					cw_table_offset(cw_node_table(
 						world_node(driver.world, i)->node)) >= offset;
 		}
 		took_ms = (double)(world_now(driver.world) - began_ms);
-		g_array_append_val(times, took_ms);
+		g_array_append_val(apply_times_ms, took_ms);
 		world_run(driver.world, 100 + (int64_t)(world_random(driver.world) * 400));
 	}
-	g_array_sort(times, driver_compare);
-	figures->values[0][seed] = driver_percentile(times, 0.5);
-	figures->values[1][seed] = driver_percentile(times, 0.99);
-	figures->values[2][seed] = driver_percentile(times, 1);
-	g_array_unref(times);
+	g_array_sort(apply_times_ms, driver_compare_doubles);
+	results->values[0][seed] = driver_percentile(apply_times_ms, 0.5);
+	results->values[1][seed] = driver_percentile(apply_times_ms, 0.99);
+	results->values[2][seed] = driver_percentile(apply_times_ms, 1);
+	g_array_unref(apply_times_ms);
 	driver_destroy(&driver);
 }
 
 static void experiment_cells(void)
 {
 	static const char *const columns[] = {"ms 50", "ms 99", "ms max"};
-	static const int cuts[] = {0, 4, 7};
+	static const int partitioned_counts[] = {0, 4, 7};
 
 	printf("\n## a changed cell: ms until in force on all 8 instances (200 edits a seed)\n");
-	for (size_t i = 0; i < G_N_ELEMENTS(cuts); i++) {
-		struct figures figures = {0};
+	for (size_t i = 0; i < G_N_ELEMENTS(partitioned_counts); i++) {
+		struct results results = {0};
 		char label[64];
 
-		for (uint64_t seed = 0; seed < SEEDS; seed++)
-			cells_run(cuts[i], seed, &figures);
-		g_snprintf(label, sizeof(label), "%d of 8 cut from the platform", cuts[i]);
-		driver_print(label, &figures, columns, G_N_ELEMENTS(columns));
+		for (uint64_t seed = 0; seed < SEED_COUNT; seed++)
+			run_cells(partitioned_counts[i], seed, &results);
+		g_snprintf(label, sizeof(label), "%d of 8 cut from the platform",
+			   partitioned_counts[i]);
+		driver_print_row(label, &results, columns, G_N_ELEMENTS(columns));
 	}
 }
 
-/* ---- what the experiments share ---- */
+/* ---- selection by name ---- */
 
 int main(int argc, char **argv)
 {
--- a/tests/bench/fleet/fleet.c
+++ b/tests/bench/fleet/fleet.c
@@ -15,11 +15,10 @@
 #define READY_MAX_MS	     8000 /* from the start until all instances can serve */
 #define CHANGE_MAX_MS	     5000 /* from a configuration change until all instances have it */
 #define READERS_MAX	     4	  /* at one moment: two, and two more while readers change */
-/* Calls to the shared store. */
+/* Calls to the shared store that are allowed: the sum of these three parts. */
 #define STORE_CALLS_PER_INSTANCE 0.5
-#define STORE_CALLS_BASE	 100 /* of the readers and seeds at the start, at any size */
-#define STORE_CALLS_PER_READER_S 4.0 /* per reader and second, in the whole run */
-
+#define STORE_CALLS_BASE	 100   /* for the readers and seeds, at any size */
+#define STORE_CALLS_PER_READER_S 4.0   /* per reader and second of the whole run */
 #define UNKNOWN_SHARE_MAX	 0.01  /* of all instances, unknown to one at the end */
 #define GOSSIP_BYTES_PER_S_MAX	 21000 /* sent per instance */
 
