--- a/tests/bench/fleet/fleet_world.c
+++ b/tests/bench/fleet/fleet_world.c
@@ -1,3 +1,4 @@
+/* Events of the simulated instances, which call the product's modules for each decision. */
 #include "fleet_internal.h"
 #include "cw_audience.h"
 #include "cw_hash.h"
@@ -12,7 +13,7 @@
 #define FOLLOW_CHECK_MS		100
 #define LATENCY_MS		1    /* of the network, one way */
 #define MEMBER_TIMEOUT_MS	2000 /* without a sign of life for longer: not live */
-#define SETTLE_MS		2000 /* after a start and after each growth by a quarter */
+#define SETTLE_MS		2000 /* of the own rank, after a start and each growth by a quarter */
 #define STABLE_MS		500  /* without growth by a quarter: ranks are reliable */
 #define ALONE_SETTLE_MS		3000 /* after the start, for an instance that knows no other */
 #define STORE_CALL_MS		4    /* of a call to the shared store, without the transfer */
@@ -94,7 +95,7 @@
 
 /*
  * The shared store sends its answers one after another, at its bandwidth. An answer that the caller
- * no longer waits for takes as long.
+ * no longer waits for takes as long. poll_ms: time for which the answer to a long poll is withheld.
  */
 static void call_store(struct fleet *fleet, struct instance *instance, enum topic topic,
 		       double bytes, int64_t poll_ms)
@@ -170,6 +171,7 @@
 	}
 }
 
+/* After a page of the server list: reads the next page, or ends the read. */
 static void continue_list_read(struct fleet *fleet, struct instance *instance)
 {
 	struct topic_state *list = &instance->topics[TOPIC_SERVERS];
