--- a/tests/bench/capacity.c
+++ b/tests/bench/capacity.c
@@ -99,7 +99,7 @@
 		struct world *world;
 		double sent_messages = 0, sent_bytes = 0, cpu_time, heap_per_node;
 
-		cw_node_defaults(&node);
+		cw_node_set_defaults(&node);
 		world = start_world(sizes[i], 0, &node);
 		world_key(world, "o");
 		world_run(world, 2000);
@@ -282,7 +282,7 @@
 		double cpu_time, idle_cpu_time;
 		uint64_t appends;
 
-		cw_node_defaults(&node);
+		cw_node_set_defaults(&node);
 		world = start_world(3, 4, &node);
 		world_profile(world, &profile);
 		world_load_everywhere(world, "m", "1");
@@ -295,7 +295,7 @@
 		appends = world_node(world, 0)->appends;
 		cpu_time = cpu_ms();
 		for (int sent = 0; sent < sizes[i] * MEASURE_MS / 1000; sent++) {
-			struct cw_request_in in;
+			struct cw_node_request in;
 
 			world_request_init(&in, "o", "m", CW_REQUEST_IDEMPOTENT);
 			world_send(world, 0, &in, 10);
@@ -327,7 +327,7 @@
 		struct world *world;
 		double cpu_time;
 
-		cw_node_defaults(&node);
+		cw_node_set_defaults(&node);
 		world = start_world(1, tracked[i], &node);
 		world_load_everywhere(world, "m", "1");
 		world_run(world, 2000);
@@ -372,7 +372,7 @@
 		struct world *world;
 		double idle_cpu_time, cpu_time, max_ms = 0;
 
-		cw_node_defaults(&node);
+		cw_node_set_defaults(&node);
 		world = start_world(sizes[i], 0, &node);
 		world_key(world, "o");
 		world_run(world, 2000);
--- a/tests/bench/experiment.c
+++ b/tests/bench/experiment.c
@@ -169,7 +169,7 @@
 		dispatched += request->dispatched;
 		if (request->ended_ms < 0)
 			continue;
-		if (request->end == CW_EFFECT_REFUSE) {
+		if (request->end == CW_EFFECT_REJECT) {
 			rejected++;
 			continue;
 		}
@@ -343,7 +343,7 @@
 	int64_t from_ms;
 	int second_count = 0;
 
-	cw_node_defaults(&node);
+	cw_node_set_defaults(&node);
 	driver_create_world(seed, &node, &driver);
 	world_profile(driver.world, &profile);
 	world_load_everywhere(driver.world, "m", "1");
@@ -420,7 +420,7 @@
 	struct driver driver = {.target = "m"};
 	GArray *apply_times_ms = g_array_new(FALSE, FALSE, sizeof(double));
 
-	cw_node_defaults(&node);
+	cw_node_set_defaults(&node);
 	driver_create_world(seed, &node, &driver);
 	driver_publish_table(driver.world, rows, 0.8);
 	world_run(driver.world, 3000);
--- a/tests/bench/experiment_driver.c
+++ b/tests/bench/experiment_driver.c
@@ -62,7 +62,7 @@
 		int64_t at_ms = (int64_t)driver->next_arrival_ms;
 
 		if (retry && retry->at_ms <= at_ms) {
-			struct cw_request_in in = retry->request->in;
+			struct cw_node_request in = retry->request->in;
 			struct world_request *retried;
 
 			world_run(driver->world, MAX(retry->at_ms - world_now(driver->world), 0));
@@ -95,7 +95,7 @@
 	int organisation = 0;
 	int task = 0;
 	int node = g_rand_int_range(driver->random, 0, NODE_COUNT);
-	struct cw_request_in in;
+	struct cw_node_request in;
 	struct world_request *request;
 	char name[8];
 
@@ -129,7 +129,7 @@
 	int retries = GPOINTER_TO_INT(g_hash_table_lookup(driver->retry_counts, request));
 	struct pending_retry *retry;
 
-	if (!driver->callers_retry || request->end != CW_EFFECT_REFUSE ||
+	if (!driver->callers_retry || request->end != CW_EFFECT_REJECT ||
 	    !request->retry_after_ms || retries >= RETRIES_MAX)
 		return;
 	retry = g_new0(struct pending_retry, 1);
