--- a/packages/flow/include/cw_message.h
+++ b/packages/flow/include/cw_message.h
@@ -1,6 +1,6 @@
 /*
- * One HTTP/1.1 message as it was read: start line, header fields, body. Names and values are kept
- * NUL-terminated in one buffer, so a message costs three allocations whatever its fields.
+ * One parsed HTTP/1.1 message: start line, header fields, body. The names and values of all fields
+ * are NUL-terminated in one buffer, so the number of allocations does not grow with the fields.
  */
 #ifndef CW_MESSAGE_H
 #define CW_MESSAGE_H
@@ -10,11 +10,11 @@
 #include <stddef.h>
 
 struct cw_message {
-	GString *text;	 /* names and values, each ended by a NUL */
+	GString *text;	 /* names and values, each NUL-terminated */
 	GArray *fields;	 /* of struct cw_field */
-	GString *target; /* request: path and query as sent */
+	GString *target; /* request only: path and query as sent */
 	GString *body;
-	unsigned int status; /* answer */
+	unsigned int status; /* answer only */
 	enum http_method method;
 	int in_value; /* the parser's last fragment belonged to a value */
 };
@@ -26,17 +26,17 @@
 
 struct cw_message *cw_message_create(void);
 void cw_message_destroy(struct cw_message *message);
-void cw_message_clear(struct cw_message *message); /* ready for the next one on a connection */
+void cw_message_clear(struct cw_message *message); /* for the next message on the connection */
 const char *cw_message_find(const struct cw_message *message,
-			    const char *name); /* first value, NULL: absent */
+			    const char *name); /* first value; NULL: absent */
 size_t cw_message_count(const struct cw_message *message, const char *name);
 size_t cw_message_fields(const struct cw_message *message);
 const char *cw_message_name(const struct cw_message *message, size_t index);
 const char *cw_message_value(const struct cw_message *message, size_t index);
 int cw_message_is_hop(const struct cw_message *message,
-		      const char *name); /* field concerns one connection only */
+		      const char *name); /* the field must not be forwarded */
 void cw_message_add_name(struct cw_message *message, const char *data, size_t size);
 void cw_message_add_value(struct cw_message *message, const char *data, size_t size);
-void cw_message_seal(struct cw_message *message); /* all header fields were read */
+void cw_message_end_fields(struct cw_message *message); /* terminates the last value */
 
 #endif
--- a/packages/flow/src/client.c
+++ b/packages/flow/src/client.c
@@ -5,14 +5,15 @@
 #include <sys/queue.h>
 #include <sys/socket.h>
 
-#define IDLE_MARGIN_MS	 400 /* closed this much before the server's own limit */
-#define LAST_TURN_MS	 1   /* one turn of the loop */
-#define IDLE_PER_ADDRESS 32
+#define IDLE_SAFETY_MARGIN_MS 400 /* closes idle connections this long before the server does */
+#define FINAL_ITERATION_MS    1	  /* runs after the next poll for input */
+#define MAX_IDLE_PER_ADDRESS  32
 
 static void on_sweep(uv_timer_t *timer);
 static void free_address(gpointer data);
-static struct connection *take_idle(struct address *address, uint64_t now_ms, int64_t reuse_ms);
-static int is_quiet(struct connection *connection);
+static struct connection *take_idle_connection(struct address *address, uint64_t now_ms,
+					       int64_t reuse_ms);
+static int has_no_input(struct connection *connection);
 static int was_reset(struct connection *connection);
 static void start_write(struct connection *connection);
 static void on_connect(uv_connect_t *connect, int status);
@@ -21,10 +22,10 @@
 static void on_timer(uv_timer_t *timer);
 static void on_timer_closed(uv_handle_t *handle);
 static void on_closed(uv_handle_t *handle);
-static void fail(struct cw_exchange *exchange, enum cw_flow_failure failure);
-static void complete(struct connection *connection, int extra);
-static void release(struct cw_exchange *exchange);
-static void rearm(struct cw_exchange *exchange);
+static void fail_exchange(struct cw_exchange *exchange, enum cw_flow_failure failure);
+static void finish_exchange(struct connection *connection, int has_extra_bytes);
+static void free_exchange(struct cw_exchange *exchange);
+static void restart_timer(struct cw_exchange *exchange);
 static int on_begin(http_parser *parser);
 static int on_name(http_parser *parser, const char *data, size_t size);
 static int on_value(http_parser *parser, const char *data, size_t size);
@@ -49,9 +50,9 @@
 	client->addresses = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_address);
 	TAILQ_INIT(&client->exchanges);
 	TAILQ_INIT(&client->probes);
-	uv_timer_init(loop, &client->sweep);
-	client->sweep.data = client;
-	uv_timer_start(&client->sweep, on_sweep, 1000, 1000);
+	uv_timer_init(loop, &client->sweep_timer);
+	client->sweep_timer.data = client;
+	uv_timer_start(&client->sweep_timer, on_sweep, 1000, 1000);
 	return client;
 }
 
@@ -68,12 +69,12 @@
 		cw_exchange_cancel(exchange);
 	while ((probe = TAILQ_FIRST(&client->probes))) {
 		flow_close_connection(probe->connection);
-		flow_probe_end(probe);
+		flow_probe_destroy(probe);
 	}
 	g_hash_table_iter_init(&iter, client->addresses);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
 		cw_client_forget(client, ((struct address *)value)->text);
-	uv_close((uv_handle_t *)&client->sweep, NULL);
+	uv_close((uv_handle_t *)&client->sweep_timer, NULL);
 	uv_run(client->loop, UV_RUN_NOWAIT);
 	g_hash_table_destroy(client->addresses);
 	g_free(client);
@@ -86,7 +87,7 @@
 	struct address *address = flow_find_address(client, request->address);
 	struct cw_exchange *exchange = g_new0(struct cw_exchange, 1);
 	struct connection *connection =
-		take_idle(address, uv_now(client->loop), request->reuse_idle_ms);
+		take_idle_connection(address, uv_now(client->loop), request->reuse_idle_ms);
 
 	exchange->client = client;
 	exchange->ops = ops;
@@ -106,7 +107,7 @@
 	exchange->connection = connection;
 	http_parser_init(&connection->parser, HTTP_RESPONSE);
 	connection->parser.data = connection;
-	if (connection->connected)
+	if (connection->is_connected)
 		start_write(connection);
 	else
 		uv_timer_start(&exchange->timer, on_timer, (uint64_t)request->connect_ms, 0);
@@ -121,12 +122,12 @@
 		connection->exchange = NULL;
 		flow_close_connection(connection);
 	}
-	release(exchange);
+	free_exchange(exchange);
 }
 
 int cw_exchange_is_sent(const struct cw_exchange *exchange)
 {
-	return exchange->sent;
+	return exchange->is_sent;
 }
 
 void cw_exchange_pause(struct cw_exchange *exchange, int paused)
@@ -137,15 +138,15 @@
 		uv_read_stop(stream);
 		uv_timer_stop(&exchange->timer);
 	} else {
-		uv_read_start(stream, flow_buffer, on_read);
-		rearm(exchange);
+		uv_read_start(stream, flow_provide_buffer, on_read);
+		restart_timer(exchange);
 	}
 }
 
 void cw_exchange_set_silence(struct cw_exchange *exchange, int64_t silence_ms)
 {
 	exchange->silence_ms = silence_ms;
-	rearm(exchange);
+	restart_timer(exchange);
 }
 
 void cw_client_forget(struct cw_client *client, const char *text)
@@ -159,7 +160,7 @@
 
 uint64_t cw_client_opened(const struct cw_client *client)
 {
-	return client->opened;
+	return client->opened_count;
 }
 
 static void on_sweep(uv_timer_t *timer)
@@ -203,8 +204,9 @@
 	return address;
 }
 
-/* The connection used last: the others may then idle out. */
-static struct connection *take_idle(struct address *address, uint64_t now_ms, int64_t reuse_ms)
+/* Takes the most recently used connection, so that surplus connections reach their idle timeout. */
+static struct connection *take_idle_connection(struct address *address, uint64_t now_ms,
+					       int64_t reuse_ms)
 {
 	struct connection *connection;
 
@@ -213,7 +215,7 @@
 
 		if (idle_ms >= reuse_ms)
 			return NULL;
-		if (idle_ms >= connection->idle_limit_ms || !is_quiet(connection)) {
+		if (idle_ms >= connection->idle_limit_ms || !has_no_input(connection)) {
 			flow_close_connection(connection);
 			continue;
 		}
@@ -228,7 +230,7 @@
 struct connection *flow_open_connection(struct cw_client *client, struct address *address)
 {
 	struct connection *connection = g_new0(struct connection, 1);
-	struct sockaddr_in where;
+	struct sockaddr_in socket_address;
 
 	connection->client = client;
 	connection->address = address;
@@ -236,19 +238,19 @@
 	connection->tcp.data = connection;
 	connection->connect.data = connection;
 	connection->write.data = connection;
-	client->opened++;
-	/* A bad address never connects: the exchange then ends by its connect limit, unsent. */
-	if (cw_flow_address(address->text, &where) == CW_OK)
+	client->opened_count++;
+	/* With an invalid address the exchange fails by its connect timeout, with nothing sent. */
+	if (cw_flow_address(address->text, &socket_address) == CW_OK)
 		uv_tcp_connect(&connection->connect, &connection->tcp,
-			       (const struct sockaddr *)&where, on_connect);
+			       (const struct sockaddr *)&socket_address, on_connect);
 	return connection;
 }
 
 /*
- * The server may have closed the connection, or sent more than it should, while it lay idle: a
- * request sent then is lost, and one that isn't idempotent can't be sent again.
+ * The server may have closed the connection, or sent unexpected bytes, while the connection was
+ * idle. A request sent on such a connection is lost, and is not retried if it is not idempotent.
  */
-static int is_quiet(struct connection *connection)
+static int has_no_input(struct connection *connection)
 {
 	char byte;
 	uv_os_fd_t fd;
@@ -260,9 +262,9 @@
 }
 
 /*
- * libuv reports a hang-up that follows a short read as the stream's end without reading once more,
- * so a reset looks like an orderly close, and an answer without a length looks complete though it
- * was cut. The socket itself still knows.
+ * libuv reports a hang-up after a short read as the end of the stream without another read. A reset
+ * then looks like an orderly close, and a truncated answer without a length looks complete. Reading
+ * the socket directly tells the two apart.
  */
 static int was_reset(struct connection *connection)
 {
@@ -278,38 +280,39 @@
 {
 	uv_buf_t buffer = uv_buf_init(connection->bytes->str, (unsigned int)connection->bytes->len);
 
-	connection->exchange->sent = 1;
-	connection->writing = 1;
-	rearm(connection->exchange);
+	connection->exchange->is_sent = 1;
+	connection->is_writing = 1;
+	restart_timer(connection->exchange);
 	if (uv_write(&connection->write, (uv_stream_t *)&connection->tcp, &buffer, 1, on_written))
-		connection->writing = 0;
+		connection->is_writing = 0;
 }
 
 static void on_connect(uv_connect_t *connect, int status)
 {
 	struct connection *connection = connect->data;
 
-	if (connection->closed)
+	if (connection->is_closed)
 		return;
 	if (status < 0) {
-		int is_answered = status == UV_ECONNREFUSED || status == UV_ECONNRESET;
+		int has_host_answered = status == UV_ECONNREFUSED || status == UV_ECONNRESET;
 
 		if (connection->probe)
-			flow_probe_told(connection->probe, is_answered);
+			flow_probe_report(connection->probe, has_host_answered);
 		else
-			fail(connection->exchange, is_answered ? CW_FLOW_REFUSED : CW_FLOW_UNSENT);
+			fail_exchange(connection->exchange,
+				      has_host_answered ? CW_FLOW_REFUSED : CW_FLOW_UNSENT);
 		return;
 	}
-	connection->connected = 1;
+	connection->is_connected = 1;
 	flow_tune_socket(&connection->tcp);
-	uv_read_start((uv_stream_t *)&connection->tcp, flow_buffer, on_read);
+	uv_read_start((uv_stream_t *)&connection->tcp, flow_provide_buffer, on_read);
 	if (connection->probe)
-		flow_probe_told(connection->probe, 1);
+		flow_probe_report(connection->probe, 1);
 	else
 		start_write(connection);
 }
 
-void flow_keep(struct connection *connection)
+void flow_keep_idle(struct connection *connection)
 {
 	struct address *address = connection->address;
 
@@ -322,13 +325,13 @@
 {
 	struct connection *connection = write->data;
 
-	connection->writing = 0;
+	connection->is_writing = 0;
 	g_string_free(connection->bytes, TRUE);
 	connection->bytes = NULL;
-	if (connection->closed || status >= 0)
+	if (connection->is_closed || status >= 0)
 		return;
 	if (connection->exchange)
-		fail(connection->exchange, CW_FLOW_BROKEN);
+		fail_exchange(connection->exchange, CW_FLOW_BROKEN);
 	else
 		flow_close_connection(connection);
 }
@@ -341,39 +344,39 @@
 	if (size == 0)
 		return;
 	if (!connection->exchange) {
-		/* The end of an idle connection, or bytes that belong to no request. */
+		/* An idle connection was closed, or received bytes that belong to no request. */
 		flow_close_connection(connection);
 		return;
 	}
 	if (size < 0 && (size != UV_EOF || was_reset(connection))) {
-		fail(connection->exchange, CW_FLOW_BROKEN);
+		fail_exchange(connection->exchange, CW_FLOW_BROKEN);
 		return;
 	}
-	rearm(connection->exchange);
+	restart_timer(connection->exchange);
 	used = http_parser_execute(&connection->parser, &parser_settings, buffer->base,
 				   size < 0 ? 0 : (size_t)size);
 	if (!connection->exchange)
 		return;
-	if (connection->complete) {
-		complete(connection, size < 0 || used < (size_t)size);
+	if (connection->is_answer_complete) {
+		finish_exchange(connection, size < 0 || used < (size_t)size);
 		return;
 	}
 	if (size < 0)
-		fail(connection->exchange, CW_FLOW_BROKEN);
+		fail_exchange(connection->exchange, CW_FLOW_BROKEN);
 	else if (HTTP_PARSER_ERRNO(&connection->parser) != HPE_OK || connection->parser.upgrade)
-		fail(connection->exchange, CW_FLOW_GARBLED);
+		fail_exchange(connection->exchange, CW_FLOW_GARBLED);
 }
 
 /*
- * A loop that was held up runs its timers before it reads what came meanwhile: an answer that is
- * there would count as missing. Each limit therefore gets one more turn of the loop.
+ * After a delay the loop runs its timers before it reads pending input, so an answer that arrived
+ * in time would count as timed out. Each timeout therefore takes effect one loop iteration later.
  */
-int flow_needs_turn(uv_timer_t *timer, uv_timer_cb callback, int *had_turn)
+int flow_start_final_iteration(uv_timer_t *timer, uv_timer_cb callback, int *had_final_iteration)
 {
-	if (*had_turn)
+	if (*had_final_iteration)
 		return 0;
-	*had_turn = 1;
-	uv_timer_start(timer, callback, LAST_TURN_MS, 0);
+	*had_final_iteration = 1;
+	uv_timer_start(timer, callback, FINAL_ITERATION_MS, 0);
 	return 1;
 }
 
@@ -381,8 +384,8 @@
 {
 	struct cw_exchange *exchange = timer->data;
 
-	if (!flow_needs_turn(timer, on_timer, &exchange->had_turn))
-		fail(exchange, exchange->sent ? CW_FLOW_SILENT : CW_FLOW_UNSENT);
+	if (!flow_start_final_iteration(timer, on_timer, &exchange->had_final_iteration))
+		fail_exchange(exchange, exchange->is_sent ? CW_FLOW_SILENT : CW_FLOW_UNSENT);
 }
 
 static void on_timer_closed(uv_handle_t *handle)
@@ -405,9 +408,9 @@
 
 void flow_close_connection(struct connection *connection)
 {
-	if (connection->closed)
+	if (connection->is_closed)
 		return;
-	connection->closed = 1;
+	connection->is_closed = 1;
 	if (connection->idle_since_ms && !connection->exchange) {
 		TAILQ_REMOVE(&connection->address->idle, connection, link);
 		connection->address->idle_count--;
@@ -416,7 +419,7 @@
 	uv_close((uv_handle_t *)&connection->tcp, on_closed);
 }
 
-static void fail(struct cw_exchange *exchange, enum cw_flow_failure failure)
+static void fail_exchange(struct cw_exchange *exchange, enum cw_flow_failure failure)
 {
 	const struct cw_exchange_ops *ops = exchange->ops;
 	void *context = exchange->context;
@@ -425,29 +428,29 @@
 	ops->failed(context, failure);
 }
 
-static void complete(struct connection *connection, int extra)
+static void finish_exchange(struct connection *connection, int has_extra_bytes)
 {
 	struct cw_exchange *exchange = connection->exchange;
 	const struct cw_exchange_ops *ops = exchange->ops;
 	void *context = exchange->context;
 	struct address *address = connection->address;
 
-	connection->complete = 0;
+	connection->is_answer_complete = 0;
 	connection->exchange = NULL;
 	exchange->connection = NULL;
-	release(exchange);
-	if (extra || !connection->reusable || connection->writing ||
-	    address->idle_count >= IDLE_PER_ADDRESS) {
+	free_exchange(exchange);
+	if (has_extra_bytes || !connection->is_reusable || connection->is_writing ||
+	    address->idle_count >= MAX_IDLE_PER_ADDRESS) {
 		flow_close_connection(connection);
 	} else {
-		flow_keep(connection);
-		uv_read_start((uv_stream_t *)&connection->tcp, flow_buffer, on_read);
+		flow_keep_idle(connection);
+		uv_read_start((uv_stream_t *)&connection->tcp, flow_provide_buffer, on_read);
 	}
 	ops->end(context);
 }
 
-/* The memory goes with the timer's handle. */
-static void release(struct cw_exchange *exchange)
+/* The memory is freed once the timer handle is closed. */
+static void free_exchange(struct cw_exchange *exchange)
 {
 	TAILQ_REMOVE(&exchange->client->exchanges, exchange, link);
 	cw_message_destroy(exchange->answer);
@@ -456,9 +459,9 @@
 	uv_close((uv_handle_t *)&exchange->timer, on_timer_closed);
 }
 
-static void rearm(struct cw_exchange *exchange)
+static void restart_timer(struct cw_exchange *exchange)
 {
-	exchange->had_turn = 0;
+	exchange->had_final_iteration = 0;
 	if (exchange->silence_ms > 0)
 		uv_timer_start(&exchange->timer, on_timer, (uint64_t)exchange->silence_ms, 0);
 	else
@@ -493,27 +496,29 @@
 {
 	struct connection *connection = parser->data;
 	struct cw_exchange *exchange = connection->exchange;
-	const char *echo;
-	const char *keep;
+	const char *echoed_value;
+	const char *keep_alive;
 
-	cw_message_seal(exchange->answer);
+	cw_message_end_fields(exchange->answer);
 	exchange->answer->status = parser->status_code;
 	if (parser->status_code < 200)
 		return 0;
-	keep = cw_message_find(exchange->answer, "Keep-Alive");
-	keep = keep ? strstr(keep, "timeout=") : NULL;
-	connection->idle_limit_ms = IDLE_MS_UNTOLD;
-	if (keep)
+	keep_alive = cw_message_find(exchange->answer, "Keep-Alive");
+	keep_alive = keep_alive ? strstr(keep_alive, "timeout=") : NULL;
+	connection->idle_limit_ms = DEFAULT_IDLE_TIMEOUT_MS;
+	if (keep_alive)
 		connection->idle_limit_ms =
-			g_ascii_strtoll(keep + strlen("timeout="), NULL, 10) * 1000 -
-			IDLE_MARGIN_MS;
-	echo = exchange->echo_name ? cw_message_find(exchange->answer, exchange->echo_name) : NULL;
-	exchange->foreign = echo && exchange->echo_value && strcmp(echo, exchange->echo_value) != 0;
-	if (!exchange->foreign)
+			g_ascii_strtoll(keep_alive + strlen("timeout="), NULL, 10) * 1000 -
+			IDLE_SAFETY_MARGIN_MS;
+	echoed_value =
+		exchange->echo_name ? cw_message_find(exchange->answer, exchange->echo_name) : NULL;
+	exchange->is_mismatched = echoed_value && exchange->echo_value &&
+				  strcmp(echoed_value, exchange->echo_value) != 0;
+	if (!exchange->is_mismatched)
 		exchange->ops->head(exchange->context, exchange->answer);
 	if (!connection->exchange)
 		return -1;
-	return exchange->is_head && !exchange->foreign;
+	return exchange->is_head && !exchange->is_mismatched;
 }
 
 static int on_body(http_parser *parser, const char *data, size_t size)
@@ -521,7 +526,7 @@
 	struct connection *connection = parser->data;
 	struct cw_exchange *exchange = connection->exchange;
 
-	if (!exchange->foreign)
+	if (!exchange->is_mismatched)
 		exchange->ops->data(exchange->context, data, size);
 	return connection->exchange ? 0 : -1;
 }
@@ -530,10 +535,10 @@
 {
 	struct connection *connection = parser->data;
 
-	if (parser->status_code < 200 || connection->exchange->foreign)
+	if (parser->status_code < 200 || connection->exchange->is_mismatched)
 		return 0;
-	connection->complete = 1;
-	connection->reusable = http_should_keep_alive(parser);
+	connection->is_answer_complete = 1;
+	connection->is_reusable = http_should_keep_alive(parser);
 	http_parser_pause(parser, 1);
 	return 0;
 }
--- a/packages/flow/src/client_internal.h
+++ b/packages/flow/src/client_internal.h
@@ -1,4 +1,4 @@
-/* What exchanges and probes share: connections and the addresses they lead to. */
+/* Shared by exchanges and probes: connections and their addresses. */
 #ifndef CLIENT_INTERNAL_H
 #define CLIENT_INTERNAL_H
 
@@ -6,26 +6,26 @@
 
 #include <sys/queue.h>
 
-#define IDLE_MS_UNTOLD 4000 /* a kept connection's life where the server names none */
+#define DEFAULT_IDLE_TIMEOUT_MS 4000 /* if the server states no keep-alive timeout */
 
 struct connection {
-	TAILQ_ENTRY(connection) link; /* among the idle ones of its address */
+	TAILQ_ENTRY(connection) link; /* in the idle list of the address */
 	struct cw_client *client;
 	struct address *address;
-	struct cw_exchange *exchange; /* NULL: idle, or a probe's */
+	struct cw_exchange *exchange; /* NULL: the connection is idle or belongs to a probe */
 	struct probe *probe;
 	uv_tcp_t tcp;
 	uv_connect_t connect;
 	uv_write_t write;
-	GString *bytes; /* being written */
+	GString *bytes; /* request being written */
 	http_parser parser;
 	uint64_t idle_since_ms;
 	int64_t idle_limit_ms;
-	int connected;
-	int writing;
-	int complete; /* the answer's end was parsed */
-	int reusable;
-	int closed;
+	int is_connected;
+	int is_writing;
+	int is_answer_complete; /* the end of the answer was parsed */
+	int is_reusable;
+	int is_closed;
 };
 
 TAILQ_HEAD(connection_list, connection);
@@ -48,19 +48,19 @@
 	uv_timer_t timer;
 	int64_t silence_ms;
 	int is_head;
-	int sent;
-	int foreign;  /* the answer being read is another request's */
-	int had_turn; /* the limit has passed, what came is read once more */
+	int is_sent;
+	int is_mismatched;	 /* the answer being read belongs to another request */
+	int had_final_iteration; /* the timeout passed; pending input is read once more */
 };
 
-/* A connection that is opened only to see whether its server can be reached. */
+/* A connection that is opened to find out whether the server is reachable. */
 struct probe {
 	TAILQ_ENTRY(probe) link;
 	struct connection *connection;
 	uv_timer_t timer;
-	void (*told)(void *context, const char *address, int is_reachable);
+	void (*report)(void *context, const char *address, int is_reachable);
 	void *context;
-	int had_turn;
+	int had_final_iteration;
 };
 
 struct cw_client {
@@ -68,17 +68,17 @@
 	TAILQ_HEAD(, probe) probes;
 	GHashTable *addresses;
 	TAILQ_HEAD(, cw_exchange) exchanges;
-	uv_timer_t sweep;
-	uint64_t opened;
+	uv_timer_t sweep_timer;
+	uint64_t opened_count;
 };
 
 struct address *flow_find_address(struct cw_client *client, const char *text);
 struct connection *flow_open_connection(struct cw_client *client, struct address *address);
 void flow_close_connection(struct connection *connection);
-void flow_keep(struct connection *connection); /* as an idle one */
-int flow_needs_turn(uv_timer_t *timer, uv_timer_cb callback,
-		    int *had_turn); /* 1: a limit has passed, one more turn of the loop is given */
-void flow_probe_told(struct probe *probe, int is_reachable);
-void flow_probe_end(struct probe *probe);
+void flow_keep_idle(struct connection *connection); /* adds it to the idle connections */
+int flow_start_final_iteration(uv_timer_t *timer, uv_timer_cb callback,
+			       int *had_final_iteration); /* 0: the final iteration has passed */
+void flow_probe_report(struct probe *probe, int is_reachable);
+void flow_probe_destroy(struct probe *probe);
 
 #endif
--- a/packages/flow/src/events.c
+++ b/packages/flow/src/events.c
@@ -5,8 +5,8 @@
 
 struct cw_events {
 	GString *bytes;
-	size_t start; /* of the event being read */
-	size_t seen;  /* looked through for its end */
+	size_t start;	/* offset of the event being read */
+	size_t scanned; /* offset up to which the end of the event was searched for */
 };
 
 static int64_t read_id(const char *event, size_t size);
@@ -31,14 +31,14 @@
 {
 	g_string_truncate(events->bytes, 0);
 	events->start = 0;
-	events->seen = 0;
+	events->scanned = 0;
 }
 
 int cw_events_feed(struct cw_events *events, const char *data, size_t size)
 {
 	if (events->start > 0) {
 		g_string_erase(events->bytes, 0, (gssize)events->start);
-		events->seen -= events->start;
+		events->scanned -= events->start;
 		events->start = 0;
 	}
 	g_string_append_len(events->bytes, data, (gssize)size);
@@ -50,7 +50,7 @@
 {
 	const char *text = events->bytes->str;
 
-	for (size_t i = events->seen; i < events->bytes->len; i++) {
+	for (size_t i = events->scanned; i < events->bytes->len; i++) {
 		size_t length = i + 1 - events->start;
 		const char *from = text + events->start;
 
@@ -63,10 +63,10 @@
 		*size = length;
 		*id = read_id(from, length);
 		events->start = i + 1;
-		events->seen = i + 1;
+		events->scanned = i + 1;
 		return 1;
 	}
-	events->seen = events->bytes->len;
+	events->scanned = events->bytes->len;
 	return 0;
 }
 
@@ -84,10 +84,10 @@
 		const char *next = memchr(line, '\n', (size_t)(end - line));
 
 		if (end - line > 3 && !strncmp(line, "id:", 3)) {
-			char *stop;
-			int64_t id = g_ascii_strtoll(line + 3, &stop, 10);
+			char *id_end;
+			int64_t id = g_ascii_strtoll(line + 3, &id_end, 10);
 
-			return stop > line + 3 && id >= 0 ? id : -1;
+			return id_end > line + 3 && id >= 0 ? id : -1;
 		}
 		line = next ? next + 1 : end;
 	}
--- a/packages/flow/src/flow_internal.h
+++ b/packages/flow/src/flow_internal.h
@@ -1,16 +1,16 @@
-/* What both sides of the flow package share. */
+/* Shared by the server side and the client side of the flow package. */
 #ifndef FLOW_INTERNAL_H
 #define FLOW_INTERNAL_H
 
 #include "cw_flow.h"
 
-#define FLOW_READ_BYTES	     (64 * 1024) /* one read buffer a loop: reads are handled at once */
-#define FLOW_USER_TIMEOUT_MS 3000 /* unacknowledged bytes end a connection: three losses of 1 s */
-#define FLOW_PROBE_IDLE_S    1	  /* keep-alive probes tell a cut from a server that is busy */
-#define FLOW_PROBE_GAP_S     1
-#define FLOW_PROBES	     2
+#define FLOW_READ_BUFFER_BYTES	  (64 * 1024) /* one buffer per loop: reads are handled at once */
+#define FLOW_USER_TIMEOUT_MS	  3000 /* TCP_USER_TIMEOUT: three packet losses of 1 s each */
+#define FLOW_KEEPALIVE_IDLE_S	  1 /* keepalive probes tell a network partition from a busy server */
+#define FLOW_KEEPALIVE_INTERVAL_S 1
+#define FLOW_KEEPALIVE_PROBES	  2
 
-void flow_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer);
-void flow_tune_socket(uv_tcp_t *tcp); /* no delay, bounds on silence */
+void flow_provide_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer);
+void flow_tune_socket(uv_tcp_t *tcp); /* sets TCP_NODELAY, keepalive and TCP_USER_TIMEOUT */
 
 #endif
--- a/packages/flow/src/listener.c
+++ b/packages/flow/src/listener.c
@@ -3,34 +3,34 @@
 #include <string.h>
 #include <sys/queue.h>
 
-#define SWEEP_MS	   500	       /* how often time limits of connections are looked at */
-#define LINGER_MS	   1000	       /* a closed connection may still bring bytes: not a reset */
-#define PIPELINED_MAX	   (64 * 1024) /* bytes read ahead while an answer is being made */
-#define HEADER_BYTES_FIRST (16 * 1024) /* until a configuration tells the limits */
-#define BODY_BYTES_FIRST   (4 * 1024 * 1024)
-#define HEADER_MS_FIRST	   5000
-#define IDLE_MS_FIRST	   60000
-#define KEPT_BUFFER	   4096 /* a larger buffer is given back after an answer */
+#define SWEEP_INTERVAL_MS    500  /* between two checks of the timeouts of all connections */
+#define LINGER_TIMEOUT_MS    1000 /* reading goes on: unread bytes would reset the connection */
+#define PIPELINED_MAX_BYTES  (64 * 1024) /* limit of what is read during an answer */
+#define DEFAULT_HEADER_BYTES (16 * 1024) /* until cw_listener_limits is called */
+#define DEFAULT_BODY_BYTES   (4 * 1024 * 1024)
+#define DEFAULT_HEADER_MS    5000
+#define DEFAULT_IDLE_MS	     60000
+#define KEPT_BUFFER_BYTES    4096 /* larger output buffers are freed after an answer */
 
 enum caller_state {
-	CALLER_READING, /* a request, or waits for one */
-	CALLER_BUSY,	/* its request is being answered */
-	CALLER_LINGER,	/* the last answer is out, the other side's end is awaited */
+	CALLER_READING,	  /* reads a request or waits for one */
+	CALLER_ANSWERING, /* the request is being answered */
+	CALLER_LINGERING, /* the last answer was sent; waits for the caller to close */
 	CALLER_CLOSED,
 };
 
 struct cw_listener {
 	uv_tcp_t tcp;
-	uv_timer_t sweep;
+	uv_timer_t sweep_timer;
 	uv_loop_t *loop;
 	const struct cw_listener_ops *ops;
 	void *context;
 	struct cw_flow_limits limits;
-	int leaving;
-	int closed;
-	int destroyed;
-	int handles; /* still to be closed before the memory goes */
-	size_t connections;
+	int is_draining;
+	int is_closed;
+	int is_destroyed;
+	int open_handles; /* handles to close before the memory is freed */
+	size_t connection_count;
 	TAILQ_HEAD(, cw_caller) callers;
 };
 
@@ -40,21 +40,21 @@
 	uv_tcp_t tcp;
 	http_parser parser;
 	struct cw_message *message;
-	GString *ahead; /* read while an answer was being made */
+	GString *pipelined; /* bytes read while a request was being answered */
 	GString *out;
 	enum caller_state state;
 	void *request;
-	uint64_t since_ms; /* of the state's start, or of a request's first byte */
-	size_t held;	   /* bytes the caller has not taken yet */
-	unsigned int refusal;
-	const char *refusal_reason;
-	int started;  /* bytes of a request came */
-	int complete; /* the parser has a whole request */
-	int keep;
-	int chunked;
-	int feeding;
-	int close_after;
-	int pressed; /* told to pause */
+	uint64_t state_since_ms; /* start of the state or first byte of the request */
+	size_t unwritten_bytes;	 /* queued in libuv, not yet written to the socket */
+	unsigned int reject_status;
+	const char *reject_reason;
+	int has_request_bytes;
+	int is_request_complete; /* the parser reached the end of a request */
+	int keep_alive;
+	int is_chunked;
+	int is_parsing;
+	int closes_after_write;
+	int is_source_paused; /* the source was asked to pause until writable is called */
 };
 
 struct caller_write {
@@ -70,13 +70,13 @@
 static void on_written(uv_write_t *write, int status);
 static void on_caller_closed(uv_handle_t *handle);
 static void on_shutdown(uv_shutdown_t *request, int status);
-static void feed(struct cw_caller *caller, const char *data, size_t size);
-static size_t parse(struct cw_caller *caller, const char *data, size_t size);
-static void refuse(struct cw_caller *caller);
-static void flush(struct cw_caller *caller);
-static void finish(struct cw_caller *caller);
+static void parse_requests(struct cw_caller *caller, const char *data, size_t size);
+static size_t parse_request(struct cw_caller *caller, const char *data, size_t size);
+static void reject_request(struct cw_caller *caller);
+static void flush_output(struct cw_caller *caller);
+static void finish_answer(struct cw_caller *caller);
 static void close_caller(struct cw_caller *caller);
-static void lose_caller(struct cw_caller *caller);
+static void handle_disconnect(struct cw_caller *caller);
 static int on_begin(http_parser *parser);
 static int on_url(http_parser *parser, const char *data, size_t size);
 static int on_name(http_parser *parser, const char *data, size_t size);
@@ -100,29 +100,30 @@
 				       struct cw_error *error)
 {
 	struct cw_listener *listener = g_new0(struct cw_listener, 1);
-	struct sockaddr_in where;
+	struct sockaddr_in socket_address;
 	int code;
 
 	listener->loop = loop;
 	listener->ops = ops;
 	listener->context = context;
-	listener->limits.header_bytes = HEADER_BYTES_FIRST;
-	listener->limits.body_bytes = BODY_BYTES_FIRST;
-	listener->limits.header_ms = HEADER_MS_FIRST;
-	listener->limits.idle_ms = IDLE_MS_FIRST;
+	listener->limits.header_bytes = DEFAULT_HEADER_BYTES;
+	listener->limits.body_bytes = DEFAULT_BODY_BYTES;
+	listener->limits.header_ms = DEFAULT_HEADER_MS;
+	listener->limits.idle_ms = DEFAULT_IDLE_MS;
 	TAILQ_INIT(&listener->callers);
 	uv_tcp_init(loop, &listener->tcp);
-	uv_timer_init(loop, &listener->sweep);
+	uv_timer_init(loop, &listener->sweep_timer);
 	listener->tcp.data = listener;
-	listener->sweep.data = listener;
-	listener->handles = 2;
-	code = cw_flow_address(address, &where) == CW_OK ? 0 : UV_EINVAL;
+	listener->sweep_timer.data = listener;
+	listener->open_handles = 2;
+	code = cw_flow_address(address, &socket_address) == CW_OK ? 0 : UV_EINVAL;
 	if (!code)
-		code = uv_tcp_bind(&listener->tcp, (const struct sockaddr *)&where, 0);
+		code = uv_tcp_bind(&listener->tcp, (const struct sockaddr *)&socket_address, 0);
 	if (!code)
 		code = uv_listen((uv_stream_t *)&listener->tcp, CW_FLOW_BACKLOG, on_connection);
 	if (!code)
-		code = uv_timer_start(&listener->sweep, on_sweep, SWEEP_MS, SWEEP_MS);
+		code = uv_timer_start(&listener->sweep_timer, on_sweep, SWEEP_INTERVAL_MS,
+				      SWEEP_INTERVAL_MS);
 	if (code) {
 		cw_error_set(error, CW_UNREACHABLE, "listen", address, "%s", uv_strerror(code));
 		cw_listener_destroy(listener);
@@ -138,22 +139,22 @@
 
 void cw_listener_leave(struct cw_listener *listener)
 {
-	listener->leaving = 1;
+	listener->is_draining = 1;
 }
 
 void cw_listener_close(struct cw_listener *listener)
 {
 	struct cw_caller *caller = TAILQ_FIRST(&listener->callers);
 
-	listener->leaving = 1;
-	if (!listener->closed) {
-		listener->closed = 1;
+	listener->is_draining = 1;
+	if (!listener->is_closed) {
+		listener->is_closed = 1;
 		uv_close((uv_handle_t *)&listener->tcp, on_handle_closed);
 	}
 	while (caller) {
 		struct cw_caller *next = TAILQ_NEXT(caller, link);
 
-		if (caller->state == CALLER_READING && !caller->started)
+		if (caller->state == CALLER_READING && !caller->has_request_bytes)
 			close_caller(caller);
 		caller = next;
 	}
@@ -161,7 +162,7 @@
 
 size_t cw_listener_connections(const struct cw_listener *listener)
 {
-	return listener->connections;
+	return listener->connection_count;
 }
 
 void cw_listener_destroy(struct cw_listener *listener)
@@ -170,11 +171,11 @@
 
 	if (!listener)
 		return;
-	listener->destroyed = 1;
+	listener->is_destroyed = 1;
 	while ((caller = TAILQ_FIRST(&listener->callers)))
 		close_caller(caller);
 	cw_listener_close(listener);
-	uv_close((uv_handle_t *)&listener->sweep, on_handle_closed);
+	uv_close((uv_handle_t *)&listener->sweep_timer, on_handle_closed);
 }
 
 void cw_caller_attach(struct cw_caller *caller, void *request)
@@ -184,64 +185,64 @@
 
 int cw_caller_is_late(const struct cw_caller *caller)
 {
-	return caller->listener->closed;
+	return caller->listener->is_closed;
 }
 
 void cw_caller_head(struct cw_caller *caller, unsigned int status, const char *fields,
 		    int64_t length)
 {
-	if (caller->state != CALLER_BUSY)
+	if (caller->state != CALLER_ANSWERING)
 		return;
-	if (caller->listener->leaving)
-		caller->keep = 0;
-	caller->chunked = length == CW_FLOW_CHUNKED;
+	if (caller->listener->is_draining)
+		caller->keep_alive = 0;
+	caller->is_chunked = length == CW_FLOW_CHUNKED;
 	g_string_append_printf(caller->out, "HTTP/1.1 %u %s\r\n%s", status,
 			       http_status_str((enum http_status)status), fields);
-	if (caller->chunked)
+	if (caller->is_chunked)
 		g_string_append(caller->out, "Transfer-Encoding: chunked\r\n");
 	else if (length >= 0)
 		g_string_append_printf(caller->out, "Content-Length: %" G_GINT64_FORMAT "\r\n",
 				       length);
-	g_string_append(caller->out, caller->keep ? "\r\n" : "Connection: close\r\n\r\n");
+	g_string_append(caller->out, caller->keep_alive ? "\r\n" : "Connection: close\r\n\r\n");
 }
 
 int cw_caller_data(struct cw_caller *caller, const char *data, size_t size)
 {
-	if (caller->state != CALLER_BUSY || size == 0)
+	if (caller->state != CALLER_ANSWERING || size == 0)
 		return 0;
-	if (caller->chunked)
+	if (caller->is_chunked)
 		g_string_append_printf(caller->out, "%zx\r\n", size);
 	g_string_append_len(caller->out, data, (gssize)size);
-	if (caller->chunked)
+	if (caller->is_chunked)
 		g_string_append(caller->out, "\r\n");
-	flush(caller);
-	caller->pressed = caller->held > CW_FLOW_CALLER_HIGH;
-	return caller->pressed;
+	flush_output(caller);
+	caller->is_source_paused = caller->unwritten_bytes > CW_FLOW_WRITE_HIGH_WATERMARK;
+	return caller->is_source_paused;
 }
 
 void cw_caller_end(struct cw_caller *caller)
 {
-	if (caller->state != CALLER_BUSY)
+	if (caller->state != CALLER_ANSWERING)
 		return;
-	if (caller->chunked)
+	if (caller->is_chunked)
 		g_string_append(caller->out, "0\r\n\r\n");
-	flush(caller);
-	if (caller->state == CALLER_BUSY)
-		finish(caller);
+	flush_output(caller);
+	if (caller->state == CALLER_ANSWERING)
+		finish_answer(caller);
 }
 
 void cw_caller_abort(struct cw_caller *caller)
 {
-	if (caller->state != CALLER_BUSY)
+	if (caller->state != CALLER_ANSWERING)
 		return;
 	caller->request = NULL;
-	flush(caller);
-	if (caller->state != CALLER_BUSY)
+	flush_output(caller);
+	if (caller->state != CALLER_ANSWERING)
 		return;
-	if (caller->held == 0)
+	if (caller->unwritten_bytes == 0)
 		close_caller(caller);
 	else
-		caller->close_after = 1;
+		caller->closes_after_write = 1;
 }
 
 static void on_connection(uv_stream_t *server, int status)
@@ -249,26 +250,26 @@
 	struct cw_listener *listener = server->data;
 	struct cw_caller *caller;
 
-	if (status < 0 || listener->closed)
+	if (status < 0 || listener->is_closed)
 		return;
 	caller = g_new0(struct cw_caller, 1);
 	caller->listener = listener;
 	caller->message = cw_message_create();
-	caller->ahead = g_string_sized_new(0);
+	caller->pipelined = g_string_sized_new(0);
 	caller->out = g_string_sized_new(512);
-	caller->since_ms = uv_now(listener->loop);
+	caller->state_since_ms = uv_now(listener->loop);
 	uv_tcp_init(listener->loop, &caller->tcp);
 	caller->tcp.data = caller;
 	http_parser_init(&caller->parser, HTTP_REQUEST);
 	caller->parser.data = caller;
 	TAILQ_INSERT_TAIL(&listener->callers, caller, link);
-	listener->connections++;
+	listener->connection_count++;
 	if (uv_accept(server, (uv_stream_t *)&caller->tcp)) {
 		close_caller(caller);
 		return;
 	}
 	flow_tune_socket(&caller->tcp);
-	uv_read_start((uv_stream_t *)&caller->tcp, flow_buffer, on_read);
+	uv_read_start((uv_stream_t *)&caller->tcp, flow_provide_buffer, on_read);
 }
 
 static void on_sweep(uv_timer_t *timer)
@@ -279,17 +280,17 @@
 
 	while (caller) {
 		struct cw_caller *next = TAILQ_NEXT(caller, link);
-		int64_t spent_ms = (int64_t)(now_ms - caller->since_ms);
+		int64_t elapsed_ms = (int64_t)(now_ms - caller->state_since_ms);
 
-		if (caller->state == CALLER_LINGER && spent_ms > LINGER_MS) {
+		if (caller->state == CALLER_LINGERING && elapsed_ms > LINGER_TIMEOUT_MS) {
 			close_caller(caller);
-		} else if (caller->state == CALLER_READING && caller->started &&
-			   spent_ms > listener->limits.header_ms) {
-			caller->refusal = HTTP_STATUS_REQUEST_TIMEOUT;
-			caller->refusal_reason = "the request was not read in time";
-			refuse(caller);
-		} else if (caller->state == CALLER_READING && !caller->started &&
-			   spent_ms > listener->limits.idle_ms) {
+		} else if (caller->state == CALLER_READING && caller->has_request_bytes &&
+			   elapsed_ms > listener->limits.header_ms) {
+			caller->reject_status = HTTP_STATUS_REQUEST_TIMEOUT;
+			caller->reject_reason = "the request was not read in time";
+			reject_request(caller);
+		} else if (caller->state == CALLER_READING && !caller->has_request_bytes &&
+			   elapsed_ms > listener->limits.idle_ms) {
 			close_caller(caller);
 		}
 		caller = next;
@@ -300,8 +301,9 @@
 {
 	struct cw_listener *listener = handle->data;
 
-	listener->handles--;
-	if (listener->destroyed && listener->handles == 0 && listener->connections == 0)
+	listener->open_handles--;
+	if (listener->is_destroyed && listener->open_handles == 0 &&
+	    listener->connection_count == 0)
 		g_free(listener);
 }
 
@@ -310,79 +312,79 @@
 	struct cw_caller *caller = stream->data;
 
 	if (size < 0) {
-		lose_caller(caller);
+		handle_disconnect(caller);
 		return;
 	}
-	if (size == 0 || caller->state == CALLER_LINGER)
+	if (size == 0 || caller->state == CALLER_LINGERING)
 		return;
-	if (caller->state == CALLER_READING && !caller->feeding) {
-		feed(caller, buffer->base, (size_t)size);
+	if (caller->state == CALLER_READING && !caller->is_parsing) {
+		parse_requests(caller, buffer->base, (size_t)size);
 		return;
 	}
-	g_string_append_len(caller->ahead, buffer->base, size);
-	if (caller->ahead->len > PIPELINED_MAX)
+	g_string_append_len(caller->pipelined, buffer->base, size);
+	if (caller->pipelined->len > PIPELINED_MAX_BYTES)
 		uv_read_stop(stream);
 }
 
-/* Parses requests one after another; what follows a request waits until its answer is out. */
-static void feed(struct cw_caller *caller, const char *data, size_t size)
+/* Parses requests one by one; pipelined bytes wait until the answer to the request is sent. */
+static void parse_requests(struct cw_caller *caller, const char *data, size_t size)
 {
-	caller->feeding = 1;
+	caller->is_parsing = 1;
 	while (size > 0 && caller->state == CALLER_READING) {
-		size_t used = parse(caller, data, size);
+		size_t used = parse_request(caller, data, size);
 
-		if (caller->refusal) {
-			refuse(caller);
+		if (caller->reject_status) {
+			reject_request(caller);
 			break;
 		}
 		data += used;
 		size -= used;
-		if (!caller->complete)
+		if (!caller->is_request_complete)
 			continue;
-		caller->complete = 0;
-		caller->state = CALLER_BUSY;
+		caller->is_request_complete = 0;
+		caller->state = CALLER_ANSWERING;
 		caller->listener->ops->request(caller->listener->context, caller, caller->message);
 	}
-	caller->feeding = 0;
-	if (size > 0 && caller->state == CALLER_BUSY)
-		g_string_prepend_len(caller->ahead, data, (gssize)size);
+	caller->is_parsing = 0;
+	if (size > 0 && caller->state == CALLER_ANSWERING)
+		g_string_prepend_len(caller->pipelined, data, (gssize)size);
 }
 
-static size_t parse(struct cw_caller *caller, const char *data, size_t size)
+static size_t parse_request(struct cw_caller *caller, const char *data, size_t size)
 {
 	size_t used;
 
-	if (!caller->started) {
-		caller->started = 1;
-		caller->since_ms = uv_now(caller->listener->loop);
+	if (!caller->has_request_bytes) {
+		caller->has_request_bytes = 1;
+		caller->state_since_ms = uv_now(caller->listener->loop);
 	}
 	used = http_parser_execute(&caller->parser, &parser_settings, data, size);
-	if (caller->complete) {
+	if (caller->is_request_complete) {
 		http_parser_pause(&caller->parser, 0);
 		return used;
 	}
-	if (caller->refusal)
+	if (caller->reject_status)
 		return used;
 	if (HTTP_PARSER_ERRNO(&caller->parser) != HPE_OK || caller->parser.upgrade) {
-		caller->refusal = HTTP_STATUS_BAD_REQUEST;
-		caller->refusal_reason = http_errno_description(HTTP_PARSER_ERRNO(&caller->parser));
+		caller->reject_status = HTTP_STATUS_BAD_REQUEST;
+		caller->reject_reason = http_errno_description(HTTP_PARSER_ERRNO(&caller->parser));
 	}
 	return used;
 }
 
-/* An answer of the flow's own to what is no acceptable request; the connection ends with it. */
-static void refuse(struct cw_caller *caller)
+/* Answers an invalid request without calling the request function, then ends the connection. */
+static void reject_request(struct cw_caller *caller)
 {
-	if (caller->listener->ops->refused)
-		caller->listener->ops->refused(caller->listener->context, caller->refusal,
-					       caller->refusal_reason);
-	caller->state = CALLER_BUSY;
-	caller->keep = 0;
-	cw_caller_head(caller, caller->refusal, "", 0);
+	if (caller->listener->ops->rejected)
+		caller->listener->ops->rejected(caller->listener->context, caller->reject_status,
+						caller->reject_reason);
+	caller->state = CALLER_ANSWERING;
+	caller->keep_alive = 0;
+	cw_caller_head(caller, caller->reject_status, "", 0);
 	cw_caller_end(caller);
 }
 
-static void flush(struct cw_caller *caller)
+static void flush_output(struct cw_caller *caller)
 {
 	struct caller_write *write;
 	uv_buf_t buffer = uv_buf_init(caller->out->str, (unsigned int)caller->out->len);
@@ -390,10 +392,10 @@
 
 	if (caller->out->len == 0)
 		return;
-	if (caller->held == 0)
+	if (caller->unwritten_bytes == 0)
 		sent = uv_try_write((uv_stream_t *)&caller->tcp, &buffer, 1);
 	if (sent < 0 && sent != UV_EAGAIN) {
-		/* The read side reports the loss: telling it here would re-enter the sender. */
+		/* The read side reports the disconnect: a report here would re-enter the sender. */
 		g_string_truncate(caller->out, 0);
 		return;
 	}
@@ -406,7 +408,7 @@
 	write->bytes = caller->out;
 	write->request.data = write;
 	caller->out = g_string_sized_new(512);
-	caller->held += write->bytes->len;
+	caller->unwritten_bytes += write->bytes->len;
 	buffer = uv_buf_init(write->bytes->str, (unsigned int)write->bytes->len);
 	uv_write(&write->request, (uv_stream_t *)&caller->tcp, &buffer, 1, on_written);
 }
@@ -416,54 +418,55 @@
 	struct caller_write *write = request->data;
 	struct cw_caller *caller = write->caller;
 
-	caller->held -= write->bytes->len;
+	caller->unwritten_bytes -= write->bytes->len;
 	g_string_free(write->bytes, TRUE);
 	g_free(write);
 	if (caller->state == CALLER_CLOSED)
 		return;
 	if (status < 0) {
-		lose_caller(caller);
+		handle_disconnect(caller);
 		return;
 	}
-	if (caller->held > 0)
+	if (caller->unwritten_bytes > 0)
 		return;
-	if (caller->close_after) {
+	if (caller->closes_after_write) {
 		close_caller(caller);
-	} else if (caller->pressed && caller->request && caller->state == CALLER_BUSY) {
-		caller->pressed = 0;
-		caller->listener->ops->room(caller->request);
+	} else if (caller->is_source_paused && caller->request &&
+		   caller->state == CALLER_ANSWERING) {
+		caller->is_source_paused = 0;
+		caller->listener->ops->writable(caller->request);
 	}
 }
 
-/* The answer is out: the next request, or the connection's end. */
-static void finish(struct cw_caller *caller)
+/* After an answer: parses the next request or ends the connection. */
+static void finish_answer(struct cw_caller *caller)
 {
-	GString *ahead;
+	GString *pipelined;
 
 	caller->request = NULL;
-	caller->since_ms = uv_now(caller->listener->loop);
-	caller->started = 0;
+	caller->state_since_ms = uv_now(caller->listener->loop);
+	caller->has_request_bytes = 0;
 	cw_message_clear(caller->message);
-	if (!caller->keep) {
+	if (!caller->keep_alive) {
 		uv_shutdown_t *request = g_new0(uv_shutdown_t, 1);
 
-		caller->state = CALLER_LINGER;
+		caller->state = CALLER_LINGERING;
 		if (uv_shutdown(request, (uv_stream_t *)&caller->tcp, on_shutdown))
 			g_free(request);
 		return;
 	}
 	caller->state = CALLER_READING;
-	if (caller->out->allocated_len > KEPT_BUFFER) {
+	if (caller->out->allocated_len > KEPT_BUFFER_BYTES) {
 		g_string_free(caller->out, TRUE);
 		caller->out = g_string_sized_new(512);
 	}
-	if (caller->feeding || caller->ahead->len == 0)
+	if (caller->is_parsing || caller->pipelined->len == 0)
 		return;
-	ahead = caller->ahead;
-	caller->ahead = g_string_sized_new(0);
-	uv_read_start((uv_stream_t *)&caller->tcp, flow_buffer, on_read);
-	feed(caller, ahead->str, ahead->len);
-	g_string_free(ahead, TRUE);
+	pipelined = caller->pipelined;
+	caller->pipelined = g_string_sized_new(0);
+	uv_read_start((uv_stream_t *)&caller->tcp, flow_provide_buffer, on_read);
+	parse_requests(caller, pipelined->str, pipelined->len);
+	g_string_free(pipelined, TRUE);
 }
 
 static void on_shutdown(uv_shutdown_t *request, int status)
@@ -471,7 +474,7 @@
 	g_free(request);
 }
 
-static void lose_caller(struct cw_caller *caller)
+static void handle_disconnect(struct cw_caller *caller)
 {
 	void *request = caller->request;
 
@@ -480,7 +483,7 @@
 	caller->request = NULL;
 	close_caller(caller);
 	if (request)
-		caller->listener->ops->gone(request);
+		caller->listener->ops->disconnected(request);
 }
 
 static void close_caller(struct cw_caller *caller)
@@ -498,11 +501,12 @@
 	struct cw_listener *listener = caller->listener;
 
 	cw_message_destroy(caller->message);
-	g_string_free(caller->ahead, TRUE);
+	g_string_free(caller->pipelined, TRUE);
 	g_string_free(caller->out, TRUE);
 	g_free(caller);
-	listener->connections--;
-	if (listener->destroyed && listener->handles == 0 && listener->connections == 0)
+	listener->connection_count--;
+	if (listener->is_destroyed && listener->open_handles == 0 &&
+	    listener->connection_count == 0)
 		g_free(listener);
 }
 
@@ -514,13 +518,13 @@
 	return 0;
 }
 
-static int too_large(struct cw_caller *caller)
+static int reject_large_header(struct cw_caller *caller)
 {
 	if (caller->message->text->len + caller->message->target->len <=
 	    caller->listener->limits.header_bytes)
 		return 0;
-	caller->refusal = HTTP_STATUS_REQUEST_HEADER_FIELDS_TOO_LARGE;
-	caller->refusal_reason = "header fields past the limit";
+	caller->reject_status = HTTP_STATUS_REQUEST_HEADER_FIELDS_TOO_LARGE;
+	caller->reject_reason = "header fields past the limit";
 	return 1;
 }
 
@@ -529,7 +533,7 @@
 	struct cw_caller *caller = parser->data;
 
 	g_string_append_len(caller->message->target, data, (gssize)size);
-	return too_large(caller);
+	return reject_large_header(caller);
 }
 
 static int on_name(http_parser *parser, const char *data, size_t size)
@@ -537,7 +541,7 @@
 	struct cw_caller *caller = parser->data;
 
 	cw_message_add_name(caller->message, data, size);
-	return too_large(caller);
+	return reject_large_header(caller);
 }
 
 static int on_value(http_parser *parser, const char *data, size_t size)
@@ -545,7 +549,7 @@
 	struct cw_caller *caller = parser->data;
 
 	cw_message_add_value(caller->message, data, size);
-	return too_large(caller);
+	return reject_large_header(caller);
 }
 
 static int on_headers(http_parser *parser)
@@ -553,24 +557,24 @@
 	struct cw_caller *caller = parser->data;
 	const char *expect;
 
-	cw_message_seal(caller->message);
+	cw_message_end_fields(caller->message);
 	caller->message->method = (enum http_method)parser->method;
-	caller->keep = http_should_keep_alive(parser);
+	caller->keep_alive = http_should_keep_alive(parser);
 	if (parser->http_major != 1 || parser->http_minor != 1) {
-		caller->refusal = HTTP_STATUS_HTTP_VERSION_NOT_SUPPORTED;
-		caller->refusal_reason = "not HTTP/1.1";
+		caller->reject_status = HTTP_STATUS_HTTP_VERSION_NOT_SUPPORTED;
+		caller->reject_reason = "not HTTP/1.1";
 		return -1;
 	}
 	if (parser->content_length != G_MAXUINT64 &&
 	    parser->content_length > caller->listener->limits.body_bytes) {
-		caller->refusal = HTTP_STATUS_PAYLOAD_TOO_LARGE;
-		caller->refusal_reason = "body past the limit";
+		caller->reject_status = HTTP_STATUS_PAYLOAD_TOO_LARGE;
+		caller->reject_reason = "body past the limit";
 		return -1;
 	}
 	expect = cw_message_find(caller->message, "Expect");
 	if (expect && !g_ascii_strcasecmp(expect, "100-continue")) {
 		g_string_append(caller->out, "HTTP/1.1 100 Continue\r\n\r\n");
-		flush(caller);
+		flush_output(caller);
 	}
 	return 0;
 }
@@ -580,8 +584,8 @@
 	struct cw_caller *caller = parser->data;
 
 	if (caller->message->body->len + size > caller->listener->limits.body_bytes) {
-		caller->refusal = HTTP_STATUS_PAYLOAD_TOO_LARGE;
-		caller->refusal_reason = "body past the limit";
+		caller->reject_status = HTTP_STATUS_PAYLOAD_TOO_LARGE;
+		caller->reject_reason = "body past the limit";
 		return 1;
 	}
 	g_string_append_len(caller->message->body, data, (gssize)size);
@@ -592,7 +596,7 @@
 {
 	struct cw_caller *caller = parser->data;
 
-	caller->complete = 1;
+	caller->is_request_complete = 1;
 	http_parser_pause(parser, 1);
 	return 0;
 }
--- a/packages/flow/src/message.c
+++ b/packages/flow/src/message.c
@@ -100,7 +100,7 @@
 	struct cw_field field;
 
 	if (message->in_value || message->fields->len == 0) {
-		cw_message_seal(message);
+		cw_message_end_fields(message);
 		field.name = message->text->len;
 		field.value = message->text->len;
 		g_array_append_val(message->fields, field);
@@ -120,13 +120,13 @@
 	g_string_append_len(message->text, data, (gssize)size);
 }
 
-void cw_message_seal(struct cw_message *message)
+void cw_message_end_fields(struct cw_message *message)
 {
 	if (message->text->len > 0)
 		g_string_append_c(message->text, '\0');
 }
 
-/* A comma-separated list of field names, as Connection holds. */
+/* list: comma-separated field names, as in the Connection field. */
 static int is_listed(const char *list, const char *name)
 {
 	size_t size = strlen(name);
--- a/packages/flow/src/probe.c
+++ b/packages/flow/src/probe.c
@@ -1,16 +1,16 @@
-/* Connections that are opened only to see whether a server can be reached. */
+/* Reachability probes: connections that are opened to find out whether a server is reachable. */
 #include "client_internal.h"
 
 static void on_probe_timer(uv_timer_t *timer);
 static void on_probe_closed(uv_handle_t *handle);
 
 void cw_client_probe(struct cw_client *client, const char *text, int64_t connect_ms,
-		     void (*told)(void *context, const char *address, int is_reachable),
+		     void (*report)(void *context, const char *address, int is_reachable),
 		     void *context)
 {
 	struct probe *probe = g_new0(struct probe, 1);
 
-	probe->told = told;
+	probe->report = report;
 	probe->context = context;
 	uv_timer_init(client->loop, &probe->timer);
 	probe->timer.data = probe;
@@ -22,22 +22,22 @@
 	uv_timer_start(&probe->timer, on_probe_timer, (uint64_t)connect_ms, 0);
 }
 
-void flow_probe_told(struct probe *probe, int is_reachable)
+void flow_probe_report(struct probe *probe, int is_reachable)
 {
 	struct connection *connection = probe->connection;
 
 	connection->probe = NULL;
-	if (connection->connected) {
-		connection->idle_limit_ms = IDLE_MS_UNTOLD;
-		flow_keep(connection);
+	if (connection->is_connected) {
+		connection->idle_limit_ms = DEFAULT_IDLE_TIMEOUT_MS;
+		flow_keep_idle(connection);
 	} else {
 		flow_close_connection(connection);
 	}
-	probe->told(probe->context, connection->address->text, is_reachable);
-	flow_probe_end(probe);
+	probe->report(probe->context, connection->address->text, is_reachable);
+	flow_probe_destroy(probe);
 }
 
-void flow_probe_end(struct probe *probe)
+void flow_probe_destroy(struct probe *probe)
 {
 	TAILQ_REMOVE(&probe->connection->client->probes, probe, link);
 	uv_close((uv_handle_t *)&probe->timer, on_probe_closed);
@@ -47,8 +47,8 @@
 {
 	struct probe *probe = timer->data;
 
-	if (!flow_needs_turn(timer, on_probe_timer, &probe->had_turn))
-		flow_probe_told(probe, 0);
+	if (!flow_start_final_iteration(timer, on_probe_timer, &probe->had_final_iteration))
+		flow_probe_report(probe, 0);
 }
 
 static void on_probe_closed(uv_handle_t *handle)
--- a/packages/flow/src/socket.c
+++ b/packages/flow/src/socket.c
@@ -34,26 +34,27 @@
 	return uv_ip4_addr(host, (int)port, address) ? CW_INVALID : CW_OK;
 }
 
-/* Every read is consumed before the next one starts, so one buffer serves all connections. */
-void flow_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
+/* Each read is consumed before the next one starts, so one buffer serves all connections. */
+void flow_provide_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
 {
-	static char bytes[FLOW_READ_BYTES];
+	static char bytes[FLOW_READ_BUFFER_BYTES];
 
 	*buffer = uv_buf_init(bytes, sizeof(bytes));
 }
 
 /*
- * A connection can fall silent for good without a reset (a cut, a machine without power). It shows
- * as an answer that never comes. Probes and the bound on unacknowledged bytes end it within
- * FLOW_USER_TIMEOUT_MS, while a peer that is merely slow stays connected.
+ * A connection can go dead without a reset (network partition, power loss of the remote machine),
+ * and an answer on such a connection never arrives. Keepalive probes and the timeout of
+ * unacknowledged bytes end the connection within FLOW_USER_TIMEOUT_MS, while a peer that is only
+ * slow stays connected.
  */
 void flow_tune_socket(uv_tcp_t *tcp)
 {
 	int user_timeout = FLOW_USER_TIMEOUT_MS;
 	int on = 1;
-	int idle = FLOW_PROBE_IDLE_S;
-	int gap = FLOW_PROBE_GAP_S;
-	int probes = FLOW_PROBES;
+	int idle = FLOW_KEEPALIVE_IDLE_S;
+	int interval = FLOW_KEEPALIVE_INTERVAL_S;
+	int probes = FLOW_KEEPALIVE_PROBES;
 	uv_os_fd_t fd;
 
 	uv_tcp_nodelay(tcp, 1);
@@ -61,7 +62,7 @@
 		return;
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof(idle));
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &gap, sizeof(gap));
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval, sizeof(interval));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof(probes));
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout, sizeof(user_timeout));
 }
