--- a/tests/unit/test_flow.c
+++ b/tests/unit/test_flow.c
@@ -1,5 +1,4 @@
-/* The flow's two sides over loopback: what is a whole answer, what isn't, what a caller may send.
- */
+/* The client and the listener of the flow package over loopback: complete answers, limits. */
 #include "cw_flow.h"
 #include "unit.h"
 
@@ -10,26 +9,26 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define TEST_SECONDS 10 /* a hang ends the test here */
+#define TEST_SECONDS 10 /* ends a test that hangs */
 
-enum ending { END_FIN, END_RESET, END_OPEN };
+enum connection_end { END_FIN, END_RESET, END_OPEN };
 
-/* A server that answers each request on one connection with the next line of its script. */
-struct script {
+/* A server that answers each request on its one connection with the next prepared answer. */
+struct fake_server {
 	int listener;
 	const char *const *answers;
 	size_t count;
-	enum ending ending;
+	enum connection_end connection_end;
 	char address[CW_ADDRESS_MAX];
 	pthread_t thread;
-	volatile int is_read; /* a request came */
+	volatile int has_request; /* a request was received */
 };
 
-struct outcome {
+struct client_fixture {
 	uv_loop_t loop;
 	struct cw_client *client;
-	int ended;
-	int failed;
+	int is_complete;
+	int has_failed;
 	enum cw_flow_failure failure;
 	unsigned int status;
 	GString *body;
@@ -41,117 +40,121 @@
 	size_t size = 0;
 
 	while (size < sizeof(bytes) - 1) {
-		ssize_t got = read(fd, bytes + size, sizeof(bytes) - 1 - size);
+		ssize_t received = read(fd, bytes + size, sizeof(bytes) - 1 - size);
 
-		if (got <= 0)
+		if (received <= 0)
 			return;
-		size += (size_t)got;
+		size += (size_t)received;
 		bytes[size] = '\0';
 		if (strstr(bytes, "\r\n\r\n"))
 			return;
 	}
 }
 
-static void *serve(void *context)
+static void *run_fake_server(void *context)
 {
-	struct script *script = context;
-	int fd = accept(script->listener, NULL, NULL);
+	struct fake_server *server = context;
+	int fd = accept(server->listener, NULL, NULL);
 	char rest[1024];
 
-	for (size_t i = 0; i < script->count; i++) {
+	for (size_t i = 0; i < server->count; i++) {
 		read_request(fd);
-		script->is_read = 1;
-		assert_int_equal(write(fd, script->answers[i], strlen(script->answers[i])),
-				 (ssize_t)strlen(script->answers[i]));
+		server->has_request = 1;
+		assert_int_equal(write(fd, server->answers[i], strlen(server->answers[i])),
+				 (ssize_t)strlen(server->answers[i]));
 	}
-	if (script->ending == END_RESET) {
+	if (server->connection_end == END_RESET) {
 		struct linger linger = {1, 0};
 
 		setsockopt(fd, SOL_SOCKET, SO_LINGER, &linger, sizeof(linger));
 	}
-	while (script->ending == END_OPEN && read(fd, rest, sizeof(rest)) > 0)
+	while (server->connection_end == END_OPEN && read(fd, rest, sizeof(rest)) > 0)
 		continue;
 	close(fd);
 	return NULL;
 }
 
-static void script_open(struct script *script, const char *const *answers, size_t count,
-			enum ending ending)
+static void fake_server_start(struct fake_server *server, const char *const *answers, size_t count,
+			      enum connection_end connection_end)
 {
-	struct sockaddr_in where = {.sin_family = AF_INET};
-	socklen_t size = sizeof(where);
+	struct sockaddr_in socket_address = {.sin_family = AF_INET};
+	socklen_t size = sizeof(socket_address);
 
-	where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-	script->answers = answers;
-	script->count = count;
-	script->ending = ending;
-	script->is_read = 0;
-	script->listener = socket(AF_INET, SOCK_STREAM, 0);
-	assert_int_equal(bind(script->listener, (struct sockaddr *)&where, sizeof(where)), 0);
-	assert_int_equal(listen(script->listener, 8), 0);
-	getsockname(script->listener, (struct sockaddr *)&where, &size);
-	snprintf(script->address, sizeof(script->address), "127.0.0.1:%u", ntohs(where.sin_port));
-	pthread_create(&script->thread, NULL, serve, script);
+	socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+	server->answers = answers;
+	server->count = count;
+	server->connection_end = connection_end;
+	server->has_request = 0;
+	server->listener = socket(AF_INET, SOCK_STREAM, 0);
+	assert_int_equal(
+		bind(server->listener, (struct sockaddr *)&socket_address, sizeof(socket_address)),
+		0);
+	assert_int_equal(listen(server->listener, 8), 0);
+	getsockname(server->listener, (struct sockaddr *)&socket_address, &size);
+	snprintf(server->address, sizeof(server->address), "127.0.0.1:%u",
+		 ntohs(socket_address.sin_port));
+	pthread_create(&server->thread, NULL, run_fake_server, server);
 }
 
-static void script_close(struct script *script)
+static void fake_server_stop(struct fake_server *server)
 {
-	pthread_join(script->thread, NULL);
-	close(script->listener);
+	pthread_join(server->thread, NULL);
+	close(server->listener);
 }
 
 static void on_head(void *context, const struct cw_message *answer)
 {
-	struct outcome *outcome = context;
+	struct client_fixture *fixture = context;
 
-	outcome->status = answer->status;
+	fixture->status = answer->status;
 }
 
 static void on_data(void *context, const char *data, size_t size)
 {
-	struct outcome *outcome = context;
+	struct client_fixture *fixture = context;
 
-	g_string_append_len(outcome->body, data, (gssize)size);
+	g_string_append_len(fixture->body, data, (gssize)size);
 }
 
 static void on_end(void *context)
 {
-	struct outcome *outcome = context;
+	struct client_fixture *fixture = context;
 
-	outcome->ended = 1;
-	uv_stop(&outcome->loop);
+	fixture->is_complete = 1;
+	uv_stop(&fixture->loop);
 }
 
 static void on_failed(void *context, enum cw_flow_failure failure)
 {
-	struct outcome *outcome = context;
+	struct client_fixture *fixture = context;
 
-	outcome->failed = 1;
-	outcome->failure = failure;
-	uv_stop(&outcome->loop);
+	fixture->has_failed = 1;
+	fixture->failure = failure;
+	uv_stop(&fixture->loop);
 }
 
-static const struct cw_exchange_ops ops = {on_head, on_data, on_end, on_failed};
+static const struct cw_exchange_ops exchange_ops = {on_head, on_data, on_end, on_failed};
 
-static void outcome_open(struct outcome *outcome)
+static void client_fixture_open(struct client_fixture *fixture)
 {
-	memset(outcome, 0, sizeof(*outcome));
-	uv_loop_init(&outcome->loop);
-	outcome->client = cw_client_create(&outcome->loop);
-	outcome->body = g_string_new(NULL);
+	memset(fixture, 0, sizeof(*fixture));
+	uv_loop_init(&fixture->loop);
+	fixture->client = cw_client_create(&fixture->loop);
+	fixture->body = g_string_new(NULL);
 	alarm(TEST_SECONDS);
 }
 
-static void outcome_close(struct outcome *outcome)
+static void client_fixture_close(struct client_fixture *fixture)
 {
-	cw_client_destroy(outcome->client);
-	uv_run(&outcome->loop, UV_RUN_DEFAULT);
-	assert_int_equal(uv_loop_close(&outcome->loop), 0);
-	g_string_free(outcome->body, TRUE);
+	cw_client_destroy(fixture->client);
+	uv_run(&fixture->loop, UV_RUN_DEFAULT);
+	assert_int_equal(uv_loop_close(&fixture->loop), 0);
+	g_string_free(fixture->body, TRUE);
 	alarm(0);
 }
 
-static void ask(struct outcome *outcome, const char *address, const char *id, int64_t silence_ms)
+static void send_request(struct client_fixture *fixture, const char *address, const char *id,
+			 int64_t silence_ms)
 {
 	struct cw_exchange_request request = {
 		.address = address,
@@ -163,217 +166,217 @@
 		.echo_value = id,
 	};
 
-	outcome->ended = outcome->failed = 0;
-	g_string_truncate(outcome->body, 0);
-	cw_client_send(outcome->client, &request, &ops, outcome);
-	uv_run(&outcome->loop, UV_RUN_DEFAULT);
+	fixture->is_complete = fixture->has_failed = 0;
+	g_string_truncate(fixture->body, 0);
+	cw_client_send(fixture->client, &request, &exchange_ops, fixture);
+	uv_run(&fixture->loop, UV_RUN_DEFAULT);
 }
 
 /*
- * Symptom: a caller got half of an order's answer, framed as complete.
- * Sequence: the server sends an answer without a length, and its connection is reset midway.
- * Cause: libuv tells a hang-up right behind a short read as the stream's end.
+ * Guards against half of an answer forwarded as complete. The server sends an answer without a
+ * length, and the connection is reset midway: libuv reports a hang-up right after a short read as
+ * the end of the stream.
  */
-static void an_answer_without_length_that_is_reset_is_not_whole(void **state)
+static void an_answer_without_length_is_incomplete_after_a_reset(void **state)
 {
 	static const char *const answers[] = {"HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nhalf"};
-	struct script script;
-	struct outcome outcome;
+	struct fake_server server;
+	struct client_fixture fixture;
 
 	for (int round = 0; round < 50; round++) {
-		outcome_open(&outcome);
-		script_open(&script, answers, 1, END_RESET);
-		ask(&outcome, script.address, "a", 0);
-		script_close(&script);
-		assert_true(outcome.failed);
-		assert_int_equal(outcome.failure, CW_FLOW_BROKEN);
-		outcome_close(&outcome);
+		client_fixture_open(&fixture);
+		fake_server_start(&server, answers, 1, END_RESET);
+		send_request(&fixture, server.address, "a", 0);
+		fake_server_stop(&server);
+		assert_true(fixture.has_failed);
+		assert_int_equal(fixture.failure, CW_FLOW_BROKEN);
+		client_fixture_close(&fixture);
 	}
 }
 
 static void an_answer_without_length_ends_with_its_connection(void **state)
 {
 	static const char *const answers[] = {"HTTP/1.1 200 OK\r\nX-Id: a\r\n\r\nwhole"};
-	struct script script;
-	struct outcome outcome;
+	struct fake_server server;
+	struct client_fixture fixture;
 
-	outcome_open(&outcome);
-	script_open(&script, answers, 1, END_FIN);
-	ask(&outcome, script.address, "a", 0);
-	script_close(&script);
-	assert_true(outcome.ended);
-	assert_string_equal(outcome.body->str, "whole");
-	outcome_close(&outcome);
+	client_fixture_open(&fixture);
+	fake_server_start(&server, answers, 1, END_FIN);
+	send_request(&fixture, server.address, "a", 0);
+	fake_server_stop(&server);
+	assert_true(fixture.is_complete);
+	assert_string_equal(fixture.body->str, "whole");
+	client_fixture_close(&fixture);
 }
 
-static void an_answer_shorter_than_its_length_is_broken(void **state)
+static void an_answer_shorter_than_its_length_fails(void **state)
 {
 	static const char *const answers[] = {
 		"HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 9\r\n\r\nhalf"};
-	struct script script;
-	struct outcome outcome;
+	struct fake_server server;
+	struct client_fixture fixture;
 
-	outcome_open(&outcome);
-	script_open(&script, answers, 1, END_FIN);
-	ask(&outcome, script.address, "a", 0);
-	script_close(&script);
-	assert_true(outcome.failed);
-	assert_int_equal(outcome.failure, CW_FLOW_BROKEN);
-	outcome_close(&outcome);
+	client_fixture_open(&fixture);
+	fake_server_start(&server, answers, 1, END_FIN);
+	send_request(&fixture, server.address, "a", 0);
+	fake_server_stop(&server);
+	assert_true(fixture.has_failed);
+	assert_int_equal(fixture.failure, CW_FLOW_BROKEN);
+	client_fixture_close(&fixture);
 }
 
 /*
- * Symptom: a caller got another caller's answer.
- * Sequence: a server repeats its answer to an earlier request where the next one is due.
- * Cause: answers were matched by their order on the connection, not by the request's id.
+ * Guards against a caller that gets another caller's answer. A server repeats its answer to an
+ * earlier request before the next one; answers were once matched by their order on the connection,
+ * not by the request id.
  */
-static void an_earlier_requests_answer_is_passed_over(void **state)
+static void an_answer_to_an_earlier_request_is_dropped(void **state)
 {
 	static const char *const answers[] = {
 		"HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 3\r\n\r\nold"
 		"HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 3\r\n\r\nnew"};
-	struct script script;
-	struct outcome outcome;
+	struct fake_server server;
+	struct client_fixture fixture;
 
-	outcome_open(&outcome);
-	script_open(&script, answers, 1, END_FIN);
-	ask(&outcome, script.address, "a", 0);
-	script_close(&script);
-	assert_true(outcome.ended);
-	assert_string_equal(outcome.body->str, "new");
-	outcome_close(&outcome);
+	client_fixture_open(&fixture);
+	fake_server_start(&server, answers, 1, END_FIN);
+	send_request(&fixture, server.address, "a", 0);
+	fake_server_stop(&server);
+	assert_true(fixture.is_complete);
+	assert_string_equal(fixture.body->str, "new");
+	client_fixture_close(&fixture);
 }
 
-/* Bytes behind a whole answer belong to no request: the connection isn't used again. */
-static void a_connection_with_bytes_left_is_not_kept(void **state)
+/* Bytes after a complete answer belong to no request, so the connection must not be reused. */
+static void a_connection_with_extra_bytes_is_not_reused(void **state)
 {
 	static const char *const answers[] = {
 		"HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 3\r\n\r\nonejunk"};
-	static const char *const second[] = {
+	static const char *const second_answers[] = {
 		"HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 3\r\n\r\ntwo"};
-	struct script script;
-	struct outcome outcome;
-
-	outcome_open(&outcome);
-	script_open(&script, answers, 1, END_OPEN);
-	ask(&outcome, script.address, "a", 0);
-	assert_true(outcome.ended);
-	assert_string_equal(outcome.body->str, "one");
-	pthread_join(script.thread, NULL);
-	script.answers = second;
-	script.ending = END_FIN;
-	pthread_create(&script.thread, NULL, serve, &script);
-	ask(&outcome, script.address, "b", 0);
-	script_close(&script);
-	assert_true(outcome.ended);
-	assert_string_equal(outcome.body->str, "two");
-	assert_int_equal(cw_client_opened(outcome.client), 2);
-	outcome_close(&outcome);
-}
-
-static void a_kept_connection_carries_the_next_request(void **state)
+	struct fake_server server;
+	struct client_fixture fixture;
+
+	client_fixture_open(&fixture);
+	fake_server_start(&server, answers, 1, END_OPEN);
+	send_request(&fixture, server.address, "a", 0);
+	assert_true(fixture.is_complete);
+	assert_string_equal(fixture.body->str, "one");
+	pthread_join(server.thread, NULL);
+	server.answers = second_answers;
+	server.connection_end = END_FIN;
+	pthread_create(&server.thread, NULL, run_fake_server, &server);
+	send_request(&fixture, server.address, "b", 0);
+	fake_server_stop(&server);
+	assert_true(fixture.is_complete);
+	assert_string_equal(fixture.body->str, "two");
+	assert_int_equal(cw_client_opened(fixture.client), 2);
+	client_fixture_close(&fixture);
+}
+
+static void an_idle_connection_is_reused_for_the_next_request(void **state)
 {
 	static const char *const answers[] = {
 		"HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 3\r\n\r\none",
 		"HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 3\r\n\r\ntwo"};
-	struct script script;
-	struct outcome outcome;
+	struct fake_server server;
+	struct client_fixture fixture;
 
-	outcome_open(&outcome);
-	script_open(&script, answers, 2, END_FIN);
-	ask(&outcome, script.address, "a", 0);
-	ask(&outcome, script.address, "b", 0);
-	script_close(&script);
-	assert_true(outcome.ended);
-	assert_string_equal(outcome.body->str, "two");
-	assert_int_equal(cw_client_opened(outcome.client), 1);
-	outcome_close(&outcome);
+	client_fixture_open(&fixture);
+	fake_server_start(&server, answers, 2, END_FIN);
+	send_request(&fixture, server.address, "a", 0);
+	send_request(&fixture, server.address, "b", 0);
+	fake_server_stop(&server);
+	assert_true(fixture.is_complete);
+	assert_string_equal(fixture.body->str, "two");
+	assert_int_equal(cw_client_opened(fixture.client), 1);
+	client_fixture_close(&fixture);
 }
 
-static void what_is_no_answer_is_garbled(void **state)
+static void an_answer_that_is_not_http_is_malformed(void **state)
 {
 	static const char *const answers[] = {"\x01\x02 no answer at all\r\n\r\n"};
-	struct script script;
-	struct outcome outcome;
+	struct fake_server server;
+	struct client_fixture fixture;
 
-	outcome_open(&outcome);
-	script_open(&script, answers, 1, END_FIN);
-	ask(&outcome, script.address, "a", 0);
-	script_close(&script);
-	assert_true(outcome.failed);
-	assert_int_equal(outcome.failure, CW_FLOW_GARBLED);
-	outcome_close(&outcome);
+	client_fixture_open(&fixture);
+	fake_server_start(&server, answers, 1, END_FIN);
+	send_request(&fixture, server.address, "a", 0);
+	fake_server_stop(&server);
+	assert_true(fixture.has_failed);
+	assert_int_equal(fixture.failure, CW_FLOW_GARBLED);
+	client_fixture_close(&fixture);
 }
 
-static void a_silent_server_is_told_from_a_closed_port(void **state)
+static void a_silent_server_is_distinguished_from_a_closed_port(void **state)
 {
-	struct script script;
-	struct outcome outcome;
+	struct fake_server server;
+	struct client_fixture fixture;
 
-	outcome_open(&outcome);
-	script_open(&script, NULL, 0, END_OPEN);
-	ask(&outcome, script.address, "a", 50);
-	assert_true(outcome.failed);
-	assert_int_equal(outcome.failure, CW_FLOW_SILENT);
-	script_close(&script);
-	ask(&outcome, script.address, "a", 50);
-	assert_true(outcome.failed);
-	assert_int_equal(outcome.failure, CW_FLOW_REFUSED);
-	outcome_close(&outcome);
+	client_fixture_open(&fixture);
+	fake_server_start(&server, NULL, 0, END_OPEN);
+	send_request(&fixture, server.address, "a", 50);
+	assert_true(fixture.has_failed);
+	assert_int_equal(fixture.failure, CW_FLOW_SILENT);
+	fake_server_stop(&server);
+	send_request(&fixture, server.address, "a", 50);
+	assert_true(fixture.has_failed);
+	assert_int_equal(fixture.failure, CW_FLOW_REFUSED);
+	client_fixture_close(&fixture);
 }
 
 /*
- * Symptom: servers that answered in time counted as cut off on slow machines.
- * Sequence: the loop is held up past a limit while the answer lies in the socket.
- * Cause: the timer's turn comes before the read's.
+ * Guards against servers counted as unreachable on slow machines although they answered in time.
+ * The loop is delayed past a timeout while the answer is in the socket buffer, and runs the timers
+ * before the reads.
  */
-static void what_came_in_time_counts_though_the_loop_was_late(void **state)
+static void an_answer_that_arrived_in_time_counts_after_a_loop_delay(void **state)
 {
 	static const char *const answers[] = {
 		"HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 3\r\n\r\none"};
 	struct cw_exchange_request request = {.reuse_idle_ms = 0, .connect_ms = 1000};
-	struct script script;
-	struct outcome outcome;
+	struct fake_server server;
+	struct client_fixture fixture;
 
-	outcome_open(&outcome);
-	script_open(&script, answers, 1, END_FIN);
-	request.address = script.address;
+	client_fixture_open(&fixture);
+	fake_server_start(&server, answers, 1, END_FIN);
+	request.address = server.address;
 	request.bytes = g_string_new("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
 	request.silence_ms = 30;
-	cw_client_send(outcome.client, &request, &ops, &outcome);
-	/* The request goes out; the answer comes while the loop does not run. */
-	while (!script.is_read)
-		uv_run(&outcome.loop, UV_RUN_NOWAIT);
-	script_close(&script);
+	cw_client_send(fixture.client, &request, &exchange_ops, &fixture);
+	/* Sends the request. The answer arrives while the loop does not run. */
+	while (!server.has_request)
+		uv_run(&fixture.loop, UV_RUN_NOWAIT);
+	fake_server_stop(&server);
 	g_usleep(60 * 1000);
-	uv_run(&outcome.loop, UV_RUN_DEFAULT);
-	assert_true(outcome.ended);
-	outcome_close(&outcome);
+	uv_run(&fixture.loop, UV_RUN_DEFAULT);
+	assert_true(fixture.is_complete);
+	client_fixture_close(&fixture);
 }
 
-/* The caller's side: a listener on this loop, and a caller that writes bytes as they stand. */
-struct face {
+/* A listener on this loop, and a caller that writes raw bytes to it. */
+struct listener_fixture {
 	uv_loop_t loop;
 	struct cw_listener *listener;
-	int requests;
-	int gone;
+	int request_count;
+	int disconnect_count;
 	GString *targets;
-	struct cw_caller *held; /* answered later */
-	int hold;
+	struct cw_caller *delayed_caller; /* the request with a delayed answer */
+	int delays_answers;
 	int fd;
-	GString *got;
+	GString *received;
 };
 
-static void face_request(void *context, struct cw_caller *caller, struct cw_message *request)
+static void on_request(void *context, struct cw_caller *caller, struct cw_message *request)
 {
-	struct face *face = context;
+	struct listener_fixture *fixture = context;
 
-	face->requests++;
-	g_string_append(face->targets, request->target->str);
-	g_string_append_printf(face->targets, "[%s] ", request->body->str);
-	cw_caller_attach(caller, face);
-	if (face->hold) {
-		face->held = caller;
+	fixture->request_count++;
+	g_string_append(fixture->targets, request->target->str);
+	g_string_append_printf(fixture->targets, "[%s] ", request->body->str);
+	cw_caller_attach(caller, fixture);
+	if (fixture->delays_answers) {
+		fixture->delayed_caller = caller;
 		return;
 	}
 	cw_caller_head(caller, 200, "", 2);
@@ -381,168 +384,173 @@
 	cw_caller_end(caller);
 }
 
-static void face_gone(void *context)
+static void on_disconnected(void *context)
 {
-	struct face *face = context;
+	struct listener_fixture *fixture = context;
 
-	face->gone++;
-	face->held = NULL;
+	fixture->disconnect_count++;
+	fixture->delayed_caller = NULL;
 }
 
-static void face_room(void *context)
+static void on_writable(void *context)
 {
 }
 
-static const struct cw_listener_ops face_ops = {face_request, face_gone, face_room, NULL};
+static const struct cw_listener_ops listener_ops = {on_request, on_disconnected, on_writable, NULL};
 
-static void face_open(struct face *face)
+static void listener_fixture_open(struct listener_fixture *fixture)
 {
 	struct cw_error error = {0};
-	struct sockaddr_in where = {.sin_family = AF_INET};
+	struct sockaddr_in socket_address = {.sin_family = AF_INET};
 	char address[CW_ADDRESS_MAX];
 	int port;
 
-	memset(face, 0, sizeof(*face));
-	/* A port of the kernel's choice: taken, then given back. */
+	memset(fixture, 0, sizeof(*fixture));
+	/* Binds a port chosen by the kernel, then frees the port for the listener. */
 	port = socket(AF_INET, SOCK_STREAM, 0);
-	where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-	assert_int_equal(bind(port, (struct sockaddr *)&where, sizeof(where)), 0);
-	getsockname(port, (struct sockaddr *)&where, &(socklen_t){sizeof(where)});
+	socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+	assert_int_equal(bind(port, (struct sockaddr *)&socket_address, sizeof(socket_address)), 0);
+	getsockname(port, (struct sockaddr *)&socket_address, &(socklen_t){sizeof(socket_address)});
 	close(port);
-	snprintf(address, sizeof(address), "127.0.0.1:%u", ntohs(where.sin_port));
-	uv_loop_init(&face->loop);
-	face->targets = g_string_new(NULL);
-	face->got = g_string_new(NULL);
-	face->listener = cw_listener_create(&face->loop, address, &face_ops, face, &error);
-	assert_non_null(face->listener);
-	face->fd = socket(AF_INET, SOCK_STREAM, 0);
-	assert_int_equal(connect(face->fd, (struct sockaddr *)&where, sizeof(where)), 0);
+	snprintf(address, sizeof(address), "127.0.0.1:%u", ntohs(socket_address.sin_port));
+	uv_loop_init(&fixture->loop);
+	fixture->targets = g_string_new(NULL);
+	fixture->received = g_string_new(NULL);
+	fixture->listener =
+		cw_listener_create(&fixture->loop, address, &listener_ops, fixture, &error);
+	assert_non_null(fixture->listener);
+	fixture->fd = socket(AF_INET, SOCK_STREAM, 0);
+	assert_int_equal(
+		connect(fixture->fd, (struct sockaddr *)&socket_address, sizeof(socket_address)),
+		0);
 	alarm(TEST_SECONDS);
 }
 
-static void face_close(struct face *face)
+static void listener_fixture_close(struct listener_fixture *fixture)
 {
-	close(face->fd);
-	cw_listener_destroy(face->listener);
-	uv_run(&face->loop, UV_RUN_DEFAULT);
-	assert_int_equal(uv_loop_close(&face->loop), 0);
-	g_string_free(face->targets, TRUE);
-	g_string_free(face->got, TRUE);
+	close(fixture->fd);
+	cw_listener_destroy(fixture->listener);
+	uv_run(&fixture->loop, UV_RUN_DEFAULT);
+	assert_int_equal(uv_loop_close(&fixture->loop), 0);
+	g_string_free(fixture->targets, TRUE);
+	g_string_free(fixture->received, TRUE);
 	alarm(0);
 }
 
-static void face_send(struct face *face, const char *bytes)
+static void listener_fixture_send(struct listener_fixture *fixture, const char *bytes)
 {
-	assert_int_equal(write(face->fd, bytes, strlen(bytes)), (ssize_t)strlen(bytes));
+	assert_int_equal(write(fixture->fd, bytes, strlen(bytes)), (ssize_t)strlen(bytes));
 }
 
-/* Runs the loop until the caller has read text. */
-static void face_expect(struct face *face, const char *text)
+/* Runs the loop until the caller has received text. */
+static void listener_fixture_expect(struct listener_fixture *fixture, const char *text)
 {
 	char bytes[1024];
 	ssize_t size;
 
-	while (!strstr(face->got->str, text)) {
-		uv_run(&face->loop, UV_RUN_NOWAIT);
-		size = recv(face->fd, bytes, sizeof(bytes), MSG_DONTWAIT);
+	while (!strstr(fixture->received->str, text)) {
+		uv_run(&fixture->loop, UV_RUN_NOWAIT);
+		size = recv(fixture->fd, bytes, sizeof(bytes), MSG_DONTWAIT);
 		if (size > 0)
-			g_string_append_len(face->got, bytes, size);
+			g_string_append_len(fixture->received, bytes, size);
 	}
 }
 
-static void requests_sent_together_are_answered_in_order(void **state)
+static void pipelined_requests_are_answered_in_order(void **state)
 {
-	struct face face;
+	struct listener_fixture fixture;
 
-	face_open(&face);
-	face_send(&face, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
-			 "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz"
-			 "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
-			 "2\r\nab\r\n0\r\n\r\n"
-			 "GET /d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-	face_expect(&face, "Connection: close");
-	assert_string_equal(face.targets->str, "/a[] /b[xyz] /c[ab] /d[] ");
-	face_close(&face);
+	listener_fixture_open(&fixture);
+	listener_fixture_send(&fixture,
+			      "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
+			      "POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz"
+			      "POST /c HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
+			      "2\r\nab\r\n0\r\n\r\n"
+			      "GET /d HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+	listener_fixture_expect(&fixture, "Connection: close");
+	assert_string_equal(fixture.targets->str, "/a[] /b[xyz] /c[ab] /d[] ");
+	listener_fixture_close(&fixture);
 }
 
 /*
- * Symptom: a server ran a request that no caller had sent.
- * Sequence: a request states a length and chunks too; its body holds a second request.
- * Cause: the two ends of the router took different ones for the body's end.
+ * Guards against request smuggling: a server ran a request that no caller had sent. A request has
+ * both a Content-Length and chunks, and its body contains a second_answers request; the two sides
+ * of the router disagreed on the end of the body.
  */
-static void a_request_with_two_lengths_is_refused(void **state)
+static void a_request_with_two_lengths_is_rejected(void **state)
 {
-	struct face face;
+	struct listener_fixture fixture;
 
-	face_open(&face);
-	face_send(&face, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n"
-			 "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-			 "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n");
-	face_expect(&face, "HTTP/1.1 400");
-	assert_int_equal(face.requests, 0);
-	face_close(&face);
+	listener_fixture_open(&fixture);
+	listener_fixture_send(&fixture, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 40\r\n"
+					"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+					"GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n");
+	listener_fixture_expect(&fixture, "HTTP/1.1 400");
+	assert_int_equal(fixture.request_count, 0);
+	listener_fixture_close(&fixture);
 }
 
-static void a_body_past_the_limit_is_refused_by_its_length(void **state)
+static void a_body_over_the_limit_is_rejected_by_its_length(void **state)
 {
 	struct cw_flow_limits limits = {1024, 100, 1000, 1000};
-	struct face face;
+	struct listener_fixture fixture;
 
-	face_open(&face);
-	cw_listener_limits(face.listener, &limits);
-	face_send(&face, "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 67108864\r\n\r\n");
-	face_expect(&face, "HTTP/1.1 413");
-	assert_int_equal(face.requests, 0);
-	face_close(&face);
+	listener_fixture_open(&fixture);
+	cw_listener_limits(fixture.listener, &limits);
+	listener_fixture_send(&fixture,
+			      "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 67108864\r\n\r\n");
+	listener_fixture_expect(&fixture, "HTTP/1.1 413");
+	assert_int_equal(fixture.request_count, 0);
+	listener_fixture_close(&fixture);
 }
 
-static void a_caller_that_leaves_is_told_before_any_answer(void **state)
+static void a_caller_disconnect_is_reported_before_any_answer(void **state)
 {
-	struct face face;
+	struct listener_fixture fixture;
 
-	face_open(&face);
-	face.hold = 1;
-	face_send(&face, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-	while (!face.requests)
-		uv_run(&face.loop, UV_RUN_NOWAIT);
-	shutdown(face.fd, SHUT_RDWR);
-	while (!face.gone)
-		uv_run(&face.loop, UV_RUN_NOWAIT);
-	assert_int_equal(face.gone, 1);
-	face_close(&face);
+	listener_fixture_open(&fixture);
+	fixture.delays_answers = 1;
+	listener_fixture_send(&fixture, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
+	while (!fixture.request_count)
+		uv_run(&fixture.loop, UV_RUN_NOWAIT);
+	shutdown(fixture.fd, SHUT_RDWR);
+	while (!fixture.disconnect_count)
+		uv_run(&fixture.loop, UV_RUN_NOWAIT);
+	assert_int_equal(fixture.disconnect_count, 1);
+	listener_fixture_close(&fixture);
 }
 
-static void a_leaving_listener_announces_the_close(void **state)
+static void a_draining_listener_announces_the_close(void **state)
 {
-	struct face face;
+	struct listener_fixture fixture;
 
-	face_open(&face);
-	face_send(&face, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
-	face_expect(&face, "ok");
-	assert_null(strstr(face.got->str, "Connection: close"));
-	cw_listener_leave(face.listener);
-	face_send(&face, "GET /b HTTP/1.1\r\nHost: h\r\n\r\n");
-	face_expect(&face, "Connection: close");
-	face_close(&face);
+	listener_fixture_open(&fixture);
+	listener_fixture_send(&fixture, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
+	listener_fixture_expect(&fixture, "ok");
+	assert_null(strstr(fixture.received->str, "Connection: close"));
+	cw_listener_leave(fixture.listener);
+	listener_fixture_send(&fixture, "GET /b HTTP/1.1\r\nHost: h\r\n\r\n");
+	listener_fixture_expect(&fixture, "Connection: close");
+	listener_fixture_close(&fixture);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(an_answer_without_length_that_is_reset_is_not_whole),
+		cmocka_unit_test(an_answer_without_length_is_incomplete_after_a_reset),
 		cmocka_unit_test(an_answer_without_length_ends_with_its_connection),
-		cmocka_unit_test(an_answer_shorter_than_its_length_is_broken),
-		cmocka_unit_test(an_earlier_requests_answer_is_passed_over),
-		cmocka_unit_test(a_connection_with_bytes_left_is_not_kept),
-		cmocka_unit_test(a_kept_connection_carries_the_next_request),
-		cmocka_unit_test(what_is_no_answer_is_garbled),
-		cmocka_unit_test(a_silent_server_is_told_from_a_closed_port),
-		cmocka_unit_test(what_came_in_time_counts_though_the_loop_was_late),
-		cmocka_unit_test(requests_sent_together_are_answered_in_order),
-		cmocka_unit_test(a_request_with_two_lengths_is_refused),
-		cmocka_unit_test(a_body_past_the_limit_is_refused_by_its_length),
-		cmocka_unit_test(a_caller_that_leaves_is_told_before_any_answer),
-		cmocka_unit_test(a_leaving_listener_announces_the_close),
+		cmocka_unit_test(an_answer_shorter_than_its_length_fails),
+		cmocka_unit_test(an_answer_to_an_earlier_request_is_dropped),
+		cmocka_unit_test(a_connection_with_extra_bytes_is_not_reused),
+		cmocka_unit_test(an_idle_connection_is_reused_for_the_next_request),
+		cmocka_unit_test(an_answer_that_is_not_http_is_malformed),
+		cmocka_unit_test(a_silent_server_is_distinguished_from_a_closed_port),
+		cmocka_unit_test(an_answer_that_arrived_in_time_counts_after_a_loop_delay),
+		cmocka_unit_test(pipelined_requests_are_answered_in_order),
+		cmocka_unit_test(a_request_with_two_lengths_is_rejected),
+		cmocka_unit_test(a_body_over_the_limit_is_rejected_by_its_length),
+		cmocka_unit_test(a_caller_disconnect_is_reported_before_any_answer),
+		cmocka_unit_test(a_draining_listener_announces_the_close),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
