--- a/packages/base/include/cw_pack.h
+++ b/packages/base/include/cw_pack.h
@@ -1,5 +1,4 @@
-/* Compressed bytes (zlib) with their expanded size in front, as instances send them to each other.
- */
+/* zlib compression with the size of the data as a prefix, for messages between instances. */
 #ifndef CW_PACK_H
 #define CW_PACK_H
 
@@ -7,7 +6,7 @@
 
 char *cw_pack(const char *bytes, size_t size, size_t *packed_size); /* g_free */
 char *cw_unpack(const char *packed, size_t packed_size, size_t max,
-		size_t *size); /* g_free; a NUL follows; NULL: not what cw_pack made, or expands to
-				  more than max bytes */
+		size_t *size); /* g_free; NUL-terminated; NULL: malformed, or larger than max
+				  bytes */
 
 #endif
--- a/packages/base/include/cw_status.h
+++ b/packages/base/include/cw_status.h
@@ -1,4 +1,4 @@
-/* Status codes, and errors that carry the step and the peer at which they arose. */
+/* Status codes, and errors with the step and the remote address at which they occurred. */
 #ifndef CW_STATUS_H
 #define CW_STATUS_H
 
@@ -6,21 +6,21 @@
 
 enum cw_status {
 	CW_OK = 0,
-	CW_INVALID,	/* the input is malformed; trying again cannot help */
-	CW_REFUSED,	/* the peer answered no; it did nothing */
+	CW_INVALID,	/* the input is malformed; a retry cannot succeed */
+	CW_REFUSED,	/* rejected by the remote side, without an effect */
 	CW_UNREACHABLE, /* no byte was sent */
-	CW_UNKNOWN,	/* sent, and no answer came: it may have taken effect */
-	CW_EXPIRED,	/* the record asked for is no longer kept */
-	CW_FULL,	/* a bound was reached */
+	CW_UNKNOWN,	/* sent without an answer: the call may have taken effect */
+	CW_EXPIRED,	/* the requested record is no longer stored */
+	CW_FULL,	/* a limit was reached */
 	CW_NOT_FOUND,
 	CW_CLOSED,
 };
 
-/* What is known of a request's execution when its caller gets the final answer. */
+/* What is known about the execution of a request when its caller gets the final answer. */
 enum cw_run {
-	CW_RUN_NOT,	/* "not_run": it did not run and never will */
-	CW_RUN_UNKNOWN, /* it may have run */
-	CW_RUN_DONE,	/* it ran */
+	CW_RUN_NOT,	/* "not_run": the request did not run and never will */
+	CW_RUN_UNKNOWN, /* the request may have run */
+	CW_RUN_DONE,	/* the request ran */
 };
 
 struct cw_error {
--- a/packages/base/src/counters.c
+++ b/packages/base/src/counters.c
@@ -6,7 +6,7 @@
 
 #define COUNTER_PREFIX "corianderwalk_"
 
-/* Upper bounds of a histogram's buckets, ms: the objectives of callers lie among them. */
+/* Upper bounds of the buckets in ms, chosen to include the latency objectives of callers. */
 static const int64_t bounds_ms[] = {1,	 5,    20,   50,   100,	  150,	300,
 				    500, 1000, 1500, 3000, 10000, 25000};
 
@@ -20,9 +20,9 @@
 
 static GTree *histograms; /* "name{label}" -> histogram */
 static pthread_mutex_t counters_mutex = PTHREAD_MUTEX_INITIALIZER;
-static GTree *counters; /* "name{label}" -> value; ordered, so that the text is stable */
+static GTree *counters; /* "name{label}" -> value; sorted, so that the text is stable */
 
-static uint64_t *counter_slot(const char *name, const char *label);
+static uint64_t *find_counter(const char *name, const char *label);
 static int compare_names(gconstpointer a, gconstpointer b, gpointer unused);
 static gboolean append_counter(gpointer key, gpointer value, gpointer text);
 static gboolean append_histogram(gpointer key, gpointer value, gpointer text);
@@ -31,14 +31,14 @@
 void cw_count(const char *name, const char *label, uint64_t add)
 {
 	pthread_mutex_lock(&counters_mutex);
-	*counter_slot(name, label) += add;
+	*find_counter(name, label) += add;
 	pthread_mutex_unlock(&counters_mutex);
 }
 
 void cw_gauge(const char *name, const char *label, uint64_t value)
 {
 	pthread_mutex_lock(&counters_mutex);
-	*counter_slot(name, label) = value;
+	*find_counter(name, label) = value;
 	pthread_mutex_unlock(&counters_mutex);
 }
 
@@ -80,7 +80,7 @@
 	return g_string_free(text, FALSE);
 }
 
-static uint64_t *counter_slot(const char *name, const char *label)
+static uint64_t *find_counter(const char *name, const char *label)
 {
 	char key[256];
 	uint64_t *slot;
@@ -107,23 +107,23 @@
 static gboolean append_histogram(gpointer key, gpointer value, gpointer text)
 {
 	const struct histogram *histogram = value;
-	const char *comma = *histogram->label ? "," : "";
-	uint64_t below = 0;
+	const char *separator = *histogram->label ? "," : "";
+	uint64_t cumulative = 0;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(bounds_ms); i++) {
-		below += histogram->buckets[i];
+		cumulative += histogram->buckets[i];
 		g_string_append_printf(text,
 				       COUNTER_PREFIX "%s_bucket{%s%sle=\"%" G_GINT64_FORMAT
 						      "\"} %" G_GUINT64_FORMAT "\n",
-				       histogram->name, histogram->label, comma, bounds_ms[i],
-				       below);
+				       histogram->name, histogram->label, separator, bounds_ms[i],
+				       cumulative);
 	}
 	g_string_append_printf(text,
 			       COUNTER_PREFIX "%s_bucket{%s%sle=\"+Inf\"} %" G_GUINT64_FORMAT
 					      "\n" COUNTER_PREFIX "%s_sum{%s} %" G_GUINT64_FORMAT
 					      "\n" COUNTER_PREFIX "%s_count{%s} %" G_GUINT64_FORMAT
 					      "\n",
-			       histogram->name, histogram->label, comma, histogram->count,
+			       histogram->name, histogram->label, separator, histogram->count,
 			       histogram->name, histogram->label, histogram->sum_ms,
 			       histogram->name, histogram->label, histogram->count);
 	return FALSE;
--- a/packages/base/src/hash.c
+++ b/packages/base/src/hash.c
@@ -8,8 +8,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define PART_DROPPED 11 /* bits: a double holds the other 53 */
-#define PART_SPAN    ((double)(1ULL << 53))
+#define FRACTION_SHIFT_BITS 11 /* a double holds 53 of the 64 bits */
+#define FRACTION_RANGE	    ((double)(1ULL << 53))
 
 uint64_t cw_hash(const void *data, size_t size, uint64_t seed)
 {
@@ -23,7 +23,7 @@
 
 double cw_hash_part(uint64_t bits)
 {
-	return (double)(bits >> PART_DROPPED) / PART_SPAN;
+	return (double)(bits >> FRACTION_SHIFT_BITS) / FRACTION_RANGE;
 }
 
 uint64_t cw_rendezvous_bits(uint64_t key, uint64_t candidate)
@@ -32,13 +32,13 @@
 }
 
 /*
- * Weighted rendezvous: -weight / ln(u), u uniform in (0, 1) from key and candidate. Shares are
- * proportional to weights, and a changed weight moves only the keys it has to.
+ * Weighted rendezvous hashing: the score is -weight / ln(u), u uniform in (0, 1) from key and
+ * candidate. Shares are proportional to weights, and a changed weight moves the fewest keys.
  */
 double cw_rendezvous(uint64_t key, uint64_t candidate, double weight)
 {
 	uint64_t mixed = cw_rendezvous_bits(key, candidate);
-	double u = cw_hash_part(mixed) + 0.5 / PART_SPAN;
+	double u = cw_hash_part(mixed) + 0.5 / FRACTION_RANGE;
 
 	return weight > 0 ? -weight / log(u) : 0;
 }
--- a/packages/base/src/ring.c
+++ b/packages/base/src/ring.c
@@ -11,12 +11,13 @@
 	size_t capacity;
 	size_t head;
 	size_t length;
-	int closed;
+	int is_closed;
 	void *items[];
 };
 
-static int ring_wait(pthread_cond_t *cond, pthread_mutex_t *mutex, const struct timespec *until);
-static void ring_deadline(struct timespec *until, int wait_ms);
+static int wait_until(pthread_cond_t *cond, pthread_mutex_t *mutex,
+		      const struct timespec *deadline);
+static void set_deadline(struct timespec *deadline, int wait_ms);
 
 struct cw_ring *cw_ring_create(size_t capacity)
 {
@@ -46,15 +47,15 @@
 enum cw_status cw_ring_push(struct cw_ring *ring, void *item, int wait_ms)
 {
 	enum cw_status status = CW_OK;
-	struct timespec until;
+	struct timespec deadline;
 
-	ring_deadline(&until, wait_ms);
+	set_deadline(&deadline, wait_ms);
 	pthread_mutex_lock(&ring->mutex);
-	while (!ring->closed && ring->length == ring->capacity)
+	while (!ring->is_closed && ring->length == ring->capacity)
 		if (wait_ms == 0 ||
-		    ring_wait(&ring->not_full, &ring->mutex, wait_ms < 0 ? NULL : &until))
+		    wait_until(&ring->not_full, &ring->mutex, wait_ms < 0 ? NULL : &deadline))
 			break;
-	if (ring->closed) {
+	if (ring->is_closed) {
 		status = CW_CLOSED;
 	} else if (ring->length == ring->capacity) {
 		status = CW_FULL;
@@ -69,14 +70,14 @@
 
 void *cw_ring_pop(struct cw_ring *ring, int wait_ms)
 {
-	struct timespec until;
+	struct timespec deadline;
 	void *item = NULL;
 
-	ring_deadline(&until, wait_ms);
+	set_deadline(&deadline, wait_ms);
 	pthread_mutex_lock(&ring->mutex);
-	while (!ring->closed && ring->length == 0)
+	while (!ring->is_closed && ring->length == 0)
 		if (wait_ms == 0 ||
-		    ring_wait(&ring->not_empty, &ring->mutex, wait_ms < 0 ? NULL : &until))
+		    wait_until(&ring->not_empty, &ring->mutex, wait_ms < 0 ? NULL : &deadline))
 			break;
 	if (ring->length > 0) {
 		item = ring->items[ring->head];
@@ -91,7 +92,7 @@
 void cw_ring_close(struct cw_ring *ring)
 {
 	pthread_mutex_lock(&ring->mutex);
-	ring->closed = 1;
+	ring->is_closed = 1;
 	pthread_cond_broadcast(&ring->not_empty);
 	pthread_cond_broadcast(&ring->not_full);
 	pthread_mutex_unlock(&ring->mutex);
@@ -99,22 +100,22 @@
 
 int cw_ring_is_closed(struct cw_ring *ring)
 {
-	int closed;
+	int is_closed;
 
 	pthread_mutex_lock(&ring->mutex);
-	closed = ring->closed && ring->length == 0;
+	is_closed = ring->is_closed && ring->length == 0;
 	pthread_mutex_unlock(&ring->mutex);
-	return closed;
+	return is_closed;
 }
 
 int cw_ring_is_shut(struct cw_ring *ring)
 {
-	int closed;
+	int is_closed;
 
 	pthread_mutex_lock(&ring->mutex);
-	closed = ring->closed;
+	is_closed = ring->is_closed;
 	pthread_mutex_unlock(&ring->mutex);
-	return closed;
+	return is_closed;
 }
 
 size_t cw_ring_length(struct cw_ring *ring)
@@ -127,20 +128,21 @@
 	return length;
 }
 
-static int ring_wait(pthread_cond_t *cond, pthread_mutex_t *mutex, const struct timespec *until)
+static int wait_until(pthread_cond_t *cond, pthread_mutex_t *mutex, const struct timespec *deadline)
 {
-	return until ? pthread_cond_timedwait(cond, mutex, until) : pthread_cond_wait(cond, mutex);
+	return deadline ? pthread_cond_timedwait(cond, mutex, deadline)
+			: pthread_cond_wait(cond, mutex);
 }
 
-static void ring_deadline(struct timespec *until, int wait_ms)
+static void set_deadline(struct timespec *deadline, int wait_ms)
 {
-	clock_gettime(CLOCK_MONOTONIC, until);
+	clock_gettime(CLOCK_MONOTONIC, deadline);
 	if (wait_ms <= 0)
 		return;
-	until->tv_sec += wait_ms / 1000;
-	until->tv_nsec += (wait_ms % 1000) * 1000000L;
-	if (until->tv_nsec >= 1000000000L) {
-		until->tv_sec++;
-		until->tv_nsec -= 1000000000L;
+	deadline->tv_sec += wait_ms / 1000;
+	deadline->tv_nsec += (wait_ms % 1000) * 1000000L;
+	if (deadline->tv_nsec >= 1000000000L) {
+		deadline->tv_sec++;
+		deadline->tv_nsec -= 1000000000L;
 	}
 }
--- a/packages/base/src/timeline.c
+++ b/packages/base/src/timeline.c
@@ -10,30 +10,30 @@
 #include <string.h>
 #include <unistd.h>
 
-#define LINE_MAX_BYTES 640
-#define BATCH_BYTES    (32 * 1024) /* collected before the writer is woken without a flush */
-#define BATCHES	       8	   /* waiting for a slow reader of the log; more are dropped */
+#define DETAIL_MAX_BYTES   640
+#define BATCH_BYTES	   (32 * 1024) /* lines collected until the writer is woken without a flush */
+#define MAX_QUEUED_BATCHES 8 /* queued for a slow reader of the log; further ones are dropped */
 
 struct timeline {
 	pthread_mutex_t mutex;
 	char instance[CW_NAME_MAX];
-	int level; /* 0 debug .. 3 error */
-	uint64_t next;
-	size_t keep;
+	int level; /* 0: debug .. 3: error */
+	uint64_t next_seq;
+	size_t capacity;
 	char *lines[CW_EVENT_LINES];
 	int fd;
-	GString *batch; /* NULL: lines are written at once */
+	GString *batch; /* NULL: lines are written directly */
 	struct cw_ring *batches;
 	pthread_t writer;
 };
 
 static struct timeline timeline = {
-	.mutex = PTHREAD_MUTEX_INITIALIZER, .level = 1, .next = 1, .keep = CW_EVENT_LINES};
+	.mutex = PTHREAD_MUTEX_INITIALIZER, .level = 1, .next_seq = 1, .capacity = CW_EVENT_LINES};
 
 static void record_event(int level, const char *module, const char *event, const char *detail);
 static void append_json(GString *text, uint64_t seq, const char *line);
-static void collect(const char *line);
-static void hand_over(void);
+static void add_to_batch(const char *line);
+static void enqueue_batch(void);
 static void *write_batches(void *unused);
 static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize count,
 				   gpointer unused);
@@ -51,18 +51,18 @@
 
 void cw_timeline_keep(size_t lines)
 {
-	timeline.keep = MIN(lines, CW_EVENT_LINES);
+	timeline.capacity = MIN(lines, CW_EVENT_LINES);
 }
 
 /*
- * A reader of the log that stands still would hold up every request if lines were written where
- * they arise. A thread writes them in batches; when it is behind, batches are dropped and counted.
+ * Writing lines directly would block all requests if the reader of the log stalls. A thread writes
+ * the lines in batches instead. If the thread falls behind, batches are dropped and counted.
  */
 void cw_timeline_writer(int fd)
 {
 	timeline.fd = fd;
 	timeline.batch = g_string_sized_new(BATCH_BYTES);
-	timeline.batches = cw_ring_create(BATCHES);
+	timeline.batches = cw_ring_create(MAX_QUEUED_BATCHES);
 	pthread_create(&timeline.writer, NULL, write_batches, NULL);
 }
 
@@ -71,7 +71,7 @@
 	if (!timeline.batch)
 		return;
 	pthread_mutex_lock(&timeline.mutex);
-	hand_over();
+	enqueue_batch();
 	pthread_mutex_unlock(&timeline.mutex);
 }
 
@@ -93,7 +93,7 @@
 
 void cw_event(const char *module, const char *event, const char *format, ...)
 {
-	char detail[LINE_MAX_BYTES];
+	char detail[DETAIL_MAX_BYTES];
 	va_list args;
 
 	va_start(args, format);
@@ -104,7 +104,7 @@
 
 void cw_warn(const char *module, const char *event, const char *format, ...)
 {
-	char detail[LINE_MAX_BYTES];
+	char detail[DETAIL_MAX_BYTES];
 	va_list args;
 
 	va_start(args, format);
@@ -119,10 +119,10 @@
 	uint64_t first;
 
 	pthread_mutex_lock(&timeline.mutex);
-	first = timeline.next > timeline.keep ? timeline.next - timeline.keep : 1;
+	first = timeline.next_seq > timeline.capacity ? timeline.next_seq - timeline.capacity : 1;
 	if (after + 1 > first)
 		first = after + 1;
-	for (uint64_t seq = first; seq < timeline.next; seq++)
+	for (uint64_t seq = first; seq < timeline.next_seq; seq++)
 		append_json(text, seq, timeline.lines[seq % CW_EVENT_LINES]);
 	pthread_mutex_unlock(&timeline.mutex);
 	return g_string_free(text, FALSE);
@@ -141,18 +141,18 @@
 				 level > 1 ? G_LOG_LEVEL_WARNING : G_LOG_LEVEL_INFO, "MESSAGE",
 				 "%s", line);
 	pthread_mutex_lock(&timeline.mutex);
-	if (timeline.keep == 0) {
+	if (timeline.capacity == 0) {
 		pthread_mutex_unlock(&timeline.mutex);
 		g_free(line);
 		return;
 	}
-	g_free(timeline.lines[timeline.next % CW_EVENT_LINES]);
-	timeline.lines[timeline.next % CW_EVENT_LINES] = line;
-	timeline.next++;
+	g_free(timeline.lines[timeline.next_seq % CW_EVENT_LINES]);
+	timeline.lines[timeline.next_seq % CW_EVENT_LINES] = line;
+	timeline.next_seq++;
 	pthread_mutex_unlock(&timeline.mutex);
 }
 
-/* Values hold no quotes or control characters: cw_event's callers pass names, ids and numbers. */
+/* Values contain no quotes or control characters: callers pass names, ids and numbers. */
 static void append_json(GString *text, uint64_t seq, const char *line)
 {
 	char *escaped = g_strescape(line, NULL);
@@ -167,11 +167,11 @@
 {
 	for (gsize i = 0; i < count; i++)
 		if (!strcmp(fields[i].key, "MESSAGE"))
-			collect(fields[i].value);
+			add_to_batch(fields[i].value);
 	return G_LOG_WRITER_HANDLED;
 }
 
-static void collect(const char *line)
+static void add_to_batch(const char *line)
 {
 	if (!timeline.batch) {
 		fprintf(stderr, "%s\n", line);
@@ -181,12 +181,12 @@
 	g_string_append(timeline.batch, line);
 	g_string_append_c(timeline.batch, '\n');
 	if (timeline.batch->len >= BATCH_BYTES)
-		hand_over();
+		enqueue_batch();
 	pthread_mutex_unlock(&timeline.mutex);
 }
 
 /* Called with the mutex held. */
-static void hand_over(void)
+static void enqueue_batch(void)
 {
 	GString *batch = timeline.batch;
 
--- a/packages/flow/include/cw_flow.h
+++ b/packages/flow/include/cw_flow.h
@@ -13,11 +13,10 @@
 #include <stdint.h>
 #include <uv.h>
 
-#define CW_FLOW_CHUNKED (-1) /* length of an answer that is sent in chunks */
-#define CW_FLOW_NO_BODY (-2) /* length of an answer that must not have a body */
-#define CW_FLOW_BACKLOG 512  /* connections the kernel queues for accept */
-#define CW_FLOW_WRITE_HIGH_WATERMARK                                                               \
-	(256 * 1024) /* unwritten bytes of an answer: pause its source */
+#define CW_FLOW_CHUNKED		     (-1) /* length of an answer that is sent in chunks */
+#define CW_FLOW_NO_BODY		     (-2) /* length of an answer that must not have a body */
+#define CW_FLOW_BACKLOG		     512  /* connections the kernel queues for accept */
+#define CW_FLOW_WRITE_HIGH_WATERMARK (256 * 1024) /* bytes; more unwritten pause the source */
 
 struct cw_caller;   /* a caller's connection */
 struct cw_listener; /* a listening address */
--- a/packages/http/include/cw_http_server.h
+++ b/packages/http/include/cw_http_server.h
@@ -1,4 +1,4 @@
-/* A listener: ulfius, one thread a connection, whole answers or chunk by chunk from a ring. */
+/* HTTP server (ulfius), one thread per connection; answers are sent at once or as a stream. */
 #ifndef CW_HTTP_SERVER_H
 #define CW_HTTP_SERVER_H
 
@@ -20,14 +20,14 @@
 	const void *headers; /* for cw_http_header */
 };
 
-struct cw_chunk { /* one piece of a streamed answer; made by cw_chunk_create */
+struct cw_chunk { /* part of a streamed answer, made by cw_chunk_create */
 	size_t size;
-	size_t taken;
+	size_t sent;
 	char data[];
 };
 
-#define CW_PULL_END (-1) /* the answer is whole */
-#define CW_PULL_CUT (-2) /* the connection is cut */
+#define CW_PULL_END (-1) /* the answer is complete */
+#define CW_PULL_CUT (-2) /* abort the connection */
 
 struct cw_http_out {
 	int status;
@@ -36,19 +36,18 @@
 	char content_type[128];
 	char *headers[16]; /* "Name: value", g_free'd by the server */
 	size_t header_count;
-	/* A streamed answer: pieces are popped until the ring is closed and empty. */
+	/* Streamed answer: sends the chunks popped from the ring until it is closed and empty. */
 	struct cw_ring *stream;
-	/* Or from a function: bytes put, or one of the two below. Whichever is set is used. */
+	/* Streamed answer if set, instead of the ring: returns bytes written or CW_PULL_*. */
 	ssize_t (*pull)(void *context, char *buffer, size_t max);
-	void (*on_end)(void *context); /* the caller has it all, or went away: sets what feeds the
-					  ring free */
+	void (*on_end)(void *context); /* answer sent or caller disconnected; releases context */
 	void *context;
 };
 
 struct cw_http_server_options {
-	const char *address;  /* "IP:PORT"; port 0 lets the kernel choose */
-	size_t max_body;      /* bytes; larger is answered 413 */
-	unsigned int idle_s;  /* a connection without traffic is closed */
+	const char *address;  /* "IP:PORT"; port 0: any free port */
+	size_t max_body;      /* bytes; a larger body is answered 413 */
+	unsigned int idle_s;  /* closes connections without traffic */
 	const char *tls_cert; /* PEM files; NULL: plain HTTP */
 	const char *tls_key;
 	void (*handle)(void *context, const struct cw_http_in *in, struct cw_http_out *out);
@@ -58,16 +57,17 @@
 struct cw_http_server *cw_http_server_create(const struct cw_http_server_options *options,
 					     struct cw_error *error); /* NULL: see error */
 void cw_http_server_quiet(
-	struct cw_http_server *server); /* no new connections; those there go on */
+	struct cw_http_server *server); /* accepts no new connections; open ones continue */
 void cw_http_server_destroy(struct cw_http_server *server); /* waits for requests in progress */
 int cw_http_server_port(const struct cw_http_server *server);
 unsigned int cw_http_server_connections(const struct cw_http_server *server);
 
-const char *cw_http_header(const struct cw_http_in *in, const char *name); /* NULL: not sent */
+const char *cw_http_header(const struct cw_http_in *in, const char *name); /* NULL: absent */
 void cw_http_out_header(struct cw_http_out *out, const char *name, const char *value);
-void cw_http_out_json(struct cw_http_out *out, int status, char *body); /* takes body */
+void cw_http_out_json(struct cw_http_out *out, int status,
+		      char *body); /* takes ownership of body */
 struct cw_chunk *cw_chunk_create(const void *data, size_t size);
 int cw_address_split(const char *address, char *host, size_t host_size,
-		     int *port); /* 0: well formed IPv4:PORT */
+		     int *port); /* 0: valid IPv4:PORT */
 
 #endif
--- a/packages/http/src/client.c
+++ b/packages/http/src/client.c
@@ -8,39 +8,41 @@
 #include <string.h>
 #include <strings.h>
 
-#define HANDLES_KEPT  64 /* idle handles, and so connections, kept */
-#define CONNECTS_KEPT 32 /* connections one handle keeps */
-#define STEP	      "http.call"
+#define MAX_IDLE_HANDLES	   64 /* idle handles kept, with their connections */
+#define MAX_CONNECTIONS_PER_HANDLE 32 /* keep-alive connections of a handle */
+#define STEP			   "http.call"
 
 struct transfer {
 	const struct cw_http_call *call;
 	struct cw_http_answer *answer;
 	CURL *curl;
 	GString *body;
-	size_t received;
-	int head_told;
-	int ended; /* by a callback */
-	int too_long;
+	size_t received_bytes;
+	int is_head_reported;
+	int is_aborted; /* by a callback of the caller */
+	int is_too_long;
 	int64_t start_us;
 	int64_t last_us;
 };
 
 static pthread_mutex_t handles_mutex = PTHREAD_MUTEX_INITIALIZER;
-static CURL *handles[HANDLES_KEPT];
+static CURL *handles[MAX_IDLE_HANDLES];
 static size_t handle_count;
-static int interrupted;
+static int is_interrupted;
 
 static enum cw_status pooled_perform(const struct cw_http_call *call, struct cw_http_answer *answer,
 				     struct cw_error *error);
 static CURL *take_handle(void);
-static void give_handle(CURL *curl);
+static void return_handle(CURL *curl);
 static void set_options(struct transfer *transfer, struct curl_slist *headers, const char *url);
-static struct curl_slist *header_list(const struct cw_http_call *call);
+static struct curl_slist *build_header_list(const struct cw_http_call *call);
 static size_t on_header(char *data, size_t unit, size_t count, void *context);
 static size_t on_body(char *data, size_t unit, size_t count, void *context);
-static int on_progress(void *context, curl_off_t a, curl_off_t b, curl_off_t c, curl_off_t d);
-static int tell_head(struct transfer *transfer);
-static enum cw_status judge(const struct transfer *transfer, CURLcode code, struct cw_error *error);
+static int on_progress(void *context, curl_off_t download_size, curl_off_t downloaded,
+		       curl_off_t upload_size, curl_off_t uploaded);
+static int report_head(struct transfer *transfer);
+static enum cw_status classify_result(const struct transfer *transfer, CURLcode code,
+				      struct cw_error *error);
 static int is_cut(CURLcode code);
 
 const struct cw_http_transport cw_http_pooled = {"pooled", pooled_perform};
@@ -52,7 +54,7 @@
 
 void cw_http_interrupt(void)
 {
-	__atomic_store_n(&interrupted, 1, __ATOMIC_RELEASE);
+	__atomic_store_n(&is_interrupted, 1, __ATOMIC_RELEASE);
 }
 
 void cw_http_close(void)
@@ -80,10 +82,10 @@
 {
 	struct transfer transfer = {.call = call, .answer = answer};
 	char *url = g_strdup_printf("http://%s%s", call->address, call->path);
-	struct curl_slist *headers = header_list(call);
+	struct curl_slist *headers = build_header_list(call);
 	enum cw_status status;
 	CURLcode code;
-	long http = 0;
+	long http_status = 0;
 
 	memset(answer, 0, sizeof(*answer));
 	answer->first_ms = -1;
@@ -93,19 +95,19 @@
 	transfer.last_us = transfer.start_us;
 	set_options(&transfer, headers, url);
 	code = curl_easy_perform(transfer.curl);
-	if (code == CURLE_OK && !transfer.head_told && tell_head(&transfer))
+	if (code == CURLE_OK && !transfer.is_head_reported && report_head(&transfer))
 		code = CURLE_WRITE_ERROR;
-	curl_easy_getinfo(transfer.curl, CURLINFO_RESPONSE_CODE, &http);
-	answer->status = (int)http;
+	curl_easy_getinfo(transfer.curl, CURLINFO_RESPONSE_CODE, &http_status);
+	answer->status = (int)http_status;
 	answer->total_ms = (double)(g_get_monotonic_time() - transfer.start_us) / 1000;
-	status = judge(&transfer, code, error);
+	status = classify_result(&transfer, code, error);
 	answer->is_cut = status == CW_UNKNOWN && is_cut(code);
 	if (transfer.body) {
 		answer->size = transfer.body->len;
 		answer->body = g_string_free(transfer.body, FALSE);
 	}
 	curl_slist_free_all(headers);
-	give_handle(transfer.curl);
+	return_handle(transfer.curl);
 	g_free(url);
 	return status;
 }
@@ -121,11 +123,11 @@
 	return curl ? curl : curl_easy_init();
 }
 
-static void give_handle(CURL *curl)
+static void return_handle(CURL *curl)
 {
 	curl_easy_reset(curl);
 	pthread_mutex_lock(&handles_mutex);
-	if (handle_count < HANDLES_KEPT) {
+	if (handle_count < MAX_IDLE_HANDLES) {
 		handles[handle_count++] = curl;
 		curl = NULL;
 	}
@@ -144,7 +146,7 @@
 	curl_easy_setopt(curl, CURLOPT_NOPROXY, "*");
 	curl_easy_setopt(curl, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(curl, CURLOPT_HTTP_VERSION, (long)CURL_HTTP_VERSION_1_1);
-	curl_easy_setopt(curl, CURLOPT_MAXCONNECTS, (long)CONNECTS_KEPT);
+	curl_easy_setopt(curl, CURLOPT_MAXCONNECTS, (long)MAX_CONNECTIONS_PER_HANDLE);
 	curl_easy_setopt(curl, CURLOPT_TCP_NODELAY, 1L);
 	curl_easy_setopt(curl, CURLOPT_CUSTOMREQUEST, call->method);
 	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
@@ -161,9 +163,9 @@
 		curl_easy_setopt(curl, CURLOPT_POSTFIELDSIZE, (long)call->body_size);
 	}
 	/*
-	 * On a kept connection that dies without an answer libcurl sends the request again by
-	 * itself. The server may have taken the first one; it shows as an order run twice. A fresh
-	 * connection is never repeated.
+	 * libcurl silently retries a request if a reused connection ends without an answer. The
+	 * server may have received the first attempt, and a non-idempotent request would run twice.
+	 * libcurl never retries on a new connection.
 	 */
 	if (call->once) {
 		curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
@@ -174,7 +176,7 @@
 	curl_easy_setopt(curl, CURLOPT_XFERINFODATA, transfer);
 }
 
-static struct curl_slist *header_list(const struct cw_http_call *call)
+static struct curl_slist *build_header_list(const struct cw_http_call *call)
 {
 	struct curl_slist *list = curl_slist_append(NULL, "Expect:");
 
@@ -214,11 +216,11 @@
 	if (transfer->answer->first_ms < 0)
 		transfer->answer->first_ms =
 			(double)(transfer->last_us - transfer->start_us) / 1000;
-	if (tell_head(transfer))
+	if (report_head(transfer))
 		return 0;
-	transfer->received += size;
-	if (transfer->call->max_size && transfer->received > transfer->call->max_size) {
-		transfer->too_long = 1;
+	transfer->received_bytes += size;
+	if (transfer->call->max_size && transfer->received_bytes > transfer->call->max_size) {
+		transfer->is_too_long = 1;
 		return 0;
 	}
 	if (!transfer->call->on_data) {
@@ -226,22 +228,23 @@
 		return size;
 	}
 	if (transfer->call->on_data(transfer->call->context, data, size)) {
-		transfer->ended = 1;
+		transfer->is_aborted = 1;
 		return 0;
 	}
 	return size;
 }
 
-static int on_progress(void *context, curl_off_t a, curl_off_t b, curl_off_t c, curl_off_t d)
+static int on_progress(void *context, curl_off_t download_size, curl_off_t downloaded,
+		       curl_off_t upload_size, curl_off_t uploaded)
 {
 	struct transfer *transfer = context;
 	int64_t idle_us = g_get_monotonic_time() - transfer->last_us;
 	int limit_ms;
 
-	if (__atomic_load_n(&interrupted, __ATOMIC_ACQUIRE))
+	if (__atomic_load_n(&is_interrupted, __ATOMIC_ACQUIRE))
 		return 1;
 	if (transfer->call->is_cancelled && transfer->call->is_cancelled(transfer->call->context)) {
-		transfer->ended = 1;
+		transfer->is_aborted = 1;
 		return 1;
 	}
 	limit_ms =
@@ -249,33 +252,34 @@
 	return limit_ms > 0 && idle_us > (int64_t)limit_ms * 1000;
 }
 
-static int tell_head(struct transfer *transfer)
+static int report_head(struct transfer *transfer)
 {
 	long status = 0;
 
-	if (transfer->head_told || !transfer->call->on_head)
+	if (transfer->is_head_reported || !transfer->call->on_head)
 		return 0;
-	transfer->head_told = 1;
+	transfer->is_head_reported = 1;
 	curl_easy_getinfo(transfer->curl, CURLINFO_RESPONSE_CODE, &status);
 	if (!transfer->call->on_head(transfer->call->context, (int)status,
 				     transfer->answer->request_id, transfer->answer->content_type))
 		return 0;
-	transfer->ended = 1;
+	transfer->is_aborted = 1;
 	return 1;
 }
 
-static enum cw_status judge(const struct transfer *transfer, CURLcode code, struct cw_error *error)
+static enum cw_status classify_result(const struct transfer *transfer, CURLcode code,
+				      struct cw_error *error)
 {
 	const char *peer = transfer->call->address;
 	long sent = 0;
 
 	if (code == CURLE_OK)
 		return CW_OK;
-	if (transfer->too_long)
+	if (transfer->is_too_long)
 		return cw_error_set(error, CW_FULL, STEP, peer,
 				    "the answer is longer than %zu bytes",
 				    transfer->call->max_size);
-	if (transfer->ended)
+	if (transfer->is_aborted)
 		return cw_error_set(error, CW_CLOSED, STEP, peer, "ended here");
 	curl_easy_getinfo(transfer->curl, CURLINFO_REQUEST_SIZE, &sent);
 	if (sent == 0)
@@ -284,7 +288,7 @@
 	return cw_error_set(error, CW_UNKNOWN, STEP, peer, "%s", curl_easy_strerror(code));
 }
 
-/* The last one: on a kept connection that broke libcurl tries a new one, and nobody listens. */
+/* CURLE_COULDNT_CONNECT: libcurl reconnects after a reused connection broke, and may be refused. */
 static int is_cut(CURLcode code)
 {
 	return code == CURLE_GOT_NOTHING || code == CURLE_RECV_ERROR || code == CURLE_SEND_ERROR ||
--- a/packages/http/src/client_ulfius.c
+++ b/packages/http/src/client_ulfius.c
@@ -1,4 +1,4 @@
-/* The baseline transport: ulfius's client, which opens a connection for each request. */
+/* Baseline transport: the ulfius client, which opens a connection per request. */
 #include "cw_http_client.h"
 
 #include <glib.h>
--- a/packages/http/src/server.c
+++ b/packages/http/src/server.c
@@ -12,37 +12,37 @@
 #include <ulfius.h>
 #include <unistd.h>
 
-#define STREAM_BLOCK	16384
-#define STREAM_WAIT_MS	100
-#define QUIET_MS	20
-#define QUIET_LIMIT_MS	2000
-#define FREE_PORT_TRIES 8
-#define STEP		"http.listen"
+#define STREAM_BLOCK_BYTES  16384
+#define STREAM_POLL_MS	    100
+#define ACCEPT_IDLE_MS	    20
+#define ACCEPT_DRAIN_MAX_MS 2000
+#define FREE_PORT_ATTEMPTS  8
+#define STEP		    "http.listen"
 
 struct cw_http_server {
 	struct _u_instance instance;
 	struct cw_http_server_options options;
 	char *tls_cert;
 	char *tls_key;
-	int started;
+	int is_started;
 };
 
 struct stream_context {
 	struct cw_ring *ring;
 	ssize_t (*pull)(void *context, char *buffer, size_t max);
-	struct cw_chunk *chunk; /* partly taken */
+	struct cw_chunk *chunk; /* partly sent */
 	void (*on_end)(void *context);
 	void *context;
 };
 
 static int on_request(const struct _u_request *request, struct _u_response *response, void *data);
-static void answer_whole(struct cw_http_out *out, struct _u_response *response);
-static void answer_stream(struct cw_http_out *out, struct _u_response *response);
+static void send_body(struct cw_http_out *out, struct _u_response *response);
+static void send_stream(struct cw_http_out *out, struct _u_response *response);
 static ssize_t on_stream(void *data, uint64_t offset, char *buffer, size_t max);
 static void on_stream_end(void *data);
-static int body_too_large(const struct _u_request *request, size_t max_body);
-static int start_at(struct cw_http_server *server, const char *host, int port);
-static int free_port(const char *host);
+static int is_body_too_large(const struct _u_request *request, size_t max_body);
+static int start_on_port(struct cw_http_server *server, const char *host, int port);
+static int find_free_port(const char *host);
 static char *read_file(const char *path, struct cw_error *error);
 
 struct cw_http_server *cw_http_server_create(const struct cw_http_server_options *options,
@@ -51,7 +51,7 @@
 	struct cw_http_server *server = g_new0(struct cw_http_server, 1);
 	char host[64];
 	int port;
-	int tries = 1;
+	int attempts = 1;
 
 	server->options = *options;
 	if (cw_address_split(options->address, host, sizeof(host), &port)) {
@@ -67,13 +67,13 @@
 			return NULL;
 		}
 	}
-	/* ulfius takes no port 0: another process may take the one found meanwhile, so look again.
-	 */
+	/* ulfius accepts no port 0, and another process may bind the port found: then retry. */
 	if (port == 0)
-		tries = FREE_PORT_TRIES;
-	while (tries-- > 0 && !server->started)
-		server->started = start_at(server, host, port ? port : free_port(host)) == 0;
-	if (server->started)
+		attempts = FREE_PORT_ATTEMPTS;
+	while (attempts-- > 0 && !server->is_started)
+		server->is_started =
+			start_on_port(server, host, port ? port : find_free_port(host)) == 0;
+	if (server->is_started)
 		return server;
 	cw_error_set(error, CW_UNREACHABLE, STEP, options->address, "cannot listen there");
 	cw_http_server_destroy(server);
@@ -81,15 +81,15 @@
 }
 
 /*
- * A caller's connection may stand in the kernel's queue, made but not taken yet. Closing the
- * listener resets it, and the caller cannot know whether its request ran; it shows as a connection
- * that breaks without a byte. So what is in the queue is taken first, and answered like any other.
+ * Closing the listener resets connections that are established but still in the kernel's accept
+ * queue. The caller of such a connection sees a reset without a byte and cannot know whether its
+ * request ran. So these connections are accepted first, and their requests are answered.
  */
 void cw_http_server_quiet(struct cw_http_server *server)
 {
 	MHD_socket listener = MHD_quiesce_daemon(server->instance.mhd_daemon);
 	struct pollfd wait = {.fd = listener, .events = POLLIN};
-	int64_t until_us = g_get_monotonic_time() + QUIET_LIMIT_MS * 1000;
+	int64_t deadline_us = g_get_monotonic_time() + ACCEPT_DRAIN_MAX_MS * 1000;
 	struct sockaddr_in address;
 	socklen_t size = sizeof(address);
 	int fd;
@@ -97,8 +97,8 @@
 	if (listener == MHD_INVALID_SOCKET)
 		return;
 	fcntl(listener, F_SETFL, fcntl(listener, F_GETFL) | O_NONBLOCK);
-	/* Closed in a quiet moment: one that arrives in the very instant is still reset. */
-	while (poll(&wait, 1, QUIET_MS) > 0 && g_get_monotonic_time() < until_us) {
+	/* The listener is closed after an idle interval: a connection made just then is reset. */
+	while (poll(&wait, 1, ACCEPT_IDLE_MS) > 0 && g_get_monotonic_time() < deadline_us) {
 		fd = accept4(listener, (struct sockaddr *)&address, &size, SOCK_CLOEXEC);
 		if (fd >= 0)
 			MHD_add_connection(server->instance.mhd_daemon, fd,
@@ -112,9 +112,9 @@
 {
 	if (!server)
 		return;
-	if (server->started)
+	if (server->is_started)
 		ulfius_stop_framework(&server->instance);
-	if (server->started)
+	if (server->is_started)
 		ulfius_clean_instance(&server->instance);
 	g_free(server->tls_cert);
 	g_free(server->tls_key);
@@ -158,7 +158,7 @@
 	struct cw_chunk *chunk = g_malloc(sizeof(*chunk) + size);
 
 	chunk->size = size;
-	chunk->taken = 0;
+	chunk->sent = 0;
 	memcpy(chunk->data, data, size);
 	return chunk;
 }
@@ -198,7 +198,7 @@
 	if (request->client_address && request->client_address->sa_family == AF_INET)
 		inet_ntop(AF_INET, &((struct sockaddr_in *)request->client_address)->sin_addr, peer,
 			  sizeof(peer));
-	if (body_too_large(request, server->options.max_body))
+	if (is_body_too_large(request, server->options.max_body))
 		cw_http_out_json(&out, 413,
 				 g_strdup("{\"error\":{\"code\":\"bad_request\",\"message\":\"the "
 					  "body is too large\","
@@ -215,20 +215,20 @@
 	if (*out.content_type)
 		u_map_put(response->map_header, "Content-Type", out.content_type);
 	if (out.stream || out.pull)
-		answer_stream(&out, response);
+		send_stream(&out, response);
 	else
-		answer_whole(&out, response);
+		send_body(&out, response);
 	return U_CALLBACK_COMPLETE;
 }
 
-static void answer_whole(struct cw_http_out *out, struct _u_response *response)
+static void send_body(struct cw_http_out *out, struct _u_response *response)
 {
 	ulfius_set_binary_body_response(response, (unsigned int)out->status,
 					out->body ? out->body : "", out->body_size);
 	g_free(out->body);
 }
 
-static void answer_stream(struct cw_http_out *out, struct _u_response *response)
+static void send_stream(struct cw_http_out *out, struct _u_response *response)
 {
 	struct stream_context *stream = g_new0(struct stream_context, 1);
 
@@ -237,14 +237,14 @@
 	stream->on_end = out->on_end;
 	stream->context = out->context;
 	ulfius_set_stream_response(response, (unsigned int)out->status, on_stream, on_stream_end,
-				   U_STREAM_SIZE_UNKNOWN, STREAM_BLOCK, stream);
+				   U_STREAM_SIZE_UNKNOWN, STREAM_BLOCK_BYTES, stream);
 }
 
 static ssize_t on_stream(void *data, uint64_t offset, char *buffer, size_t max)
 {
 	struct stream_context *stream = data;
 	struct cw_chunk *chunk;
-	size_t part;
+	size_t copied;
 	ssize_t pulled;
 
 	if (stream->pull) {
@@ -254,22 +254,22 @@
 		return pulled == CW_PULL_END ? U_STREAM_END : pulled;
 	}
 	while (!stream->chunk) {
-		stream->chunk = cw_ring_pop(stream->ring, STREAM_WAIT_MS);
+		stream->chunk = cw_ring_pop(stream->ring, STREAM_POLL_MS);
 		if (!stream->chunk && cw_ring_is_closed(stream->ring))
 			return U_STREAM_END;
 	}
 	chunk = stream->chunk;
-	part = MIN(max, chunk->size - chunk->taken);
-	memcpy(buffer, chunk->data + chunk->taken, part);
-	chunk->taken += part;
-	if (chunk->taken == chunk->size) {
+	copied = MIN(max, chunk->size - chunk->sent);
+	memcpy(buffer, chunk->data + chunk->sent, copied);
+	chunk->sent += copied;
+	if (chunk->sent == chunk->size) {
 		g_free(chunk);
 		stream->chunk = NULL;
 	}
-	return (ssize_t)part;
+	return (ssize_t)copied;
 }
 
-/* Called too when the caller went away: the feeder sees a closed ring and cancels upstream. */
+/* Also called if the caller disconnects: the producer sees a closed ring and cancels upstream. */
 static void on_stream_end(void *data)
 {
 	struct stream_context *stream = data;
@@ -281,8 +281,8 @@
 	g_free(stream);
 }
 
-/* ulfius cuts a body at its limit without a word: the length shows it. */
-static int body_too_large(const struct _u_request *request, size_t max_body)
+/* ulfius silently truncates a body at its limit, so the length is checked. */
+static int is_body_too_large(const struct _u_request *request, size_t max_body)
 {
 	const char *length = u_map_get_case(request->map_header, "Content-Length");
 
@@ -291,7 +291,7 @@
 	return request->binary_body_length > max_body;
 }
 
-static int start_at(struct cw_http_server *server, const char *host, int port)
+static int start_on_port(struct cw_http_server *server, const char *host, int port)
 {
 	struct sockaddr_in address = {.sin_family = AF_INET, .sin_port = htons((uint16_t)port)};
 	int failed;
@@ -314,7 +314,7 @@
 	return failed;
 }
 
-static int free_port(const char *host)
+static int find_free_port(const char *host)
 {
 	struct sockaddr_in address = {.sin_family = AF_INET};
 	socklen_t size = sizeof(address);
--- a/packages/peer/peer.x
+++ b/packages/peer/peer.x
@@ -1,4 +1,4 @@
-/* Messages between instances. One call carries one signed message; the answer only says "received". */
+/* Messages between instances. One call carries one signed message; the reply only acknowledges it. */
 
 const PEER_TEXT_MAX = 1048576;
 const PEER_LIST_MAX = 1024;
@@ -18,24 +18,24 @@
 
 struct peer_record {
 	unsigned hyper offset;
-	hyper time_ms;              /* by the log's clock */
+	hyper time_ms;              /* clock of the log */
 	string data<PEER_TEXT_MAX>;
 };
 
 struct peer_evidence {
-	unsigned hyper model_version; /* hash of both; counts are totals of one instance's run */
+	unsigned hyper model_version; /* hash of model and version; counts since the sender's start */
 	unsigned int good;
 	unsigned int bad;
 	unsigned int slow;
 	unsigned int rated;
-	unsigned int rating_sum;    /* thousandths */
-	unsigned int rating_squares; /* thousandths of squares */
+	unsigned int rating_sum;    /* sum of ratings, thousandths */
+	unsigned int rating_squares; /* sum of squared ratings, thousandths */
 	unsigned int tripped;
 };
 
 struct peer_load {
 	unsigned hyper server;      /* hash of its name */
-	unsigned int running;       /* this instance's own dispatches in progress */
+	unsigned int running;       /* dispatches of the sender in progress */
 };
 
 struct peer_rating {
@@ -48,21 +48,21 @@
 
 struct peer_want {
 	unsigned hyper row;
-	unsigned int parts;         /* of a million of the limit */
+	unsigned int parts;         /* millionths of the limit */
 };
 
-struct peer_end {               /* a server that ended while a request was there, or had not */
+struct peer_end {               /* suspected server crash while running a request, or its denial */
 	unsigned hyper fingerprint; /* of the request */
 	unsigned hyper server;      /* hash of its name */
-	unsigned int alive;         /* it sent a byte after it seemed to end */
+	unsigned int alive;         /* denial: the server sent a byte after the suspected crash */
 	unsigned int age_ms;
 	unsigned int ran_ms;
-	unsigned int running;       /* since its first byte */
+	unsigned int running;       /* the server had begun to answer the request */
 	unsigned int confirmed;
-	unsigned int answered_ms;   /* since the last whole answer, 4294967295 none */
+	unsigned int answered_ms;   /* since the last complete answer; 4294967295: none */
 };
 
-struct peer_held {              /* a request that is sent nowhere, or is again */
+struct peer_held {              /* a request that is quarantined, or was released */
 	unsigned hyper fingerprint;
 	string organisation<64>;
 	string target<64>;
@@ -78,7 +78,7 @@
 	unsigned hyper claims_offset;
 	peer_evidence evidence<PEER_LIST_MAX>;
 	peer_load loads<PEER_LIST_MAX>;
-	hyper asked_ms;             /* the asker's clock, echoed by grants */
+	hyper asked_ms;             /* clock of the requesting instance, echoed by grants */
 	peer_want wants<PEER_LIST_MAX>;
 	unsigned hyper first_rating; /* sequence number of the first rating below */
 	peer_rating ratings<PEER_LIST_MAX>;
@@ -97,14 +97,14 @@
 };
 
 struct peer_bills {
-	unsigned hyper noted;       /* offset of the bills stream known when the bills were made */
+	unsigned hyper noted;       /* offset of the bills stream known when the bills were created */
 	peer_bill list<PEER_LIST_MAX>;
 };
 
 struct peer_binding {
 	unsigned hyper key;
-	unsigned hyper bound_at;    /* 0: none held */
-	unsigned hyper asker;       /* handle of the asker's request */
+	unsigned hyper bound_at;    /* 0: no binding stored */
+	unsigned hyper asker;       /* handle of the request at the asking instance */
 	unsigned hyper row;         /* hash of organisation, model and version */
 	string model<64>;
 	string model_version<64>;
@@ -137,7 +137,7 @@
 	string from<64>;
 	string failure_domain<64>;
 	string address<64>;
-	unsigned hyper boot;        /* differs at every start of the instance */
+	unsigned hyper boot;        /* differs at each start of the instance */
 	unsigned hyper sequence;
 	peer_body body;
 };
--- a/packages/peer/src/codec.c
+++ b/packages/peer/src/codec.c
@@ -5,7 +5,7 @@
 
 #define MAC_BYTES 32
 
-/* The signature stands before the message it covers. */
+/* The signature precedes the message. */
 enum cw_status cw_peer_seal(const uint8_t key[CW_KEY_BYTES], struct peer_message *message,
 			    struct cw_peer_bytes *sealed)
 {
--- a/packages/peer/src/rpc.c
+++ b/packages/peer/src/rpc.c
@@ -1,5 +1,4 @@
-/* The ONC RPC between instances: one listener thread, and a connection per peer on the sender's
- * side. */
+/* ONC RPC between instances: one listener thread, and one outgoing connection per peer. */
 #include "cw_peer.h"
 
 #include <arpa/inet.h>
@@ -16,12 +15,12 @@
 #include <rpc/rpc_com.h>
 #include <unistd.h>
 
-#define POLL_MS	    100
-#define BACKLOG	    64
-#define RPC_BUFFER  65536
-#define RECEIVED    1
-#define STEP_LISTEN "peer.listen"
-#define STEP_SEND   "peer.send"
+#define POLL_INTERVAL_MS 100
+#define LISTEN_BACKLOG	 64
+#define RPC_BUFFER_BYTES 65536
+#define REPLY_RECEIVED	 1
+#define STEP_LISTEN	 "peer.listen"
+#define STEP_SEND	 "peer.send"
 
 struct cw_peer_server {
 	void (*deliver)(void *context, const void *data, size_t size);
@@ -29,7 +28,7 @@
 	SVCXPRT *transport;
 	pthread_t thread;
 	int port;
-	int stopping;
+	int is_stopping;
 };
 
 struct cw_peer_client {
@@ -38,14 +37,14 @@
 	CLIENT *rpc;
 };
 
-/* rpcgen's service function has no context of its own: a process has one listener. */
-static struct cw_peer_server *the_server;
+/* The service function of rpcgen has no context argument: one listener per process. */
+static struct cw_peer_server *active_server;
 static pthread_once_t auth_once = PTHREAD_ONCE_INIT;
 
 extern void peer_program_1(struct svc_req *request, SVCXPRT *transport);
 
-static void make_auth(void);
-static void *serve(void *data);
+static void init_auth(void);
+static void *run_server(void *data);
 static int listen_at(const char *address, int *port);
 static int parse_address(const char *address, struct sockaddr_in *parsed);
 static int connect_to(const struct sockaddr_in *address, int timeout_ms);
@@ -66,21 +65,21 @@
 		return NULL;
 	}
 	/*
-	 * Without this a peer that stops in the middle of a message holds the listener's only
-	 * thread for half a minute; it shows as every other peer falling silent. With it
-	 * connections are read without blocking.
+	 * A maximum record size makes libtirpc read connections without blocking. Otherwise a peer
+	 * that stops in the middle of a message blocks the only listener thread for half a minute,
+	 * and all other peers seem unreachable.
 	 */
 	rpc_control(RPC_SVC_CONNMAXREC_SET, &max_record);
 	server->deliver = deliver;
 	server->context = context;
-	the_server = server;
-	server->transport = svc_vc_create(fd, RPC_BUFFER, RPC_BUFFER);
+	active_server = server;
+	server->transport = svc_vc_create(fd, RPC_BUFFER_BYTES, RPC_BUFFER_BYTES);
 	if (!server->transport ||
 	    !svc_reg(server->transport, PEER_PROGRAM, PEER_VERSION, peer_program_1, NULL) ||
-	    pthread_create(&server->thread, NULL, serve, server)) {
+	    pthread_create(&server->thread, NULL, run_server, server)) {
 		cw_error_set(error, CW_UNREACHABLE, STEP_LISTEN, address,
-			     "the RPC service cannot start");
-		the_server = NULL;
+			     "cannot start the RPC service");
+		active_server = NULL;
 		g_free(server);
 		return NULL;
 	}
@@ -91,11 +90,11 @@
 {
 	if (!server)
 		return;
-	__atomic_store_n(&server->stopping, 1, __ATOMIC_RELEASE);
+	__atomic_store_n(&server->is_stopping, 1, __ATOMIC_RELEASE);
 	pthread_join(server->thread, NULL);
 	svc_unreg(PEER_PROGRAM, PEER_VERSION);
 	svc_destroy(server->transport);
-	the_server = NULL;
+	active_server = NULL;
 	g_free(server);
 }
 
@@ -106,15 +105,15 @@
 
 bool_t peer_deliver_1_svc(peer_envelope envelope, int *result, struct svc_req *request)
 {
-	/* The signature travels beside the message; the node checks it. */
+	/* The receiver expects the signature before the message, and checks it. */
 	GByteArray *sealed = g_byte_array_new();
 
 	g_byte_array_append(sealed, (const guint8 *)envelope.mac, sizeof(envelope.mac));
 	g_byte_array_append(sealed, (const guint8 *)envelope.message.message_val,
 			    envelope.message.message_len);
-	the_server->deliver(the_server->context, sealed->data, sealed->len);
+	active_server->deliver(active_server->context, sealed->data, sealed->len);
 	g_byte_array_unref(sealed);
-	*result = RECEIVED;
+	*result = REPLY_RECEIVED;
 	return TRUE;
 }
 
@@ -128,9 +127,9 @@
 {
 	struct cw_peer_client *client = g_new0(struct cw_peer_client, 1);
 
-	/* libtirpc makes its one "no authentication" on first use; two threads at once lose one of
-	 * two. */
-	pthread_once(&auth_once, make_auth);
+	/* libtirpc creates its shared "no authentication" object on first use. Without
+	 * pthread_once, two threads could create it at the same time and leak one. */
+	pthread_once(&auth_once, init_auth);
 	g_strlcpy(client->address, address, CW_ADDRESS_MAX);
 	client->timeout_ms = timeout_ms;
 	return client;
@@ -150,7 +149,7 @@
 	struct timeval timeout = {client->timeout_ms / 1000, (client->timeout_ms % 1000) * 1000};
 	const size_t mac_size = sizeof(((peer_envelope *)NULL)->mac);
 	peer_envelope envelope;
-	enum clnt_stat answer;
+	enum clnt_stat status;
 	int received = 0;
 
 	if (!client->rpc)
@@ -160,32 +159,32 @@
 	memcpy(envelope.mac, data, mac_size);
 	envelope.message.message_val = (char *)data + mac_size;
 	envelope.message.message_len = (u_int)(size - mac_size);
-	answer = clnt_call(client->rpc, PEER_DELIVER, (xdrproc_t)xdr_peer_envelope,
+	status = clnt_call(client->rpc, PEER_DELIVER, (xdrproc_t)xdr_peer_envelope,
 			   (caddr_t)&envelope, (xdrproc_t)xdr_int, (caddr_t)&received, timeout);
-	if (answer == RPC_SUCCESS && received == RECEIVED)
+	if (status == RPC_SUCCESS && received == REPLY_RECEIVED)
 		return CW_OK;
-	/* Messages are idempotent: what may have arrived is simply sent again in a later beat. */
+	/* Messages are idempotent: a later heartbeat repeats what may not have arrived. */
 	client_disconnect(client);
 	return cw_error_set(error, CW_UNKNOWN, STEP_SEND, client->address, "%s",
-			    clnt_sperrno(answer));
+			    clnt_sperrno(status));
 }
 
-static void make_auth(void)
+static void init_auth(void)
 {
 	authnone_create();
 }
 
-static void *serve(void *data)
+static void *run_server(void *data)
 {
 	struct cw_peer_server *server = data;
 
-	while (!__atomic_load_n(&server->stopping, __ATOMIC_ACQUIRE)) {
+	while (!__atomic_load_n(&server->is_stopping, __ATOMIC_ACQUIRE)) {
 		int count = svc_max_pollfd;
 		struct pollfd *set = g_new(struct pollfd, (size_t)count + 1);
 		int ready;
 
 		memcpy(set, svc_pollfd, sizeof(*set) * (size_t)count);
-		ready = poll(set, (nfds_t)count, POLL_MS);
+		ready = poll(set, (nfds_t)count, POLL_INTERVAL_MS);
 		if (ready > 0)
 			svc_getreq_poll(set, ready);
 		g_free(set);
@@ -197,7 +196,7 @@
 {
 	struct sockaddr_in parsed;
 	socklen_t size = sizeof(parsed);
-	int yes = 1;
+	int enabled = 1;
 	int fd;
 
 	if (parse_address(address, &parsed)) {
@@ -205,8 +204,8 @@
 		return -1;
 	}
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
-	if (bind(fd, (struct sockaddr *)&parsed, sizeof(parsed)) || listen(fd, BACKLOG)) {
+	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof(enabled));
+	if (bind(fd, (struct sockaddr *)&parsed, sizeof(parsed)) || listen(fd, LISTEN_BACKLOG)) {
 		close(fd);
 		return -1;
 	}
@@ -235,12 +234,12 @@
 static int connect_to(const struct sockaddr_in *address, int timeout_ms)
 {
 	struct pollfd wait;
-	int failure = 0;
-	socklen_t size = sizeof(failure);
-	int yes = 1;
+	int socket_error = 0;
+	socklen_t size = sizeof(socket_error);
+	int enabled = 1;
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
 
-	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof(yes));
+	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof(enabled));
 	if (connect(fd, (const struct sockaddr *)address, sizeof(*address)) &&
 	    errno != EINPROGRESS) {
 		close(fd);
@@ -249,7 +248,7 @@
 	wait.fd = fd;
 	wait.events = POLLOUT;
 	if (poll(&wait, 1, timeout_ms) != 1 ||
-	    getsockopt(fd, SOL_SOCKET, SO_ERROR, &failure, &size) || failure) {
+	    getsockopt(fd, SOL_SOCKET, SO_ERROR, &socket_error, &size) || socket_error) {
 		close(fd);
 		return -1;
 	}
@@ -270,12 +269,12 @@
 	if (fd < 0)
 		return cw_error_set(error, CW_UNREACHABLE, STEP_SEND, client->address,
 				    "no connection");
-	client->rpc =
-		clnt_vc_create(fd, &target, PEER_PROGRAM, PEER_VERSION, RPC_BUFFER, RPC_BUFFER);
+	client->rpc = clnt_vc_create(fd, &target, PEER_PROGRAM, PEER_VERSION, RPC_BUFFER_BYTES,
+				     RPC_BUFFER_BYTES);
 	if (!client->rpc) {
 		close(fd);
 		return cw_error_set(error, CW_UNREACHABLE, STEP_SEND, client->address,
-				    "no RPC client");
+				    "cannot create the RPC client");
 	}
 	clnt_control(client->rpc, CLSET_FD_CLOSE, NULL);
 	return CW_OK;
