--- a/packages/flow/include/cw_flow.h
+++ b/packages/flow/include/cw_flow.h
@@ -25,7 +25,7 @@
 struct cw_flow_limits {
 	size_t header_bytes; /* names, values and the target together */
 	size_t body_bytes;
-	int64_t header_ms; /* from the first byte of a request to the end of its header fields */
+	int64_t header_ms; /* from the first byte of a request to its end, body included */
 	int64_t idle_ms;   /* between two requests on a connection */
 };
 
--- a/packages/flow/src/listener.c
+++ b/packages/flow/src/listener.c
@@ -5,7 +5,7 @@
 
 #define SWEEP_INTERVAL_MS    500  /* between two checks of the timeouts of all connections */
 #define LINGER_TIMEOUT_MS    1000 /* reading goes on: unread bytes would reset the connection */
-#define PIPELINED_MAX_BYTES  (64 * 1024) /* limit of what is read during an answer */
+#define PIPELINED_MAX_BYTES  (64 * 1024) /* reading pauses above this until the answer is sent */
 #define DEFAULT_HEADER_BYTES (16 * 1024) /* until cw_listener_limits is called */
 #define DEFAULT_BODY_BYTES   (4 * 1024 * 1024)
 #define DEFAULT_HEADER_MS    5000
--- a/packages/http/include/cw_http_server.h
+++ b/packages/http/include/cw_http_server.h
@@ -16,7 +16,7 @@
 	const char *path; /* as sent, with its query */
 	const char *body;
 	size_t body_size;
-	const char *peer;
+	const char *peer;    /* IP address of the caller */
 	const void *headers; /* for cw_http_header */
 };
 
--- a/packages/peer/peer.x
+++ b/packages/peer/peer.x
@@ -1,4 +1,4 @@
-/* Messages between instances. One call carries one signed message; the reply only acknowledges it. */
+/* Messages between instances. A call carries one signed message; the reply only acknowledges it. */
 
 const PEER_TEXT_MAX = 1048576;
 const PEER_LIST_MAX = 1024;
