--- a/apps/corianderwalk/callers.c
+++ b/apps/corianderwalk/callers.c
@@ -15,43 +15,46 @@
 #define MAX_TOKENS_MAX		10000000
 #define DEADLINE_MS_MAX		86400000LL
 
-static void handle_chat(struct daemon *daemon, const struct cw_http_in *in,
-			struct cw_http_out *out);
-static void handle_service(struct daemon *daemon, const struct cw_http_in *in,
-			   struct cw_http_out *out);
-static void handle_models(struct daemon *daemon, const struct cw_http_in *in,
-			  struct cw_http_out *out);
-static int read_key(const struct cw_http_in *in, char key_sha256[CW_SHA256_HEX],
-		    struct cw_http_out *out);
-static int read_headers(const struct cw_http_in *in, struct cw_node_request *request,
-			struct cw_http_out *out);
-static int read_header(const struct cw_http_in *in, const char *name, const char *extra_characters,
-		       char *text, size_t size, struct cw_http_out *out);
-static int read_deadline(const struct cw_http_in *in, struct cw_node_request *request,
-			 struct cw_http_out *out);
-static int read_priority(const struct cw_http_in *in, struct cw_node_request *request,
-			 struct cw_http_out *out);
-static int read_completion(const struct cw_http_in *in, struct job_in *job,
-			   struct cw_http_out *out);
+static void handle_chat(struct daemon *daemon, const struct cw_http_request *in,
+			struct cw_http_response *out);
+static void handle_service(struct daemon *daemon, const struct cw_http_request *in,
+			   struct cw_http_response *out);
+static void handle_models(struct daemon *daemon, const struct cw_http_request *in,
+			  struct cw_http_response *out);
+static int read_key(const struct cw_http_request *in, char key_sha256[CW_SHA256_HEX],
+		    struct cw_http_response *out);
+static int read_headers(const struct cw_http_request *in, struct cw_node_request *request,
+			struct cw_http_response *out);
+static int read_header(const struct cw_http_request *in, const char *name,
+		       const char *extra_characters, char *text, size_t size,
+		       struct cw_http_response *out);
+static int read_deadline(const struct cw_http_request *in, struct cw_node_request *request,
+			 struct cw_http_response *out);
+static int read_priority(const struct cw_http_request *in, struct cw_node_request *request,
+			 struct cw_http_response *out);
+static int read_completion(const struct cw_http_request *in, struct job_in *job,
+			   struct cw_http_response *out);
 static const char *validate_completion(struct json_object *body, struct cw_node_request *request);
 static uint64_t hash_prompt_prefix(struct json_object *messages);
 static void generate_request_id(char *id, size_t size);
-static int is_idempotent(const struct cw_http_in *in);
-static void write_bad_request(struct cw_http_out *out, const char *format, ...)
+static int is_idempotent(const struct cw_http_request *in);
+static void write_bad_request(struct cw_http_response *out, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
 
-void callers_handle_request(void *context, const struct cw_http_in *in, struct cw_http_out *out)
+void callers_handle_request(void *context, const struct cw_http_request *in,
+			    struct cw_http_response *out)
 {
 	struct daemon *daemon = context;
 
-	cw_count("requests_total", "", 1);
+	cw_counter_add("requests_total", "", 1);
 	if (operators_handle_health(daemon, in->path, out))
 		return;
 	/* Each request takes one or two threads: beyond this number further requests would only
 	 * slow down those in progress. */
 	if (__atomic_load_n(&daemon->jobs_running, __ATOMIC_RELAXED) >=
 	    daemon->settings->max_requests) {
-		callers_write_error(out, CW_CODE_OVERLOADED, CW_RUN_NOT, OVERLOAD_RETRY_AFTER_MS,
+		callers_write_error(out, CW_CODE_OVERLOADED, CW_RUN_NOT_EXECUTED,
+				    OVERLOAD_RETRY_AFTER_MS,
 				    "this instance has all the requests it takes");
 		return;
 	}
@@ -61,18 +64,19 @@
 		if (!strcmp(in->method, "POST"))
 			handle_chat(daemon, in, out);
 		else
-			callers_write_error(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0,
+			callers_write_error(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT_EXECUTED, 0,
 					    "only POST is understood here");
 	} else if (!strcmp(in->path, "/v1/models")) {
 		handle_models(daemon, in, out);
 	} else {
-		callers_write_error(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0, "no such path");
+		callers_write_error(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT_EXECUTED, 0,
+				    "no such path");
 		out->status = 404;
 	}
 }
 
-void callers_write_error(struct cw_http_out *out, enum cw_error_code code, enum cw_run run,
-			 int64_t retry_after_ms, const char *message)
+void callers_write_error(struct cw_http_response *out, enum cw_error_code code,
+			 enum cw_run_state run, int64_t retry_after_ms, const char *message)
 {
 	struct json_object *body = json_object_new_object();
 	struct json_object *error = json_object_new_object();
@@ -83,16 +87,18 @@
 	json_object_object_add(error, "run", json_object_new_string(cw_run_name(run)));
 	json_object_object_add(error, "retry_after_ms", json_object_new_int64(retry_after_ms));
 	json_object_object_add(body, "error", error);
-	cw_http_out_json(out, cw_error_code_http_status(code),
-			 g_strdup(json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN)));
+	cw_http_response_set_json(
+		out, cw_error_code_http_status(code),
+		g_strdup(json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN)));
 	json_object_put(body);
 	if (retry_after_ms <= 0)
 		return;
 	g_snprintf(seconds, sizeof(seconds), "%" G_GINT64_FORMAT, (retry_after_ms + 999) / 1000);
-	cw_http_out_header(out, "Retry-After", seconds);
+	cw_http_response_add_header(out, "Retry-After", seconds);
 }
 
-static void handle_chat(struct daemon *daemon, const struct cw_http_in *in, struct cw_http_out *out)
+static void handle_chat(struct daemon *daemon, const struct cw_http_request *in,
+			struct cw_http_response *out)
 {
 	struct job_in job = {0};
 
@@ -104,12 +110,12 @@
 	job_respond(job_create(daemon, &job), out);
 }
 
-static void handle_service(struct daemon *daemon, const struct cw_http_in *in,
-			   struct cw_http_out *out)
+static void handle_service(struct daemon *daemon, const struct cw_http_request *in,
+			   struct cw_http_response *out)
 {
 	const char *name = in->path + strlen(SERVICES_PREFIX);
 	size_t length = strcspn(name, "/?");
-	const char *content_type = cw_http_header(in, "Content-Type");
+	const char *content_type = cw_http_request_header(in, "Content-Type");
 	struct job_in job = {0};
 
 	if (length == 0 || length >= CW_NAME_MAX - strlen(CW_SERVICE_PREFIX)) {
@@ -132,8 +138,8 @@
 	job_respond(job_create(daemon, &job), out);
 }
 
-static void handle_models(struct daemon *daemon, const struct cw_http_in *in,
-			  struct cw_http_out *out)
+static void handle_models(struct daemon *daemon, const struct cw_http_request *in,
+			  struct cw_http_response *out)
 {
 	char key_sha256[CW_SHA256_HEX];
 	int status;
@@ -143,23 +149,23 @@
 		return;
 	answer = job_query(daemon, CW_QUERY_MODELS, key_sha256, &status);
 	if (answer)
-		cw_http_out_json(out, status, answer);
+		cw_http_response_set_json(out, status, answer);
 	else if (status == 401)
-		callers_write_error(out, CW_CODE_UNAUTHORISED, CW_RUN_NOT, 0,
+		callers_write_error(out, CW_CODE_UNAUTHORISED, CW_RUN_NOT_EXECUTED, 0,
 				    "no organisation has this key");
 	else
-		callers_write_error(out, CW_CODE_OVERLOADED, CW_RUN_NOT, 1000,
+		callers_write_error(out, CW_CODE_OVERLOADED, CW_RUN_NOT_EXECUTED, 1000,
 				    "this instance is behind");
 }
 
-static int read_key(const struct cw_http_in *in, char key_sha256[CW_SHA256_HEX],
-		    struct cw_http_out *out)
+static int read_key(const struct cw_http_request *in, char key_sha256[CW_SHA256_HEX],
+		    struct cw_http_response *out)
 {
-	const char *value = cw_http_header(in, "Authorization");
+	const char *value = cw_http_request_header(in, "Authorization");
 
 	if (!value || !g_str_has_prefix(value, BEARER_PREFIX) ||
 	    strlen(value) > AUTHORIZATION_MAX) {
-		callers_write_error(out, CW_CODE_UNAUTHORISED, CW_RUN_NOT, 0,
+		callers_write_error(out, CW_CODE_UNAUTHORISED, CW_RUN_NOT_EXECUTED, 0,
 				    "Authorization: Bearer KEY is missing");
 		return 0;
 	}
@@ -168,10 +174,10 @@
 	return 1;
 }
 
-static int read_headers(const struct cw_http_in *in, struct cw_node_request *request,
-			struct cw_http_out *out)
+static int read_headers(const struct cw_http_request *in, struct cw_node_request *request,
+			struct cw_http_response *out)
 {
-	const char *token = cw_http_header(in, "X-Session-Token");
+	const char *token = cw_http_request_header(in, "X-Session-Token");
 
 	if (!read_header(in, "X-Request-Id", "-_.:", request->request_id,
 			 sizeof(request->request_id), out) ||
@@ -192,10 +198,11 @@
 }
 
 /* extra_characters: allowed besides letters and digits; NULL: all printable ones but '"'. */
-static int read_header(const struct cw_http_in *in, const char *name, const char *extra_characters,
-		       char *text, size_t size, struct cw_http_out *out)
+static int read_header(const struct cw_http_request *in, const char *name,
+		       const char *extra_characters, char *text, size_t size,
+		       struct cw_http_response *out)
 {
-	const char *value = cw_http_header(in, name);
+	const char *value = cw_http_request_header(in, name);
 
 	if (!value || !*value)
 		return 1;
@@ -214,10 +221,10 @@
 	return 1;
 }
 
-static int read_deadline(const struct cw_http_in *in, struct cw_node_request *request,
-			 struct cw_http_out *out)
+static int read_deadline(const struct cw_http_request *in, struct cw_node_request *request,
+			 struct cw_http_response *out)
 {
-	const char *value = cw_http_header(in, "X-Deadline-Ms");
+	const char *value = cw_http_request_header(in, "X-Deadline-Ms");
 	char *end;
 	int64_t timeout_ms;
 
@@ -232,10 +239,10 @@
 	return 1;
 }
 
-static int read_priority(const struct cw_http_in *in, struct cw_node_request *request,
-			 struct cw_http_out *out)
+static int read_priority(const struct cw_http_request *in, struct cw_node_request *request,
+			 struct cw_http_response *out)
 {
-	const char *value = cw_http_header(in, "X-Priority");
+	const char *value = cw_http_request_header(in, "X-Priority");
 
 	if (!value || !strcmp(value, "interactive"))
 		return 1;
@@ -247,7 +254,8 @@
 	return 1;
 }
 
-static int read_completion(const struct cw_http_in *in, struct job_in *job, struct cw_http_out *out)
+static int read_completion(const struct cw_http_request *in, struct job_in *job,
+			   struct cw_http_response *out)
 {
 	struct json_tokener *tokener = json_tokener_new();
 	struct json_object *body = NULL;
@@ -324,9 +332,9 @@
 		   random[1]);
 }
 
-static int is_idempotent(const struct cw_http_in *in)
+static int is_idempotent(const struct cw_http_request *in)
 {
-	const char *marked = cw_http_header(in, "X-Idempotent");
+	const char *marked = cw_http_request_header(in, "X-Idempotent");
 
 	if (!strcmp(in->method, "GET") || !strcmp(in->method, "HEAD") ||
 	    !strcmp(in->method, "PUT") || !strcmp(in->method, "DELETE"))
@@ -334,7 +342,7 @@
 	return marked && !strcmp(marked, "true");
 }
 
-static void write_bad_request(struct cw_http_out *out, const char *format, ...)
+static void write_bad_request(struct cw_http_response *out, const char *format, ...)
 {
 	char message[CW_MESSAGE_MAX];
 	va_list args;
@@ -342,5 +350,5 @@
 	va_start(args, format);
 	g_vsnprintf(message, sizeof(message), format, args);
 	va_end(args);
-	callers_write_error(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT, 0, message);
+	callers_write_error(out, CW_CODE_BAD_REQUEST, CW_RUN_NOT_EXECUTED, 0, message);
 }
--- a/apps/corianderwalk/core.c
+++ b/apps/corianderwalk/core.c
@@ -167,28 +167,28 @@
 
 	switch (effect->kind) {
 	case CW_EFFECT_DISPATCH:
-		cw_count("dispatches_total", "", 1);
+		cw_counter_add("dispatches_total", "", 1);
 		break;
 	case CW_EFFECT_RELEASE:
-		cw_count("answers_total", "", 1);
+		cw_counter_add("answers_total", "", 1);
 		break;
 	case CW_EFFECT_REPLAY:
-		cw_count("replays_total", "", 1);
+		cw_counter_add("replays_total", "", 1);
 		break;
 	case CW_EFFECT_REJECT:
 		g_snprintf(label, sizeof(label), "code=\"%s\",run=\"%s\"",
 			   cw_error_code_name(effect->reject.code),
 			   cw_run_name(effect->reject.run));
-		cw_count("refusals_total", label, 1);
+		cw_counter_add("refusals_total", label, 1);
 		break;
 	case CW_EFFECT_SEND:
-		cw_count("peer_messages_total", "", 1);
-		cw_count("peer_bytes_total", "", effect->send.bytes.size);
+		cw_counter_add("peer_messages_total", "", 1);
+		cw_counter_add("peer_bytes_total", "", effect->send.bytes.size);
 		break;
 	case CW_EFFECT_APPEND:
 		g_snprintf(label, sizeof(label), "stream=\"%s\"",
 			   cw_stream_name(effect->append.stream));
-		cw_count("appends_total", label, 1);
+		cw_counter_add("appends_total", label, 1);
 		break;
 	default:
 		break;
--- a/apps/corianderwalk/daemon.h
+++ b/apps/corianderwalk/daemon.h
@@ -68,13 +68,16 @@
 		       struct cw_effect *effect); /* takes ownership of the effect */
 
 /* callers.c */
-void callers_handle_request(void *context, const struct cw_http_in *in, struct cw_http_out *out);
-void callers_write_error(struct cw_http_out *out, enum cw_error_code code, enum cw_run run,
-			 int64_t retry_after_ms, const char *message);
+void callers_handle_request(void *context, const struct cw_http_request *in,
+			    struct cw_http_response *out);
+void callers_write_error(struct cw_http_response *out, enum cw_error_code code,
+			 enum cw_run_state run, int64_t retry_after_ms, const char *message);
 
 /* operators.c */
-void operators_handle_request(void *context, const struct cw_http_in *in, struct cw_http_out *out);
-int operators_handle_health(struct daemon *daemon, const char *path,
-			    struct cw_http_out *out); /* 1: path was /live or /ready, out is set */
+void operators_handle_request(void *context, const struct cw_http_request *in,
+			      struct cw_http_response *out);
+int operators_handle_health(
+	struct daemon *daemon, const char *path,
+	struct cw_http_response *out); /* 1: path was /live or /ready, out is set */
 
 #endif
--- a/apps/corianderwalk/duties.c
+++ b/apps/corianderwalk/duties.c
@@ -328,7 +328,7 @@
 		.body_size = strlen(body),
 		.connect_ms = ORDER_CONNECT_TIMEOUT_MS,
 		.total_ms = (int)effect->order.timeout_ms,
-		.once = 1,
+		.forbids_retry = 1,
 		.max_size = ANSWER_BYTES_MAX,
 	};
 	struct cw_http_answer answer;
@@ -422,7 +422,7 @@
 {
 	struct sender *sender = data;
 
-	while (!cw_ring_is_closed(sender->ring)) {
+	while (!cw_ring_is_drained(sender->ring)) {
 		struct cw_effect *effect = cw_ring_pop(sender->ring, WAIT_FOREVER);
 		struct cw_peer_client *client;
 
@@ -434,7 +434,7 @@
 			g_hash_table_insert(sender->clients, g_strdup(effect->send.address),
 					    client);
 		}
-		cw_peer_send(client, effect->send.bytes.data, effect->send.bytes.size, NULL);
+		cw_peer_client_send(client, effect->send.bytes.data, effect->send.bytes.size, NULL);
 		cw_effect_destroy(effect);
 	}
 	return NULL;
--- a/apps/corianderwalk/entry.c
+++ b/apps/corianderwalk/entry.c
@@ -49,8 +49,8 @@
 		return EXIT_BAD_SETTINGS;
 	}
 	cw_timeline_open(entry.settings.instance, "info");
-	cw_timeline_keep(0);
-	cw_timeline_writer(STDOUT_FILENO);
+	cw_timeline_set_capacity(0);
+	cw_timeline_start_writer(STDOUT_FILENO);
 	uv_loop_init(&entry.loop);
 	TAILQ_INIT(&entry.relays);
 	open_gate(&entry);
@@ -111,7 +111,7 @@
 		.idle_ms = config_limits->idle_ms,
 	};
 
-	cw_listener_limits(entry->caller_listener, &limits);
+	cw_listener_set_limits(entry->caller_listener, &limits);
 }
 
 static void open_gate(struct entry *entry)
@@ -186,24 +186,24 @@
 
 	if (cw_up_is_readiness_probe(request))
 		status = entry_is_ready(entry) ? HTTP_STATUS_OK : HTTP_STATUS_SERVICE_UNAVAILABLE;
-	cw_caller_head(caller, status, "", 0);
-	cw_caller_end(caller);
+	cw_caller_send_head(caller, status, "", 0);
+	cw_caller_end_answer(caller);
 }
 
 static void on_metrics_request(void *context, struct cw_caller *caller, struct cw_message *request)
 {
-	char *text = cw_counters_text();
+	char *text = cw_counters_format();
 
-	cw_caller_head(caller, HTTP_STATUS_OK, "Content-Type: text/plain; version=0.0.4\r\n",
-		       (int64_t)strlen(text));
-	cw_caller_data(caller, text, strlen(text));
-	cw_caller_end(caller);
+	cw_caller_send_head(caller, HTTP_STATUS_OK, "Content-Type: text/plain; version=0.0.4\r\n",
+			    (int64_t)strlen(text));
+	cw_caller_send_body(caller, text, strlen(text));
+	cw_caller_end_answer(caller);
 	g_free(text);
 }
 
 static void on_unreadable_request(void *context, unsigned int status, const char *reason)
 {
-	cw_count("unreadable_requests", "", 1);
+	cw_counter_add("unreadable_requests", "", 1);
 	cw_warn("entry", "unreadable_request", "status=%u reason=\"%s\"", status, reason);
 }
 
@@ -223,9 +223,9 @@
 	if (entry->stop_requested_ms)
 		return;
 	entry->stop_requested_ms = entry_now_ms(entry);
-	cw_listener_leave(entry->caller_listener);
+	cw_listener_start_draining(entry->caller_listener);
 	cw_event("entry", "stopping", "signal=%d running=%zu connections=%zu", number,
-		 entry->relay_count, cw_listener_connections(entry->caller_listener));
+		 entry->relay_count, cw_listener_count_connections(entry->caller_listener));
 }
 
 static void on_reload(uv_signal_t *handle, int number)
--- a/apps/corianderwalk/entry_append.c
+++ b/apps/corianderwalk/entry_append.c
@@ -15,11 +15,11 @@
 		.address = feed->entry->settings.store,
 		.bytes = bytes,
 		.connect_ms = FEED_CONNECT_MS,
-		.silence_ms = FEED_CALL_MS,
+		.read_timeout_ms = FEED_CALL_MS,
 	};
 
 	append->http_status = 0;
-	cw_count("store_calls", "", 1);
+	cw_counter_add("store_calls", "", 1);
 	append->exchange = cw_client_send(feed->client, &request, &append_ops, append);
 }
 
--- a/apps/corianderwalk/entry_news.c
+++ b/apps/corianderwalk/entry_news.c
@@ -78,7 +78,7 @@
 
 	if (!cw_pool_drain(cw_gate_pool(entry->gate), order, entry_now_ms(entry)))
 		return;
-	cw_count(order->is_drained ? "domains_drained" : "domains_restored", "", 1);
+	cw_counter_add(order->is_drained ? "domains_drained" : "domains_restored", "", 1);
 	cw_event("feed", order->is_drained ? "domain_drained" : "domain_restored",
 		 "domain=%s offset=%lu source=%s", order->failure_domain,
 		 (unsigned long)order->offset, source);
@@ -115,7 +115,7 @@
 		cw_pool_apply_entry(cw_gate_pool(feed->entry->gate), entry, now_ms);
 
 	if (listing == CW_LISTING_FULL)
-		cw_count("servers_not_kept", "", 1);
+		cw_counter_add("servers_not_kept", "", 1);
 	if (listing == CW_LISTING_RESTARTED)
 		relay_fail_superseded(feed->entry);
 	if (listing == CW_LISTING_NEW || listing == CW_LISTING_RESTARTED)
--- a/apps/corianderwalk/entry_peers.c
+++ b/apps/corianderwalk/entry_peers.c
@@ -86,7 +86,8 @@
 	uv_udp_init(&entry->loop, &peers->socket);
 	uv_timer_init(&entry->loop, &peers->timer);
 	peers->socket.data = peers->timer.data = peers;
-	code = cw_flow_address(settings->peers_listen, &socket_address) == CW_OK ? 0 : UV_EINVAL;
+	code = cw_flow_parse_address(settings->peers_listen, &socket_address) == CW_OK ? 0
+										       : UV_EINVAL;
 	if (!code)
 		code = uv_udp_bind(&peers->socket, (const struct sockaddr *)&socket_address, 0);
 	if (!code)
@@ -221,7 +222,7 @@
 	if (cw_gossip_decode(buffer->base, (size_t)size, gossip) == CW_OK)
 		merge_announcement(peers, gossip);
 	else
-		cw_count("peer_messages_ignored", "", 1);
+		cw_counter_add("peer_messages_ignored", "", 1);
 	g_free(gossip);
 }
 
@@ -301,12 +302,12 @@
 	struct sockaddr_in socket_address;
 	uv_buf_t buffer = uv_buf_init((char *)message->bytes, (unsigned int)message->size);
 
-	if (message->size == 0 || cw_flow_address(address, &socket_address) != CW_OK)
+	if (message->size == 0 || cw_flow_parse_address(address, &socket_address) != CW_OK)
 		return;
 	/* A full socket buffer drops the message, as the network may; the next one follows. */
 	if (uv_udp_try_send(&peers->socket, &buffer, 1, (const struct sockaddr *)&socket_address) <
 	    0)
-		cw_count("peer_messages_unsent", "", 1);
+		cw_counter_add("peer_messages_unsent", "", 1);
 }
 
 static void merge_announcement(struct peers *peers, const struct cw_gossip *gossip)
--- a/apps/corianderwalk/entry_quarantine.c
+++ b/apps/corianderwalk/entry_quarantine.c
@@ -51,8 +51,8 @@
 	}
 	if (!has_changes)
 		return;
-	cw_gauge("quarantined", "",
-		 cw_quarantine_list(quarantine, now_ms, records, CW_QUARANTINE_MAX));
+	cw_gauge_set("quarantined", "",
+		     cw_quarantine_list(quarantine, now_ms, records, CW_QUARANTINE_MAX));
 	relay_abort_quarantined(entry);
 	peers_announce(entry->peers);
 }
@@ -64,7 +64,7 @@
 
 	g_snprintf(label, sizeof(label), "source=\"%s\"",
 		   cw_quarantine_source_name(change->source));
-	cw_count(record->is_released ? "quarantine_released" : "quarantine_held", label, 1);
+	cw_counter_add(record->is_released ? "quarantine_released" : "quarantine_held", label, 1);
 	cw_event("gate", record->is_released ? "quarantine_released" : "quarantined",
 		 "fingerprint=%016lx organisation=%s route=%s ends=%u rivals=%u age_ms=%u "
 		 "source=%s",
--- a/apps/corianderwalk/entry_reach.c
+++ b/apps/corianderwalk/entry_reach.c
@@ -55,7 +55,7 @@
 	probe = g_new0(struct probe, 1);
 	probe->entry = entry;
 	probe->server_id = server->id;
-	cw_count("server_probes", "", 1);
+	cw_counter_add("server_probes", "", 1);
 	cw_client_probe(entry->server_client, server->address, PROBE_TIMEOUT_MS,
 			on_crash_probe_done, probe);
 }
@@ -68,7 +68,7 @@
 	probe->server_id = server->id;
 	probe->probed_ms = server->probed_ms;
 	probe->attempt = attempt;
-	cw_count("server_probes", "", 1);
+	cw_counter_add("server_probes", "", 1);
 	cw_client_probe(entry->server_client, server->address, PROBE_TIMEOUT_MS, on_probe_done,
 			probe);
 }
--- a/apps/corianderwalk/entry_relay.c
+++ b/apps/corianderwalk/entry_relay.c
@@ -65,7 +65,7 @@
 	struct cw_request_info info;
 
 	entry->last_request_ms = entry_now_ms(entry);
-	cw_count("requests", "", 1);
+	cw_counter_add("requests", "", 1);
 	if (cw_up_parse_request(request, &info, &error) != CW_OK) {
 		reject_bad_request(caller, &error);
 		return;
@@ -83,7 +83,7 @@
 	relay->deadline_timer.data = relay;
 	TAILQ_INSERT_TAIL(&entry->relays, relay, link);
 	entry->relay_count++;
-	cw_caller_attach(caller, relay);
+	cw_caller_set_request(caller, relay);
 	if (entry_is_synced(entry))
 		open_call(relay);
 	else
@@ -118,7 +118,7 @@
 
 	relay->call =
 		cw_call_open(entry->gate, &relay->request_info, relay->opened_ms, now_ms, &step);
-	if (cw_caller_is_late(relay->caller))
+	if (cw_caller_is_listener_closed(relay->caller))
 		cw_call_reject(relay->call, now_ms, "this instance is stopping", &step);
 	remaining_ms = cw_call_deadline_ms(relay->call) - now_ms;
 	uv_timer_start(&relay->deadline_timer, on_deadline, (uint64_t)MAX(remaining_ms, 1), 0);
@@ -130,7 +130,7 @@
 	struct relay *relay = context;
 
 	relay->caller = NULL;
-	cw_count("callers_gone", "", 1);
+	cw_counter_add("callers_gone", "", 1);
 	finish(relay, "caller_left");
 }
 
@@ -155,7 +155,7 @@
 
 	TAILQ_FOREACH(server, cw_pool_servers(cw_gate_pool(entry->gate)), link)
 		if (server->is_superseded)
-			cw_client_forget(entry->server_client, server->address);
+			cw_client_close_idle(entry->server_client, server->address);
 	while (relay) {
 		struct relay *next = TAILQ_NEXT(relay, link);
 
@@ -164,7 +164,7 @@
 			int is_sent = cw_exchange_is_sent(relay->exchange);
 
 			cancel_exchange(relay);
-			on_failed(relay, is_sent ? CW_FLOW_BROKEN : CW_FLOW_UNSENT);
+			on_failed(relay, is_sent ? CW_FLOW_CONNECTION_LOST : CW_FLOW_NO_CONNECTION);
 		}
 		relay = next;
 	}
@@ -180,7 +180,7 @@
 		if (relay->exchange && cw_call_server(relay->call) == server &&
 		    cw_call_may_change_server(relay->call)) {
 			cancel_exchange(relay);
-			on_failed(relay, CW_FLOW_SILENT);
+			on_failed(relay, CW_FLOW_TIMED_OUT);
 		}
 		relay = next;
 	}
@@ -221,7 +221,7 @@
 		send_attempt(relay, step);
 		break;
 	case CW_STEP_FORWARD:
-		cw_exchange_set_silence(relay->exchange, step->silence_ms);
+		cw_exchange_set_read_timeout(relay->exchange, step->read_timeout_ms);
 		break;
 	case CW_STEP_REJECT:
 		reject(relay, step);
@@ -249,7 +249,7 @@
 		.is_head = relay->request_info.is_head,
 		.reuse_idle_ms = step->reuse_idle_ms,
 		.connect_ms = step->connect_ms,
-		.silence_ms = step->silence_ms,
+		.read_timeout_ms = step->read_timeout_ms,
 		.echo_name = cw_up_echoed_field_name(),
 		.echo_value = relay->request_info.id,
 	};
@@ -257,7 +257,7 @@
 	cancel_exchange(relay);
 	relay->sent_ms = entry_now_ms(relay->entry);
 	cw_up_format_request(relay->request, &step->dispatch, step->server->address, bytes);
-	cw_count("attempts", "", 1);
+	cw_counter_add("attempts", "", 1);
 	cw_event("gate", "dispatch",
 		 "request=%s attempt=%u server=%s address=%s software=%s route=%s model=%s "
 		 "allowed_ms=%ld "
@@ -369,7 +369,7 @@
 		return;
 	if (!relay->is_head_sent)
 		send_head(relay, CW_FLOW_CHUNKED);
-	if (cw_caller_data(relay->caller, out->str, out->len) && relay->exchange) {
+	if (cw_caller_send_body(relay->caller, out->str, out->len) && relay->exchange) {
 		relay->is_paused = 1;
 		cw_exchange_pause(relay->exchange, 1);
 	}
@@ -383,7 +383,7 @@
 	struct cw_step step;
 
 	relay->exchange = NULL;
-	if (relay->is_stream && cw_events_left(relay->event_parser) > 0) {
+	if (relay->is_stream && cw_events_count_pending_bytes(relay->event_parser) > 0) {
 		cw_call_handle_failure(relay->call, CW_ATTEMPT_CONNECTION_LOST, now_ms, &step);
 		apply_step(relay, &step);
 		return;
@@ -396,9 +396,10 @@
 
 		send_head(relay,
 			  has_no_body ? CW_FLOW_NO_BODY : (int64_t)relay->response_body->len);
-		cw_caller_data(relay->caller, relay->response_body->str, relay->response_body->len);
+		cw_caller_send_body(relay->caller, relay->response_body->str,
+				    relay->response_body->len);
 	}
-	cw_caller_end(relay->caller);
+	cw_caller_end_answer(relay->caller);
 	relay->caller = NULL;
 	finish(relay, "answered");
 }
@@ -406,18 +407,18 @@
 static void on_failed(void *context, enum cw_flow_failure failure)
 {
 	static const enum cw_attempt_failure attempt_failures[] = {
-		[CW_FLOW_UNSENT] = CW_ATTEMPT_NO_CONNECTION,
-		[CW_FLOW_REFUSED] = CW_ATTEMPT_CONNECTION_REFUSED,
-		[CW_FLOW_BROKEN] = CW_ATTEMPT_CONNECTION_LOST,
-		[CW_FLOW_GARBLED] = CW_ATTEMPT_MALFORMED,
-		[CW_FLOW_SILENT] = CW_ATTEMPT_TIMED_OUT,
+		[CW_FLOW_NO_CONNECTION] = CW_ATTEMPT_NO_CONNECTION,
+		[CW_FLOW_CONNECTION_REFUSED] = CW_ATTEMPT_CONNECTION_REFUSED,
+		[CW_FLOW_CONNECTION_LOST] = CW_ATTEMPT_CONNECTION_LOST,
+		[CW_FLOW_MALFORMED] = CW_ATTEMPT_MALFORMED,
+		[CW_FLOW_TIMED_OUT] = CW_ATTEMPT_TIMED_OUT,
 	};
 	struct relay *relay = context;
 	struct cw_server *server = cw_call_server(relay->call);
 	struct cw_step step;
 
 	relay->exchange = NULL;
-	if (failure == CW_FLOW_BROKEN && server)
+	if (failure == CW_FLOW_CONNECTION_LOST && server)
 		reach_probe_crashed(relay->entry, server);
 	cw_event("gate", "attempt_failed",
 		 "request=%s server=%s how=%s shown_ms=%ld sent_ms_ago=%ld fingerprint=%016lx",
@@ -467,7 +468,7 @@
 {
 	relay->is_head_sent = 1;
 	relay->first_byte_ms = entry_now_ms(relay->entry);
-	cw_caller_head(relay->caller, relay->http_status, relay->response_fields->str, length);
+	cw_caller_send_head(relay->caller, relay->http_status, relay->response_fields->str, length);
 }
 
 static void reject(struct relay *relay, const struct cw_step *step)
@@ -479,14 +480,14 @@
 	relay->http_status = step->status;
 	cw_event("gate", "refused",
 		 "request=%s status=%u run=%s retry_after_ms=%ld config=%lu reason=\"%s\"",
-		 relay->request_info.id, step->status, step->run == CW_RUN_NOT ? "not" : "maybe",
-		 (long)step->retry_after_ms,
+		 relay->request_info.id, step->status,
+		 step->run == CW_RUN_NOT_EXECUTED ? "not" : "maybe", (long)step->retry_after_ms,
 		 cw_gate_config(relay->entry->gate)
 			 ? (unsigned long)cw_config_version(cw_gate_config(relay->entry->gate))
 			 : 0,
 		 step->reason);
-	cw_caller_head(relay->caller, step->status, fields->str, 0);
-	cw_caller_end(relay->caller);
+	cw_caller_send_head(relay->caller, step->status, fields->str, 0);
+	cw_caller_end_answer(relay->caller);
 	g_string_free(fields, TRUE);
 	relay->caller = NULL;
 	finish(relay, "refused");
@@ -501,15 +502,15 @@
 
 	cancel_exchange(relay);
 	g_snprintf(label, sizeof(label), "outcome=\"%s\"", outcome);
-	cw_count("ended", label, 1);
+	cw_counter_add("ended", label, 1);
 	if (route) {
 		g_snprintf(label, sizeof(label), "route=\"%.48s\"", route->name);
-		cw_observe_ms("answer_ms", label, now_ms - relay->opened_ms);
+		cw_histogram_observe_ms("answer_ms", label, now_ms - relay->opened_ms);
 		if (relay->first_byte_ms >= 0)
-			cw_observe_ms("first_byte_ms", label,
-				      relay->first_byte_ms - relay->opened_ms);
+			cw_histogram_observe_ms("first_byte_ms", label,
+						relay->first_byte_ms - relay->opened_ms);
 		if (relay->is_stream)
-			cw_observe_ms("longest_pause_ms", label, relay->longest_pause_ms);
+			cw_histogram_observe_ms("longest_pause_ms", label, relay->longest_pause_ms);
 	}
 	cw_event("gate", "ended",
 		 "request=%s outcome=%s status=%u route=%s organisation=%s model=%s attempts=%u "
@@ -540,7 +541,7 @@
 static void reject_bad_request(struct cw_caller *caller, const struct cw_error *error)
 {
 	cw_warn("gate", "bad_request", "message=\"%s\"", error->message);
-	cw_count("bad_requests", "", 1);
-	cw_caller_head(caller, HTTP_STATUS_BAD_REQUEST, "", 0);
-	cw_caller_end(caller);
+	cw_counter_add("bad_requests", "", 1);
+	cw_caller_send_head(caller, HTTP_STATUS_BAD_REQUEST, "", 0);
+	cw_caller_end_answer(caller);
 }
--- a/apps/corianderwalk/entry_share.c
+++ b/apps/corianderwalk/entry_share.c
@@ -176,9 +176,9 @@
 	}
 	snprintf(fields, sizeof(fields), OFFSET_FIELD ": %lu\r\n",
 		 (unsigned long)feed->operator.next_offset);
-	cw_caller_head(caller, HTTP_STATUS_OK, fields, (int64_t)feed->config_compressed_bytes);
-	cw_caller_data(caller, feed->config_compressed, feed->config_compressed_bytes);
-	cw_caller_end(caller);
+	cw_caller_send_head(caller, HTTP_STATUS_OK, fields, (int64_t)feed->config_compressed_bytes);
+	cw_caller_send_body(caller, feed->config_compressed, feed->config_compressed_bytes);
+	cw_caller_end_answer(caller);
 	cw_uplink_add_transfer(&share->uplink, feed->config_compressed_bytes, now_ms);
 }
 
@@ -189,7 +189,7 @@
 	char fields[64];
 
 	if (!cw_uplink_admits(&share->uplink, now_ms)) {
-		cw_count("peer_lists_declined", "", 1);
+		cw_counter_add("peer_lists_declined", "", 1);
 		decline(caller, HTTP_STATUS_SERVICE_UNAVAILABLE);
 		return;
 	}
@@ -198,10 +198,10 @@
 		encode_snapshot(share, now_ms);
 	snprintf(fields, sizeof(fields), AGE_FIELD ": %ld\r\n",
 		 (long)(now_ms - snapshot->encoded_ms));
-	cw_caller_head(caller, HTTP_STATUS_OK, fields, (int64_t)snapshot->size);
-	cw_caller_data(caller, snapshot->bytes, snapshot->size);
-	cw_caller_end(caller);
-	cw_count("peer_lists_sent", "", 1);
+	cw_caller_send_head(caller, HTTP_STATUS_OK, fields, (int64_t)snapshot->size);
+	cw_caller_send_body(caller, snapshot->bytes, snapshot->size);
+	cw_caller_end_answer(caller);
+	cw_counter_add("peer_lists_sent", "", 1);
 	cw_uplink_add_transfer(&share->uplink, snapshot->size, now_ms);
 }
 
@@ -253,9 +253,9 @@
 		return;
 	}
 	bytes = cw_gossip_changes_encode(&changes, &size);
-	cw_caller_head(caller, HTTP_STATUS_OK, "", (int64_t)size);
-	cw_caller_data(caller, bytes, size);
-	cw_caller_end(caller);
+	cw_caller_send_head(caller, HTTP_STATUS_OK, "", (int64_t)size);
+	cw_caller_send_body(caller, bytes, size);
+	cw_caller_end_answer(caller);
 	cw_uplink_add_transfer(&share->uplink, size, now_ms);
 	g_free(bytes);
 	g_free(changes.changes);
@@ -263,8 +263,8 @@
 
 static void decline(struct cw_caller *caller, unsigned int status)
 {
-	cw_caller_head(caller, status, "", 0);
-	cw_caller_end(caller);
+	cw_caller_send_head(caller, status, "", 0);
+	cw_caller_end_answer(caller);
 }
 
 /*
@@ -294,7 +294,7 @@
 		.address = peer,
 		.reuse_idle_ms = REUSE_IDLE_MS,
 		.connect_ms = CONNECT_TIMEOUT_MS,
-		.silence_ms = RESPONSE_TIMEOUT_MS,
+		.read_timeout_ms = RESPONSE_TIMEOUT_MS,
 	};
 
 	if (fetch->exchange || now_ms - fetch->last_try_ms < FETCH_INTERVAL_MS)
@@ -309,7 +309,7 @@
 		g_string_append_printf(request.bytes, "%lu",
 				       (unsigned long)fetch->share->feed->server_list.from);
 	g_string_append_printf(request.bytes, " HTTP/1.1\r\nHost: %s\r\n\r\n", peer);
-	cw_count("peer_fetches", "", 1);
+	cw_counter_add("peer_fetches", "", 1);
 	fetch->exchange = cw_client_send(fetch->share->client, &request, &exchange_ops, fetch);
 }
 
@@ -355,7 +355,7 @@
 	struct fetch *fetch = context;
 
 	fetch->exchange = NULL;
-	cw_count("peer_fetches_failed", "", 1);
+	cw_counter_add("peer_fetches_failed", "", 1);
 	if (++fetch->failures < FAILURES_MAX)
 		return;
 	fetch->failures = 0;
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -113,7 +113,7 @@
 		.bytes = bytes,
 		.reuse_idle_ms = REUSE_IDLE_MS,
 		.connect_ms = FEED_CONNECT_MS,
-		.silence_ms = FEED_CALL_MS,
+		.read_timeout_ms = FEED_CALL_MS,
 	};
 
 	topic->call_began_ms = entry_now_ms(feed->entry);
@@ -126,14 +126,14 @@
 
 		cw_up_format_log_read(topic->topic, topic_next_offset(topic), wait_ms, store,
 				      bytes);
-		request.silence_ms += wait_ms;
+		request.read_timeout_ms += wait_ms;
 	}
 	topic->read_from = topic->next_offset;
 	if (topic->topic == CW_UP_TOPIC_SERVERS)
 		cw_follow_begin_read(&feed->server_list);
 	g_string_truncate(topic->body, 0);
 	topic->http_status = 0;
-	cw_count("store_calls", "", 1);
+	cw_counter_add("store_calls", "", 1);
 	topic->exchange = cw_client_send(feed->client, &request, &exchange_ops, topic);
 }
 
@@ -415,7 +415,7 @@
 
 	if (record->error.status == CW_OK)
 		return;
-	cw_count("store_records_unreadable", "", 1);
+	cw_counter_add("store_records_unreadable", "", 1);
 	topic->unreadable_count++;
 	if (topic->last_warning_ms && now_ms - topic->last_warning_ms < WARNING_INTERVAL_MS)
 		return;
@@ -479,7 +479,7 @@
 			topic->last_answer_ms < 0 ? -1L : (long)(now_ms - topic->last_answer_ms));
 	topic->is_down = 1;
 	topic->failures++;
-	cw_count("store_failures", "", 1);
+	cw_counter_add("store_failures", "", 1);
 	cw_random_bytes(&random, sizeof(random));
 	/* The writer of a roll-out's outcome reads the status alone, whatever its rank. */
 	rank = topic->topic == CW_UP_TOPIC_STATUS ? 0 : reader_rank(topic);
--- a/apps/corianderwalk/job.c
+++ b/apps/corianderwalk/job.c
@@ -71,7 +71,7 @@
 		cw_effect_destroy(effect);
 }
 
-void job_respond(struct job *job, struct cw_http_out *out)
+void job_respond(struct job *job, struct cw_http_response *out)
 {
 	pthread_attr_t attr;
 	pthread_t thread;
@@ -88,7 +88,7 @@
 	pthread_attr_setdetachstate(&attr, PTHREAD_CREATE_DETACHED);
 	if (pthread_create(&thread, &attr, run_stream_thread, job)) {
 		job->reference_count = 1;
-		callers_write_error(out, CW_CODE_OVERLOADED, CW_RUN_NOT, HEAD_WAIT_MS,
+		callers_write_error(out, CW_CODE_OVERLOADED, CW_RUN_NOT_EXECUTED, HEAD_WAIT_MS,
 				    "no thread can be started");
 		job_release(job);
 		pthread_attr_destroy(&attr);
@@ -184,7 +184,7 @@
 	effect = g_new0(struct cw_effect, 1);
 	effect->kind = CW_EFFECT_REJECT;
 	effect->reject.code = CW_CODE_OVERLOADED;
-	effect->reject.run = CW_RUN_NOT;
+	effect->reject.run = CW_RUN_NOT_EXECUTED;
 	effect->reject.retry_after_ms = HEAD_WAIT_MS;
 	g_strlcpy(effect->reject.message, "this instance is behind", CW_MESSAGE_MAX);
 	job_deliver(job, effect);
@@ -203,7 +203,7 @@
 		job->out.status = 200;
 		g_strlcpy(job->out.content_type, "text/event-stream",
 			  sizeof(job->out.content_type));
-		cw_http_out_header(&job->out, "Cache-Control", "no-cache");
+		cw_http_response_add_header(&job->out, "Cache-Control", "no-cache");
 		add_headers(job);
 		job->out.stream = job->stream;
 		job->out.on_end = on_stream_end;
@@ -221,7 +221,7 @@
 
 static void send_refusal(struct job *job, const struct cw_effect *effect)
 {
-	struct cw_http_out refusal = {0};
+	struct cw_http_response refusal = {0};
 	char *event;
 
 	callers_write_error(&refusal, effect->reject.code, effect->reject.run,
@@ -247,10 +247,10 @@
 static void send_replay(struct job *job, struct cw_effect *effect)
 {
 	g_free(job->out.body);
-	cw_http_out_json(&job->out, effect->replay.status,
-			 g_strdup(effect->replay.answer ? effect->replay.answer : ""));
+	cw_http_response_set_json(&job->out, effect->replay.status,
+				  g_strdup(effect->replay.answer ? effect->replay.answer : ""));
 	add_headers(job);
-	cw_http_out_header(&job->out, "X-Replayed", "true");
+	cw_http_response_add_header(&job->out, "X-Replayed", "true");
 	publish_head(job);
 }
 
@@ -276,15 +276,15 @@
 
 static void add_headers(struct job *job)
 {
-	cw_http_out_header(&job->out, "X-Request-Id", job->in.request.request_id);
-	cw_http_out_header(&job->out, "X-Instance", job->daemon->settings->instance);
+	cw_http_response_add_header(&job->out, "X-Request-Id", job->in.request.request_id);
+	cw_http_response_add_header(&job->out, "X-Instance", job->daemon->settings->instance);
 	if (*job->model_version && !job_is_service(job))
-		cw_http_out_header(&job->out, "X-Model-Version", job->model_version);
+		cw_http_response_add_header(&job->out, "X-Model-Version", job->model_version);
 	if (*job->session_token)
-		cw_http_out_header(&job->out, "X-Session-Token", job->session_token);
+		cw_http_response_add_header(&job->out, "X-Session-Token", job->session_token);
 	/* A keep-alive connection would bring the next request to an instance that is leaving. */
 	if (!__atomic_load_n(&job->daemon->is_ready, __ATOMIC_ACQUIRE))
-		cw_http_out_header(&job->out, "Connection", "close");
+		cw_http_response_add_header(&job->out, "Connection", "close");
 }
 
 static void publish_head(struct job *job)
--- a/apps/corianderwalk/job.h
+++ b/apps/corianderwalk/job.h
@@ -25,8 +25,8 @@
 void job_deliver(struct job *job,
 		 struct cw_effect *effect); /* for the core thread; takes ownership of the effect */
 void job_respond(struct job *job,
-		 struct cw_http_out *out); /* runs the job; returns once the answer is complete or
-					      its stream has begun */
+		 struct cw_http_response *out); /* runs the job; returns once the answer is complete
+					      or its stream has begun */
 char *job_query(struct daemon *daemon, enum cw_query query, const char *text,
 		int *status); /* g_free; NULL when the core's ring is full */
 
--- a/apps/corianderwalk/job_attempt.c
+++ b/apps/corianderwalk/job_attempt.c
@@ -117,7 +117,7 @@
 		.body_size = job->in.body_size,
 		.connect_ms = (int)settings->connect_ms,
 		.total_ms = (int)effect->dispatch.timeout_ms,
-		.once = !(job->in.request.flags & CW_REQUEST_IDEMPOTENT),
+		.forbids_retry = !(job->in.request.flags & CW_REQUEST_IDEMPOTENT),
 		.max_size = (size_t)settings->max_answer_bytes,
 		.on_head = on_head,
 		.context = job,
@@ -165,9 +165,9 @@
 	message->attempt.answer = text;
 	message->event.attempt = &message->attempt;
 	if (cw_answer_dropped_chunks(job->answer) > 0)
-		cw_count("chunks_dropped_total", "", cw_answer_dropped_chunks(job->answer));
+		cw_counter_add("chunks_dropped_total", "", cw_answer_dropped_chunks(job->answer));
 	if (job->has_foreign_id)
-		cw_count("foreign_answers_total", "", 1);
+		cw_counter_add("foreign_answers_total", "", 1);
 	/* For the headers of the caller's answer, should this be the last attempt. */
 	g_snprintf(job->model_version, sizeof(job->model_version), "%s%s%s", effect->dispatch.model,
 		   *effect->dispatch.version ? "/" : "", effect->dispatch.version);
@@ -257,7 +257,7 @@
 	return body;
 }
 
-/* Frees the engine's slot for another request once the caller has left. */
+/* Frees the engine's slot for another request forbids_retry the caller has left. */
 static void cancel_upstream(struct job *job, const struct cw_effect *effect)
 {
 	char *path;
@@ -328,7 +328,7 @@
 	if (__atomic_load_n(&job->is_caller_unreachable, __ATOMIC_ACQUIRE) ||
 	    __atomic_load_n(&job->is_refused, __ATOMIC_ACQUIRE))
 		return 1;
-	return job_is_stream(job) && job->is_head_sent && cw_ring_is_shut(job->stream);
+	return job_is_stream(job) && job->is_head_sent && cw_ring_is_closed_for_push(job->stream);
 }
 
 static void forward_event(void *context, const char *event, size_t size)
--- a/apps/corianderwalk/job_internal.h
+++ b/apps/corianderwalk/job_internal.h
@@ -19,7 +19,7 @@
 	int is_head_sent;
 	int is_caller_unreachable; /* atomic: a chunk could not be delivered to the caller */
 	int is_refused;		   /* atomic: set by the core; stops the attempt in progress */
-	struct cw_http_out out;
+	struct cw_http_response out;
 	char model_version[2 * CW_NAME_MAX];
 	char session_token[CW_TOKEN_MAX];
 
--- a/apps/corianderwalk/main.c
+++ b/apps/corianderwalk/main.c
@@ -168,7 +168,7 @@
 	} else {
 		code = EXIT_LISTEN;
 	}
-	cw_http_interrupt();
+	cw_http_abort_calls();
 	cw_http_server_destroy(daemon.callers);
 	cw_http_server_destroy(daemon.operators);
 	cw_peer_server_destroy(daemon.peers);
@@ -255,7 +255,8 @@
 	};
 	struct cw_error error = {0};
 
-	daemon->peers = cw_peer_serve(settings->peer_listen, on_peer_message, daemon, &error);
+	daemon->peers =
+		cw_peer_server_create(settings->peer_listen, on_peer_message, daemon, &error);
 	if (daemon->peers)
 		daemon->operators = cw_http_server_create(&operators, &error);
 	if (daemon->operators)
@@ -286,9 +287,9 @@
 	while (!__atomic_load_n(&daemon->is_stopped, __ATOMIC_ACQUIRE) &&
 	       g_get_monotonic_time() < stop_limit_us)
 		usleep(POLL_US);
-	cw_http_server_quiet(daemon->callers);
+	cw_http_server_stop_accepting(daemon->callers);
 	close_limit_us = g_get_monotonic_time() + CLOSE_TIMEOUT_MS * 1000;
-	while (cw_http_server_connections(daemon->callers) > 0 &&
+	while (cw_http_server_count_connections(daemon->callers) > 0 &&
 	       g_get_monotonic_time() < close_limit_us)
 		usleep(POLL_US);
 	usleep(LATE_REQUEST_WAIT_MS * 1000);
--- a/packages/base/include/cw_ring.h
+++ b/packages/base/include/cw_ring.h
@@ -15,8 +15,8 @@
 void *cw_ring_pop(struct cw_ring *ring, int wait_ms); /* NULL: timeout, or closed and empty */
 void cw_ring_close(
 	struct cw_ring *ring); /* wakes all waiting threads; the items can still be popped */
-int cw_ring_is_closed(struct cw_ring *ring); /* closed and empty */
-int cw_ring_is_shut(struct cw_ring *ring);   /* closed, empty or not */
+int cw_ring_is_drained(struct cw_ring *ring);	      /* closed and empty */
+int cw_ring_is_closed_for_push(struct cw_ring *ring); /* closed, empty or not */
 size_t cw_ring_length(struct cw_ring *ring);
 
 #endif
--- a/packages/base/include/cw_status.h
+++ b/packages/base/include/cw_status.h
@@ -17,10 +17,10 @@
 };
 
 /* What is known about the execution of a request when its caller gets the final answer. */
-enum cw_run {
-	CW_RUN_NOT,	/* "not_run": the request did not run and never will */
-	CW_RUN_UNKNOWN, /* the request may have run */
-	CW_RUN_DONE,	/* the request ran */
+enum cw_run_state {
+	CW_RUN_NOT_EXECUTED, /* "not_run": the request did not run and never will */
+	CW_RUN_UNKNOWN,	     /* the request may have run */
+	CW_RUN_EXECUTED,     /* the request ran */
 };
 
 struct cw_error {
--- a/packages/base/src/counters.c
+++ b/packages/base/src/counters.c
@@ -28,21 +28,21 @@
 static gboolean append_histogram(gpointer key, gpointer value, gpointer text);
 static void free_histogram(gpointer data);
 
-void cw_count(const char *name, const char *label, uint64_t add)
+void cw_counter_add(const char *name, const char *label, uint64_t add)
 {
 	pthread_mutex_lock(&counters_mutex);
 	*find_counter(name, label) += add;
 	pthread_mutex_unlock(&counters_mutex);
 }
 
-void cw_gauge(const char *name, const char *label, uint64_t value)
+void cw_gauge_set(const char *name, const char *label, uint64_t value)
 {
 	pthread_mutex_lock(&counters_mutex);
 	*find_counter(name, label) = value;
 	pthread_mutex_unlock(&counters_mutex);
 }
 
-void cw_observe_ms(const char *name, const char *label, int64_t ms)
+void cw_histogram_observe_ms(const char *name, const char *label, int64_t ms)
 {
 	struct histogram *histogram;
 	char key[256];
@@ -67,7 +67,7 @@
 	pthread_mutex_unlock(&counters_mutex);
 }
 
-char *cw_counters_text(void)
+char *cw_counters_format(void)
 {
 	GString *text = g_string_new(NULL);
 
--- a/packages/base/src/hash.c
+++ b/packages/base/src/hash.c
@@ -21,12 +21,12 @@
 	return XXH3_64bits_withSeed(text, strlen(text), seed);
 }
 
-double cw_hash_part(uint64_t bits)
+double cw_hash_to_fraction(uint64_t bits)
 {
 	return (double)(bits >> FRACTION_SHIFT_BITS) / FRACTION_RANGE;
 }
 
-uint64_t cw_rendezvous_bits(uint64_t key, uint64_t candidate)
+uint64_t cw_rendezvous_hash(uint64_t key, uint64_t candidate)
 {
 	return cw_hash(&key, sizeof(key), candidate);
 }
@@ -35,10 +35,10 @@
  * Weighted rendezvous hashing: the score is -weight / ln(u), u uniform in (0, 1) from key and
  * candidate. Shares are proportional to weights, and a changed weight moves the fewest keys.
  */
-double cw_rendezvous(uint64_t key, uint64_t candidate, double weight)
+double cw_rendezvous_score(uint64_t key, uint64_t candidate, double weight)
 {
-	uint64_t mixed = cw_rendezvous_bits(key, candidate);
-	double u = cw_hash_part(mixed) + 0.5 / FRACTION_RANGE;
+	uint64_t mixed = cw_rendezvous_hash(key, candidate);
+	double u = cw_hash_to_fraction(mixed) + 0.5 / FRACTION_RANGE;
 
 	return weight > 0 ? -weight / log(u) : 0;
 }
--- a/packages/base/src/ring.c
+++ b/packages/base/src/ring.c
@@ -98,7 +98,7 @@
 	pthread_mutex_unlock(&ring->mutex);
 }
 
-int cw_ring_is_closed(struct cw_ring *ring)
+int cw_ring_is_drained(struct cw_ring *ring)
 {
 	int is_closed;
 
@@ -108,7 +108,7 @@
 	return is_closed;
 }
 
-int cw_ring_is_shut(struct cw_ring *ring)
+int cw_ring_is_closed_for_push(struct cw_ring *ring)
 {
 	int is_closed;
 
--- a/packages/base/src/timeline.c
+++ b/packages/base/src/timeline.c
@@ -20,15 +20,17 @@
 	int level; /* 0: debug .. 3: error */
 	uint64_t next_seq;
 	size_t capacity;
-	char *lines[CW_EVENT_LINES];
+	char *lines[CW_TIMELINE_LINES_MAX];
 	int fd;
 	GString *batch; /* NULL: lines are written directly */
 	struct cw_ring *batches;
 	pthread_t writer;
 };
 
-static struct timeline timeline = {
-	.mutex = PTHREAD_MUTEX_INITIALIZER, .level = 1, .next_seq = 1, .capacity = CW_EVENT_LINES};
+static struct timeline timeline = {.mutex = PTHREAD_MUTEX_INITIALIZER,
+				   .level = 1,
+				   .next_seq = 1,
+				   .capacity = CW_TIMELINE_LINES_MAX};
 
 static void record_event(int level, const char *module, const char *event, const char *detail);
 static void append_json(GString *text, uint64_t seq, const char *line);
@@ -49,16 +51,16 @@
 	g_log_set_writer_func(write_line, NULL, NULL);
 }
 
-void cw_timeline_keep(size_t lines)
+void cw_timeline_set_capacity(size_t lines)
 {
-	timeline.capacity = MIN(lines, CW_EVENT_LINES);
+	timeline.capacity = MIN(lines, CW_TIMELINE_LINES_MAX);
 }
 
 /*
  * Writing lines directly would block all requests if the reader of the log stalls. A thread writes
  * the lines in batches instead. If the thread falls behind, batches are dropped and counted.
  */
-void cw_timeline_writer(int fd)
+void cw_timeline_start_writer(int fd)
 {
 	timeline.fd = fd;
 	timeline.batch = g_string_sized_new(BATCH_BYTES);
@@ -86,7 +88,7 @@
 		timeline.batch = NULL;
 	}
 	pthread_mutex_lock(&timeline.mutex);
-	for (size_t i = 0; i < CW_EVENT_LINES; i++)
+	for (size_t i = 0; i < CW_TIMELINE_LINES_MAX; i++)
 		g_clear_pointer(&timeline.lines[i], g_free);
 	pthread_mutex_unlock(&timeline.mutex);
 }
@@ -113,7 +115,7 @@
 	record_event(2, module, event, detail);
 }
 
-char *cw_timeline_after(uint64_t after)
+char *cw_timeline_read_after(uint64_t after)
 {
 	GString *text = g_string_new(NULL);
 	uint64_t first;
@@ -123,7 +125,7 @@
 	if (after + 1 > first)
 		first = after + 1;
 	for (uint64_t seq = first; seq < timeline.next_seq; seq++)
-		append_json(text, seq, timeline.lines[seq % CW_EVENT_LINES]);
+		append_json(text, seq, timeline.lines[seq % CW_TIMELINE_LINES_MAX]);
 	pthread_mutex_unlock(&timeline.mutex);
 	return g_string_free(text, FALSE);
 }
@@ -146,8 +148,8 @@
 		g_free(line);
 		return;
 	}
-	g_free(timeline.lines[timeline.next_seq % CW_EVENT_LINES]);
-	timeline.lines[timeline.next_seq % CW_EVENT_LINES] = line;
+	g_free(timeline.lines[timeline.next_seq % CW_TIMELINE_LINES_MAX]);
+	timeline.lines[timeline.next_seq % CW_TIMELINE_LINES_MAX] = line;
 	timeline.next_seq++;
 	pthread_mutex_unlock(&timeline.mutex);
 }
@@ -196,7 +198,7 @@
 		timeline.batch = g_string_sized_new(BATCH_BYTES);
 		return;
 	}
-	cw_count("log_bytes_dropped", "", batch->len);
+	cw_counter_add("log_bytes_dropped", "", batch->len);
 	g_string_truncate(batch, 0);
 }
 
@@ -215,7 +217,7 @@
 			done += (size_t)written;
 		}
 		if (done < batch->len)
-			cw_count("log_bytes_dropped", "", batch->len - done);
+			cw_counter_add("log_bytes_dropped", "", batch->len - done);
 		g_string_free(batch, TRUE);
 	}
 	return NULL;
--- a/packages/cascade/src/cascade.c
+++ b/packages/cascade/src/cascade.c
@@ -206,7 +206,7 @@
 static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_request *in,
 			    struct cw_plan *plan)
 {
-	double draw = cw_hash_part(in->random);
+	double draw = cw_hash_to_fraction(in->random);
 	size_t top = find_costliest(in);
 	size_t candidates[CW_MAX_VERSIONS];
 	size_t count = 0;
--- a/packages/flow/include/cw_events.h
+++ b/packages/flow/include/cw_events.h
@@ -18,6 +18,7 @@
 int cw_events_feed(struct cw_events *events, const char *data, size_t size); /* 0: event too long */
 int cw_events_next(struct cw_events *events, const char **event, size_t *size,
 		   int64_t *id); /* 0: no complete event; id -1: absent or invalid */
-size_t cw_events_left(const struct cw_events *events); /* bytes of the incomplete event */
+size_t
+cw_events_count_pending_bytes(const struct cw_events *events); /* bytes of the incomplete event */
 
 #endif
--- a/packages/flow/include/cw_flow.h
+++ b/packages/flow/include/cw_flow.h
@@ -39,21 +39,22 @@
 struct cw_listener *cw_listener_create(uv_loop_t *loop, const char *address,
 				       const struct cw_listener_ops *ops, void *context,
 				       struct cw_error *error); /* NULL: see error */
-void cw_listener_limits(struct cw_listener *listener, const struct cw_flow_limits *limits);
-void cw_listener_leave(struct cw_listener *listener); /* every answer carries Connection: close */
+void cw_listener_set_limits(struct cw_listener *listener, const struct cw_flow_limits *limits);
+void cw_listener_start_draining(
+	struct cw_listener *listener); /* every answer carries Connection: close */
 void cw_listener_close(
 	struct cw_listener *listener); /* accepts no more connections; closes idle ones */
-size_t cw_listener_connections(const struct cw_listener *listener);
+size_t cw_listener_count_connections(const struct cw_listener *listener);
 void cw_listener_destroy(struct cw_listener *listener); /* closes its connections */
 
-void cw_caller_attach(struct cw_caller *caller,
-		      void *request);		       /* passed to disconnected and writable */
-int cw_caller_is_late(const struct cw_caller *caller); /* cw_listener_close was called */
-void cw_caller_head(struct cw_caller *caller, unsigned int status, const char *fields,
-		    int64_t length); /* fields: header lines, each ended by CR LF */
-int cw_caller_data(struct cw_caller *caller, const char *data,
-		   size_t size);	      /* 1: over the high watermark, pause the source */
-void cw_caller_end(struct cw_caller *caller); /* the answer is complete */
+void cw_caller_set_request(struct cw_caller *caller,
+			   void *request); /* passed to disconnected and writable */
+int cw_caller_is_listener_closed(const struct cw_caller *caller); /* cw_listener_close was called */
+void cw_caller_send_head(struct cw_caller *caller, unsigned int status, const char *fields,
+			 int64_t length); /* fields: header lines, each ended by CR LF */
+int cw_caller_send_body(struct cw_caller *caller, const char *data,
+			size_t size); /* 1: over the high watermark, pause the source */
+void cw_caller_end_answer(struct cw_caller *caller); /* the answer is complete */
 void cw_caller_abort(
 	struct cw_caller *caller); /* closes early: a partial answer can't look complete */
 
@@ -62,11 +63,11 @@
 
 /* How an exchange failed. */
 enum cw_flow_failure {
-	CW_FLOW_UNSENT,	 /* no host answered the connection attempt; nothing was sent */
-	CW_FLOW_REFUSED, /* the host refused the connection; nothing was sent */
-	CW_FLOW_BROKEN,	 /* the connection ended before the end of the answer */
-	CW_FLOW_GARBLED, /* the bytes received are not an HTTP answer */
-	CW_FLOW_SILENT,	 /* no byte was received within the read timeout */
+	CW_FLOW_NO_CONNECTION,	    /* no host answered the connection attempt; nothing was sent */
+	CW_FLOW_CONNECTION_REFUSED, /* the host refused the connection; nothing was sent */
+	CW_FLOW_CONNECTION_LOST,    /* the connection ended before the end of the answer */
+	CW_FLOW_MALFORMED,	    /* the bytes received are not an HTTP answer */
+	CW_FLOW_TIMED_OUT,	    /* no byte was received within the read timeout */
 };
 
 const char *cw_flow_failure_name(enum cw_flow_failure failure);
@@ -84,7 +85,7 @@
 	int is_head;	       /* a HEAD request: its answer has no body */
 	int64_t reuse_idle_ms; /* reuses a connection idle for less than this; 0: opens a new one */
 	int64_t connect_ms;    /* longest wait for a connection */
-	int64_t silence_ms;    /* longest wait for the next byte; 0: no limit */
+	int64_t read_timeout_ms; /* longest wait for the next byte; 0: no limit */
 	/* An answer whose field echo_name has another value belongs to an earlier request of the
 	 * connection and is dropped. NULL: no check. */
 	const char *echo_name;
@@ -101,13 +102,14 @@
 int cw_exchange_is_sent(
 	const struct cw_exchange *exchange); /* a part of the request may have been sent */
 void cw_exchange_pause(struct cw_exchange *exchange, int paused);
-void cw_exchange_set_silence(struct cw_exchange *exchange, int64_t silence_ms);
+void cw_exchange_set_read_timeout(struct cw_exchange *exchange, int64_t read_timeout_ms);
 void cw_client_probe(struct cw_client *client, const char *address, int64_t connect_ms,
 		     void (*report)(void *context, const char *address, int is_reachable),
 		     void *context); /* an opened connection is kept for requests */
-void cw_client_forget(struct cw_client *client, const char *address); /* closes idle connections */
-uint64_t cw_client_opened(const struct cw_client *client); /* connections since creation */
+void cw_client_close_idle(struct cw_client *client,
+			  const char *address);			 /* closes idle connections */
+uint64_t cw_client_count_opened(const struct cw_client *client); /* connections since creation */
 
-enum cw_status cw_flow_address(const char *text, struct sockaddr_in *address); /* "IP:PORT" */
+enum cw_status cw_flow_parse_address(const char *text, struct sockaddr_in *address); /* "IP:PORT" */
 
 #endif
--- a/packages/flow/include/cw_message.h
+++ b/packages/flow/include/cw_message.h
@@ -29,12 +29,12 @@
 void cw_message_clear(struct cw_message *message); /* for the next message on the connection */
 const char *cw_message_find(const struct cw_message *message,
 			    const char *name); /* first value; NULL: absent */
-size_t cw_message_count(const struct cw_message *message, const char *name);
-size_t cw_message_fields(const struct cw_message *message);
-const char *cw_message_name(const struct cw_message *message, size_t index);
-const char *cw_message_value(const struct cw_message *message, size_t index);
-int cw_message_is_hop(const struct cw_message *message,
-		      const char *name); /* the field must not be forwarded */
+size_t cw_message_count_field(const struct cw_message *message, const char *name);
+size_t cw_message_count_fields(const struct cw_message *message);
+const char *cw_message_field_name(const struct cw_message *message, size_t index);
+const char *cw_message_field_value(const struct cw_message *message, size_t index);
+int cw_message_is_hop_by_hop(const struct cw_message *message,
+			     const char *name); /* the field must not be forwarded */
 void cw_message_add_name(struct cw_message *message, const char *data, size_t size);
 void cw_message_add_value(struct cw_message *message, const char *data, size_t size);
 void cw_message_end_fields(struct cw_message *message); /* terminates the last value */
--- a/packages/flow/src/client.c
+++ b/packages/flow/src/client.c
@@ -73,7 +73,7 @@
 	}
 	g_hash_table_iter_init(&iter, client->addresses);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		cw_client_forget(client, ((struct address *)value)->text);
+		cw_client_close_idle(client, ((struct address *)value)->text);
 	uv_close((uv_handle_t *)&client->sweep_timer, NULL);
 	uv_run(client->loop, UV_RUN_NOWAIT);
 	g_hash_table_destroy(client->addresses);
@@ -96,7 +96,7 @@
 	exchange->echo_name = g_strdup(request->echo_name);
 	exchange->echo_value = g_strdup(request->echo_value);
 	exchange->is_head = request->is_head;
-	exchange->silence_ms = request->silence_ms;
+	exchange->read_timeout_ms = request->read_timeout_ms;
 	uv_timer_init(client->loop, &exchange->timer);
 	exchange->timer.data = exchange;
 	TAILQ_INSERT_TAIL(&client->exchanges, exchange, link);
@@ -143,13 +143,13 @@
 	}
 }
 
-void cw_exchange_set_silence(struct cw_exchange *exchange, int64_t silence_ms)
+void cw_exchange_set_read_timeout(struct cw_exchange *exchange, int64_t read_timeout_ms)
 {
-	exchange->silence_ms = silence_ms;
+	exchange->read_timeout_ms = read_timeout_ms;
 	restart_timer(exchange);
 }
 
-void cw_client_forget(struct cw_client *client, const char *text)
+void cw_client_close_idle(struct cw_client *client, const char *text)
 {
 	struct address *address = g_hash_table_lookup(client->addresses, text);
 	struct connection *connection;
@@ -158,7 +158,7 @@
 		flow_close_connection(connection);
 }
 
-uint64_t cw_client_opened(const struct cw_client *client)
+uint64_t cw_client_count_opened(const struct cw_client *client)
 {
 	return client->opened_count;
 }
@@ -240,7 +240,7 @@
 	connection->write.data = connection;
 	client->opened_count++;
 	/* With an invalid address the exchange fails by its connect timeout, with nothing sent. */
-	if (cw_flow_address(address->text, &socket_address) == CW_OK)
+	if (cw_flow_parse_address(address->text, &socket_address) == CW_OK)
 		uv_tcp_connect(&connection->connect, &connection->tcp,
 			       (const struct sockaddr *)&socket_address, on_connect);
 	return connection;
@@ -299,8 +299,9 @@
 		if (connection->probe)
 			flow_probe_report(connection->probe, has_host_answered);
 		else
-			fail_exchange(connection->exchange,
-				      has_host_answered ? CW_FLOW_REFUSED : CW_FLOW_UNSENT);
+			fail_exchange(connection->exchange, has_host_answered
+								    ? CW_FLOW_CONNECTION_REFUSED
+								    : CW_FLOW_NO_CONNECTION);
 		return;
 	}
 	connection->is_connected = 1;
@@ -331,7 +332,7 @@
 	if (connection->is_closed || status >= 0)
 		return;
 	if (connection->exchange)
-		fail_exchange(connection->exchange, CW_FLOW_BROKEN);
+		fail_exchange(connection->exchange, CW_FLOW_CONNECTION_LOST);
 	else
 		flow_close_connection(connection);
 }
@@ -349,7 +350,7 @@
 		return;
 	}
 	if (size < 0 && (size != UV_EOF || was_reset(connection))) {
-		fail_exchange(connection->exchange, CW_FLOW_BROKEN);
+		fail_exchange(connection->exchange, CW_FLOW_CONNECTION_LOST);
 		return;
 	}
 	restart_timer(connection->exchange);
@@ -362,9 +363,9 @@
 		return;
 	}
 	if (size < 0)
-		fail_exchange(connection->exchange, CW_FLOW_BROKEN);
+		fail_exchange(connection->exchange, CW_FLOW_CONNECTION_LOST);
 	else if (HTTP_PARSER_ERRNO(&connection->parser) != HPE_OK || connection->parser.upgrade)
-		fail_exchange(connection->exchange, CW_FLOW_GARBLED);
+		fail_exchange(connection->exchange, CW_FLOW_MALFORMED);
 }
 
 /*
@@ -385,7 +386,8 @@
 	struct cw_exchange *exchange = timer->data;
 
 	if (!flow_start_final_iteration(timer, on_timer, &exchange->had_final_iteration))
-		fail_exchange(exchange, exchange->is_sent ? CW_FLOW_SILENT : CW_FLOW_UNSENT);
+		fail_exchange(exchange,
+			      exchange->is_sent ? CW_FLOW_TIMED_OUT : CW_FLOW_NO_CONNECTION);
 }
 
 static void on_timer_closed(uv_handle_t *handle)
@@ -462,8 +464,8 @@
 static void restart_timer(struct cw_exchange *exchange)
 {
 	exchange->had_final_iteration = 0;
-	if (exchange->silence_ms > 0)
-		uv_timer_start(&exchange->timer, on_timer, (uint64_t)exchange->silence_ms, 0);
+	if (exchange->read_timeout_ms > 0)
+		uv_timer_start(&exchange->timer, on_timer, (uint64_t)exchange->read_timeout_ms, 0);
 	else
 		uv_timer_stop(&exchange->timer);
 }
--- a/packages/flow/src/client_internal.h
+++ b/packages/flow/src/client_internal.h
@@ -46,7 +46,7 @@
 	char *echo_name;
 	char *echo_value;
 	uv_timer_t timer;
-	int64_t silence_ms;
+	int64_t read_timeout_ms;
 	int is_head;
 	int is_sent;
 	int is_mismatched;	 /* the answer being read belongs to another request */
--- a/packages/flow/src/events.c
+++ b/packages/flow/src/events.c
@@ -70,7 +70,7 @@
 	return 0;
 }
 
-size_t cw_events_left(const struct cw_events *events)
+size_t cw_events_count_pending_bytes(const struct cw_events *events)
 {
 	return events->bytes->len - events->start;
 }
--- a/packages/flow/src/listener.c
+++ b/packages/flow/src/listener.c
@@ -6,7 +6,7 @@
 #define SWEEP_INTERVAL_MS    500  /* between two checks of the timeouts of all connections */
 #define LINGER_TIMEOUT_MS    1000 /* reading goes on: unread bytes would reset the connection */
 #define PIPELINED_MAX_BYTES  (64 * 1024) /* reading pauses above this until the answer is sent */
-#define DEFAULT_HEADER_BYTES (16 * 1024) /* until cw_listener_limits is called */
+#define DEFAULT_HEADER_BYTES (16 * 1024) /* until cw_listener_set_limits is called */
 #define DEFAULT_BODY_BYTES   (4 * 1024 * 1024)
 #define DEFAULT_HEADER_MS    5000
 #define DEFAULT_IDLE_MS	     60000
@@ -116,7 +116,7 @@
 	listener->tcp.data = listener;
 	listener->sweep_timer.data = listener;
 	listener->open_handles = 2;
-	code = cw_flow_address(address, &socket_address) == CW_OK ? 0 : UV_EINVAL;
+	code = cw_flow_parse_address(address, &socket_address) == CW_OK ? 0 : UV_EINVAL;
 	if (!code)
 		code = uv_tcp_bind(&listener->tcp, (const struct sockaddr *)&socket_address, 0);
 	if (!code)
@@ -132,12 +132,12 @@
 	return listener;
 }
 
-void cw_listener_limits(struct cw_listener *listener, const struct cw_flow_limits *limits)
+void cw_listener_set_limits(struct cw_listener *listener, const struct cw_flow_limits *limits)
 {
 	listener->limits = *limits;
 }
 
-void cw_listener_leave(struct cw_listener *listener)
+void cw_listener_start_draining(struct cw_listener *listener)
 {
 	listener->is_draining = 1;
 }
@@ -160,7 +160,7 @@
 	}
 }
 
-size_t cw_listener_connections(const struct cw_listener *listener)
+size_t cw_listener_count_connections(const struct cw_listener *listener)
 {
 	return listener->connection_count;
 }
@@ -178,18 +178,18 @@
 	uv_close((uv_handle_t *)&listener->sweep_timer, on_handle_closed);
 }
 
-void cw_caller_attach(struct cw_caller *caller, void *request)
+void cw_caller_set_request(struct cw_caller *caller, void *request)
 {
 	caller->request = request;
 }
 
-int cw_caller_is_late(const struct cw_caller *caller)
+int cw_caller_is_listener_closed(const struct cw_caller *caller)
 {
 	return caller->listener->is_closed;
 }
 
-void cw_caller_head(struct cw_caller *caller, unsigned int status, const char *fields,
-		    int64_t length)
+void cw_caller_send_head(struct cw_caller *caller, unsigned int status, const char *fields,
+			 int64_t length)
 {
 	if (caller->state != CALLER_ANSWERING)
 		return;
@@ -206,7 +206,7 @@
 	g_string_append(caller->out, caller->keep_alive ? "\r\n" : "Connection: close\r\n\r\n");
 }
 
-int cw_caller_data(struct cw_caller *caller, const char *data, size_t size)
+int cw_caller_send_body(struct cw_caller *caller, const char *data, size_t size)
 {
 	if (caller->state != CALLER_ANSWERING || size == 0)
 		return 0;
@@ -220,7 +220,7 @@
 	return caller->is_source_paused;
 }
 
-void cw_caller_end(struct cw_caller *caller)
+void cw_caller_end_answer(struct cw_caller *caller)
 {
 	if (caller->state != CALLER_ANSWERING)
 		return;
@@ -380,8 +380,8 @@
 						caller->reject_reason);
 	caller->state = CALLER_ANSWERING;
 	caller->keep_alive = 0;
-	cw_caller_head(caller, caller->reject_status, "", 0);
-	cw_caller_end(caller);
+	cw_caller_send_head(caller, caller->reject_status, "", 0);
+	cw_caller_end_answer(caller);
 }
 
 static void flush_output(struct cw_caller *caller)
--- a/packages/flow/src/message.c
+++ b/packages/flow/src/message.c
@@ -40,36 +40,36 @@
 const char *cw_message_find(const struct cw_message *message, const char *name)
 {
 	for (size_t i = 0; i < message->fields->len; i++)
-		if (!strcasecmp(cw_message_name(message, i), name))
-			return cw_message_value(message, i);
+		if (!strcasecmp(cw_message_field_name(message, i), name))
+			return cw_message_field_value(message, i);
 	return NULL;
 }
 
-size_t cw_message_count(const struct cw_message *message, const char *name)
+size_t cw_message_count_field(const struct cw_message *message, const char *name)
 {
 	size_t count = 0;
 
 	for (size_t i = 0; i < message->fields->len; i++)
-		count += !strcasecmp(cw_message_name(message, i), name);
+		count += !strcasecmp(cw_message_field_name(message, i), name);
 	return count;
 }
 
-size_t cw_message_fields(const struct cw_message *message)
+size_t cw_message_count_fields(const struct cw_message *message)
 {
 	return message->fields->len;
 }
 
-const char *cw_message_name(const struct cw_message *message, size_t index)
+const char *cw_message_field_name(const struct cw_message *message, size_t index)
 {
 	return message->text->str + g_array_index(message->fields, struct cw_field, index).name;
 }
 
-const char *cw_message_value(const struct cw_message *message, size_t index)
+const char *cw_message_field_value(const struct cw_message *message, size_t index)
 {
 	return message->text->str + g_array_index(message->fields, struct cw_field, index).value;
 }
 
-int cw_message_is_hop(const struct cw_message *message, const char *name)
+int cw_message_is_hop_by_hop(const struct cw_message *message, const char *name)
 {
 	static const char *const hops[] = {
 		"Connection",
@@ -89,8 +89,8 @@
 		if (!strcasecmp(hops[i], name))
 			return 1;
 	for (size_t i = 0; i < message->fields->len; i++)
-		if (!strcasecmp(cw_message_name(message, i), "Connection") &&
-		    is_listed(cw_message_value(message, i), name))
+		if (!strcasecmp(cw_message_field_name(message, i), "Connection") &&
+		    is_listed(cw_message_field_value(message, i), name))
 			return 1;
 	return 0;
 }
--- a/packages/flow/src/socket.c
+++ b/packages/flow/src/socket.c
@@ -7,8 +7,9 @@
 #include <sys/socket.h>
 
 static const char *const failure_names[] = {
-	[CW_FLOW_UNSENT] = "unsent",   [CW_FLOW_REFUSED] = "refused", [CW_FLOW_BROKEN] = "broken",
-	[CW_FLOW_GARBLED] = "garbled", [CW_FLOW_SILENT] = "silent",
+	[CW_FLOW_NO_CONNECTION] = "unsent",   [CW_FLOW_CONNECTION_REFUSED] = "refused",
+	[CW_FLOW_CONNECTION_LOST] = "broken", [CW_FLOW_MALFORMED] = "garbled",
+	[CW_FLOW_TIMED_OUT] = "silent",
 };
 
 const char *cw_flow_failure_name(enum cw_flow_failure failure)
@@ -16,7 +17,7 @@
 	return failure_names[failure];
 }
 
-enum cw_status cw_flow_address(const char *text, struct sockaddr_in *address)
+enum cw_status cw_flow_parse_address(const char *text, struct sockaddr_in *address)
 {
 	char host[CW_ADDRESS_MAX];
 	const char *colon = strrchr(text, ':');
--- a/packages/follow/src/readers.c
+++ b/packages/follow/src/readers.c
@@ -107,7 +107,7 @@
  */
 int64_t cw_readers_jitter_ms(uint64_t random)
 {
-	double part = MAX(cw_hash_part(random), 1 / JITTER_INSTANCES);
+	double part = MAX(cw_hash_to_fraction(random), 1 / JITTER_INSTANCES);
 
 	return (int64_t)(JITTER_MAX_MS * (1 + log(part) / log(JITTER_INSTANCES)));
 }
--- a/packages/gate/include/cw_gate.h
+++ b/packages/gate/include/cw_gate.h
@@ -34,11 +34,11 @@
 	struct cw_server *server;
 	struct cw_dispatch dispatch;
 	struct cw_rollout_assignment assignment; /* of CW_STEP_SEND */
-	int64_t reuse_idle_ms; /* a kept-alive connection idle for less may be reused */
-	int64_t connect_ms;    /* timeout of a new connection */
-	int64_t silence_ms;    /* idle timeout: longest wait for the next byte */
-	unsigned int status;   /* of CW_STEP_REJECT */
-	enum cw_run run;
+	int64_t reuse_idle_ms;	 /* a kept-alive connection idle for less may be reused */
+	int64_t connect_ms;	 /* timeout of a new connection */
+	int64_t read_timeout_ms; /* idle timeout: longest wait for the next byte */
+	unsigned int status;	 /* of CW_STEP_REJECT */
+	enum cw_run_state run;
 	int64_t retry_after_ms;	  /* -1: none */
 	const char *reason;	  /* CW_STEP_REJECT: message; CW_STEP_FORWARD: why not escalated */
 	int was_under_load;	  /* after an answer: the server was under load when it answered */
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -128,9 +128,9 @@
 		call->model_index = small_index;
 	}
 	step->kind = CW_STEP_FORWARD;
-	step->silence_ms = call->route->retry_policy == CW_RETRY_STREAM
-				   ? event_gap_timeout_ms(call)
-				   : idle_timeout_ms(call, now_ms);
+	step->read_timeout_ms = call->route->retry_policy == CW_RETRY_STREAM
+					? event_gap_timeout_ms(call)
+					: idle_timeout_ms(call, now_ms);
 }
 
 int cw_call_wants_event(const struct cw_call *call, int64_t event)
@@ -202,7 +202,7 @@
 		return;
 	}
 	call_reject(step, 504, "no answer in time");
-	step->run = call->may_have_run || call->attempts > 0 ? CW_RUN_UNKNOWN : CW_RUN_NOT;
+	step->run = call->may_have_run || call->attempts > 0 ? CW_RUN_UNKNOWN : CW_RUN_NOT_EXECUTED;
 }
 
 /* A copy waiting in a server's queue would crash that server too, so the attempt is cancelled. */
@@ -384,7 +384,7 @@
 	step->reuse_idle_ms = call->route->retry_policy == CW_RETRY_NEVER
 				      ? NON_REPEATABLE_REUSE_IDLE_MS
 				      : (int64_t)policy->reuse_idle_ms;
-	step->silence_ms = idle_timeout_ms(call, now_ms);
+	step->read_timeout_ms = idle_timeout_ms(call, now_ms);
 	fill_dispatch(call, now_ms, step);
 	return 1;
 }
--- a/packages/gate/src/call_refuse.c
+++ b/packages/gate/src/call_refuse.c
@@ -34,7 +34,7 @@
 {
 	step->kind = CW_STEP_REJECT;
 	step->status = status;
-	step->run = CW_RUN_NOT;
+	step->run = CW_RUN_NOT_EXECUTED;
 	step->retry_after_ms = -1;
 	step->reason = reason;
 }
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -98,7 +98,7 @@
 
 double gate_random_fraction(struct cw_gate *gate)
 {
-	return cw_hash_part(gate_random(gate));
+	return cw_hash_to_fraction(gate_random(gate));
 }
 
 struct cw_repeats *gate_get_retry_budget(struct cw_gate *gate, const char *service)
--- a/packages/gossip/src/audience.c
+++ b/packages/gossip/src/audience.c
@@ -122,5 +122,5 @@
 	if (member)
 		member->last_seen_ms = MAX(member->last_seen_ms, now_ms - (int64_t)report->age_ms);
 	else if (cw_membership_size(membership) >= CW_MAX_INSTANCES)
-		cw_count("instances_not_kept", "", 1);
+		cw_counter_add("instances_not_kept", "", 1);
 }
--- a/packages/http/include/cw_http_client.h
+++ b/packages/http/include/cw_http_client.h
@@ -19,11 +19,11 @@
 	const void *body;
 	size_t body_size;
 	int connect_ms;
-	int total_ms;	 /* time limit from the start to the last byte */
-	int first_ms;	 /* time limit to the first byte of the body; 0: total_ms only */
-	int idle_ms;	 /* time limit between two later bytes; 0: total_ms only */
-	int once;	 /* must not be sent twice: uses a new connection, no automatic retry */
-	size_t max_size; /* bytes of the answer's body, more gives CW_FULL; 0: no limit */
+	int total_ms;	   /* time limit from the start to the last byte */
+	int first_ms;	   /* time limit to the first byte of the body; 0: total_ms only */
+	int idle_ms;	   /* time limit between two later bytes; 0: total_ms only */
+	int forbids_retry; /* must not be sent twice: uses a new connection, no automatic retry */
+	size_t max_size;   /* bytes of the answer's body, more gives CW_FULL; 0: no limit */
 	/* Called for the status line and headers, then for each chunk; non-zero aborts the call. */
 	int (*on_head)(void *context, int status, const char *request_id, const char *content_type);
 	int (*on_data)(void *context, const char *data, size_t size);
@@ -52,9 +52,9 @@
 extern const struct cw_http_transport cw_http_pooled;
 extern const struct cw_http_transport cw_http_ulfius; /* baseline: complete answers only */
 
-void cw_http_open(void);      /* first, before any thread starts */
-void cw_http_interrupt(void); /* aborts all calls within a second, for the shutdown */
-void cw_http_close(void);     /* after all threads have ended */
+void cw_http_open(void);	/* first, before any thread starts */
+void cw_http_abort_calls(void); /* aborts all calls within a second, for the shutdown */
+void cw_http_close(void);	/* after all threads have ended */
 enum cw_status cw_http_perform(const struct cw_http_call *call, struct cw_http_answer *answer,
 			       struct cw_error *error); /* CW_UNREACHABLE: no byte was sent;
 							   CW_UNKNOWN: no complete answer */
--- a/packages/http/include/cw_http_server.h
+++ b/packages/http/include/cw_http_server.h
@@ -11,13 +11,13 @@
 
 struct cw_http_server;
 
-struct cw_http_in {
+struct cw_http_request {
 	const char *method;
 	const char *path; /* as sent, with its query */
 	const char *body;
 	size_t body_size;
 	const char *peer;    /* IP address of the caller */
-	const void *headers; /* for cw_http_header */
+	const void *headers; /* for cw_http_request_header */
 };
 
 struct cw_chunk { /* part of a streamed answer, made by cw_chunk_create */
@@ -26,10 +26,10 @@
 	char data[];
 };
 
-#define CW_PULL_END (-1) /* the answer is complete */
-#define CW_PULL_CUT (-2) /* abort the connection */
+#define CW_PULL_END   (-1) /* the answer is complete */
+#define CW_PULL_ABORT (-2) /* abort the connection */
 
-struct cw_http_out {
+struct cw_http_response {
 	int status;
 	char *body; /* g_free'd by the server; NULL for none */
 	size_t body_size;
@@ -50,24 +50,26 @@
 	unsigned int idle_s;  /* closes connections without traffic */
 	const char *tls_cert; /* PEM files; NULL: plain HTTP */
 	const char *tls_key;
-	void (*handle)(void *context, const struct cw_http_in *in, struct cw_http_out *out);
+	void (*handle)(void *context, const struct cw_http_request *in,
+		       struct cw_http_response *out);
 	void *context;
 };
 
 struct cw_http_server *cw_http_server_create(const struct cw_http_server_options *options,
 					     struct cw_error *error); /* NULL: see error */
-void cw_http_server_quiet(
+void cw_http_server_stop_accepting(
 	struct cw_http_server *server); /* accepts no new connections; open ones continue */
 void cw_http_server_destroy(struct cw_http_server *server); /* waits for requests in progress */
 int cw_http_server_port(const struct cw_http_server *server);
-unsigned int cw_http_server_connections(const struct cw_http_server *server);
+unsigned int cw_http_server_count_connections(const struct cw_http_server *server);
 
-const char *cw_http_header(const struct cw_http_in *in, const char *name); /* NULL: absent */
-void cw_http_out_header(struct cw_http_out *out, const char *name, const char *value);
-void cw_http_out_json(struct cw_http_out *out, int status,
-		      char *body); /* takes ownership of body */
+const char *cw_http_request_header(const struct cw_http_request *in,
+				   const char *name); /* NULL: absent */
+void cw_http_response_add_header(struct cw_http_response *out, const char *name, const char *value);
+void cw_http_response_set_json(struct cw_http_response *out, int status,
+			       char *body); /* takes ownership of body */
 struct cw_chunk *cw_chunk_create(const void *data, size_t size);
-int cw_address_split(const char *address, char *host, size_t host_size,
-		     int *port); /* 0: valid IPv4:PORT */
+int cw_http_parse_address(const char *address, char *host, size_t host_size,
+			  int *port); /* 0: valid IPv4:PORT */
 
 #endif
--- a/packages/http/src/client.c
+++ b/packages/http/src/client.c
@@ -52,7 +52,7 @@
 	curl_global_init(CURL_GLOBAL_ALL);
 }
 
-void cw_http_interrupt(void)
+void cw_http_abort_calls(void)
 {
 	__atomic_store_n(&is_interrupted, 1, __ATOMIC_RELEASE);
 }
@@ -167,7 +167,7 @@
 	 * server may have received the first attempt, and a non-idempotent request would run twice.
 	 * libcurl never retries on a new connection.
 	 */
-	if (call->once) {
+	if (call->forbids_retry) {
 		curl_easy_setopt(curl, CURLOPT_FRESH_CONNECT, 1L);
 		curl_easy_setopt(curl, CURLOPT_FORBID_REUSE, 1L);
 	}
--- a/packages/http/src/server.c
+++ b/packages/http/src/server.c
@@ -36,8 +36,8 @@
 };
 
 static int on_request(const struct _u_request *request, struct _u_response *response, void *data);
-static void send_body(struct cw_http_out *out, struct _u_response *response);
-static void send_stream(struct cw_http_out *out, struct _u_response *response);
+static void send_body(struct cw_http_response *out, struct _u_response *response);
+static void send_stream(struct cw_http_response *out, struct _u_response *response);
 static ssize_t on_stream(void *data, uint64_t offset, char *buffer, size_t max);
 static void on_stream_end(void *data);
 static int is_body_too_large(const struct _u_request *request, size_t max_body);
@@ -54,7 +54,7 @@
 	int attempts = 1;
 
 	server->options = *options;
-	if (cw_address_split(options->address, host, sizeof(host), &port)) {
+	if (cw_http_parse_address(options->address, host, sizeof(host), &port)) {
 		cw_error_set(error, CW_INVALID, STEP, options->address, "not an IP:PORT");
 		g_free(server);
 		return NULL;
@@ -85,7 +85,7 @@
  * queue. The caller of such a connection sees a reset without a byte and cannot know whether its
  * request ran. So these connections are accepted first, and their requests are answered.
  */
-void cw_http_server_quiet(struct cw_http_server *server)
+void cw_http_server_stop_accepting(struct cw_http_server *server)
 {
 	MHD_socket listener = MHD_quiesce_daemon(server->instance.mhd_daemon);
 	struct pollfd wait = {.fd = listener, .events = POLLIN};
@@ -126,7 +126,7 @@
 	return (int)server->instance.port;
 }
 
-unsigned int cw_http_server_connections(const struct cw_http_server *server)
+unsigned int cw_http_server_count_connections(const struct cw_http_server *server)
 {
 	const union MHD_DaemonInfo *info = MHD_get_daemon_info(server->instance.mhd_daemon,
 							       MHD_DAEMON_INFO_CURRENT_CONNECTIONS);
@@ -134,18 +134,18 @@
 	return info ? info->num_connections : 0;
 }
 
-const char *cw_http_header(const struct cw_http_in *in, const char *name)
+const char *cw_http_request_header(const struct cw_http_request *in, const char *name)
 {
 	return u_map_get_case(in->headers, name);
 }
 
-void cw_http_out_header(struct cw_http_out *out, const char *name, const char *value)
+void cw_http_response_add_header(struct cw_http_response *out, const char *name, const char *value)
 {
 	if (out->header_count < G_N_ELEMENTS(out->headers))
 		out->headers[out->header_count++] = g_strdup_printf("%s: %s", name, value);
 }
 
-void cw_http_out_json(struct cw_http_out *out, int status, char *body)
+void cw_http_response_set_json(struct cw_http_response *out, int status, char *body)
 {
 	out->status = status;
 	out->body = body;
@@ -163,7 +163,7 @@
 	return chunk;
 }
 
-int cw_address_split(const char *address, char *host, size_t host_size, int *port)
+int cw_http_parse_address(const char *address, char *host, size_t host_size, int *port)
 {
 	const char *colon = strrchr(address, ':');
 	struct in_addr parsed;
@@ -184,9 +184,9 @@
 static int on_request(const struct _u_request *request, struct _u_response *response, void *data)
 {
 	struct cw_http_server *server = data;
-	struct cw_http_out out = {.status = 500};
+	struct cw_http_response out = {.status = 500};
 	char peer[INET_ADDRSTRLEN] = "";
-	struct cw_http_in in = {
+	struct cw_http_request in = {
 		.method = request->http_verb,
 		.path = request->http_url,
 		.body = request->binary_body ? request->binary_body : "",
@@ -199,10 +199,11 @@
 		inet_ntop(AF_INET, &((struct sockaddr_in *)request->client_address)->sin_addr, peer,
 			  sizeof(peer));
 	if (is_body_too_large(request, server->options.max_body))
-		cw_http_out_json(&out, 413,
-				 g_strdup("{\"error\":{\"code\":\"bad_request\",\"message\":\"the "
-					  "body is too large\","
-					  "\"run\":\"not_run\",\"retry_after_ms\":0}}"));
+		cw_http_response_set_json(
+			&out, 413,
+			g_strdup("{\"error\":{\"code\":\"bad_request\",\"message\":\"the "
+				 "body is too large\","
+				 "\"run\":\"not_run\",\"retry_after_ms\":0}}"));
 	else
 		server->options.handle(server->options.context, &in, &out);
 	for (size_t i = 0; i < out.header_count; i++) {
@@ -221,14 +222,14 @@
 	return U_CALLBACK_COMPLETE;
 }
 
-static void send_body(struct cw_http_out *out, struct _u_response *response)
+static void send_body(struct cw_http_response *out, struct _u_response *response)
 {
 	ulfius_set_binary_body_response(response, (unsigned int)out->status,
 					out->body ? out->body : "", out->body_size);
 	g_free(out->body);
 }
 
-static void send_stream(struct cw_http_out *out, struct _u_response *response)
+static void send_stream(struct cw_http_response *out, struct _u_response *response)
 {
 	struct stream_context *stream = g_new0(struct stream_context, 1);
 
@@ -249,13 +250,13 @@
 
 	if (stream->pull) {
 		pulled = stream->pull(stream->context, buffer, max);
-		if (pulled == CW_PULL_CUT)
+		if (pulled == CW_PULL_ABORT)
 			return U_STREAM_ERROR;
 		return pulled == CW_PULL_END ? U_STREAM_END : pulled;
 	}
 	while (!stream->chunk) {
 		stream->chunk = cw_ring_pop(stream->ring, STREAM_POLL_MS);
-		if (!stream->chunk && cw_ring_is_closed(stream->ring))
+		if (!stream->chunk && cw_ring_is_drained(stream->ring))
 			return U_STREAM_END;
 	}
 	chunk = stream->chunk;
--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -205,12 +205,12 @@
 	size_t found = 0;
 
 	TAILQ_FOREACH(member, &membership->members, link) {
-		double score = cw_rendezvous(key, member->id, 1);
+		double score = cw_rendezvous_score(key, member->id, 1);
 		size_t at = found;
 
 		if (!*member->address || !is_seen_within(member, membership->timeout_ms, now_ms))
 			continue;
-		while (at > 0 && cw_rendezvous(key, members[at - 1]->id, 1) < score)
+		while (at > 0 && cw_rendezvous_score(key, members[at - 1]->id, 1) < score)
 			at--;
 		if (at == count)
 			continue;
@@ -224,13 +224,13 @@
 
 size_t cw_membership_rank(const struct cw_membership *membership, uint64_t key, int64_t now_ms)
 {
-	double own = cw_rendezvous(key, membership->id, 1);
+	double own = cw_rendezvous_score(key, membership->id, 1);
 	const struct cw_member *member;
 	size_t rank = 0;
 
 	TAILQ_FOREACH(member, &membership->members, link) {
 		if (is_seen_within(member, membership->timeout_ms, now_ms) &&
-		    cw_rendezvous(key, member->id, 1) > own)
+		    cw_rendezvous_score(key, member->id, 1) > own)
 			rank++;
 	}
 	return rank;
@@ -248,7 +248,7 @@
 size_t cw_membership_stable_rank(const struct cw_membership *membership, uint64_t key,
 				 int64_t now_ms, size_t *instances)
 {
-	double own = cw_rendezvous(key, membership->id, 1);
+	double own = cw_rendezvous_score(key, membership->id, 1);
 	size_t live = cw_membership_count_live(membership, now_ms);
 	const struct cw_member *member;
 	int is_majority;
@@ -262,7 +262,7 @@
 		if (member->leaving ||
 		    (is_majority && !cw_membership_is_live(membership, member, now_ms)))
 			continue;
-		rank += cw_rendezvous(key, member->id, 1) > own;
+		rank += cw_rendezvous_score(key, member->id, 1) > own;
 	}
 	*instances = is_majority ? live : known;
 	if (!is_settled(membership, now_ms) || (known == 1 && !membership->is_only))
@@ -327,7 +327,7 @@
 	double best_score = -1;
 
 	TAILQ_FOREACH(member, &membership->members, link) {
-		double score = cw_rendezvous(key, member->id, 1);
+		double score = cw_rendezvous_score(key, member->id, 1);
 
 		if (member == excluded || !cw_membership_is_live(membership, member, now_ms))
 			continue;
--- a/packages/node/include/cw_node.h
+++ b/packages/node/include/cw_node.h
@@ -234,7 +234,7 @@
 		} dispatch;
 		struct {
 			enum cw_error_code code;
-			enum cw_run run;
+			enum cw_run_state run;
 			int64_t retry_after_ms; /* 0: a retry does not help */
 			char message[CW_MESSAGE_MAX];
 		} reject;
@@ -255,7 +255,7 @@
 		} append;
 		struct {
 			char address[CW_ADDRESS_MAX];
-			struct cw_peer_bytes bytes;
+			struct cw_peer_buffer bytes;
 		} send;
 		struct {
 			char request_id[CW_ID_MAX];
@@ -362,6 +362,6 @@
 const char *cw_stream_name(enum cw_stream stream);
 const char *cw_error_code_name(enum cw_error_code code);
 int cw_error_code_http_status(enum cw_error_code code);
-const char *cw_run_name(enum cw_run run);
+const char *cw_run_name(enum cw_run_state run);
 
 #endif
--- a/packages/node/src/effects.c
+++ b/packages/node/src/effects.c
@@ -79,7 +79,7 @@
 	return codes[code].http;
 }
 
-const char *cw_run_name(enum cw_run run)
+const char *cw_run_name(enum cw_run_state run)
 {
 	static const char *const names[] = {"not_run", "unknown", "run"};
 
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -48,14 +48,14 @@
 	struct cw_member *member;
 
 	/* A forged or truncated message must not change any state. */
-	if (cw_peer_open(node->config.peer_key, data, size, &message) != CW_OK) {
+	if (cw_peer_decode(node->config.peer_key, data, size, &message) != CW_OK) {
 		node_log_event(node, "peer", "message_rejected", "bytes=%zu", size);
 		return;
 	}
 	member = cw_membership_upsert(node->membership, message.from, message.failure_domain,
 				      message.address);
 	if (!member) {
-		cw_peer_release(&message);
+		cw_peer_message_clear(&message);
 		return;
 	}
 	switch (message.body.kind) {
@@ -105,7 +105,7 @@
 		}
 		break;
 	}
-	cw_peer_release(&message);
+	cw_peer_message_clear(&message);
 }
 
 /*
@@ -158,7 +158,7 @@
 
 void gossip_send(struct cw_node *node, const struct cw_member *member, struct peer_message *message)
 {
-	struct cw_peer_bytes bytes;
+	struct cw_peer_buffer bytes;
 	struct cw_effect *effect;
 
 	message->from = node->instance;
@@ -166,7 +166,7 @@
 	message->address = node->peer_address;
 	message->boot = node->config.boot;
 	message->sequence = ++node->sequence;
-	if (!*member->address || cw_peer_seal(node->config.peer_key, message, &bytes) != CW_OK)
+	if (!*member->address || cw_peer_encode(node->config.peer_key, message, &bytes) != CW_OK)
 		return;
 	effect = node_add_effect(node, CW_EFFECT_SEND, 0);
 	g_strlcpy(effect->send.address, member->address, CW_ADDRESS_MAX);
--- a/packages/node/src/node_log.c
+++ b/packages/node/src/node_log.c
@@ -302,7 +302,7 @@
 	record->data = g_strdup(from->data);
 	STAILQ_INSERT_TAIL(&node->table_records, record, link);
 	node->table_record_count++;
-	if (node->table_record_count <= CW_TABLE_WINDOW)
+	if (node->table_record_count <= CW_TABLE_RECORDS_KEPT)
 		return;
 	record = STAILQ_FIRST(&node->table_records);
 	STAILQ_REMOVE_HEAD(&node->table_records, link);
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -272,7 +272,7 @@
 		start_rating(node, request, end->answer, 1);
 		return;
 	}
-	sample = cw_hash_part(node_random(node));
+	sample = cw_hash_to_fraction(node_random(node));
 	if (end->answer &&
 	    sample < cw_cascade_sample_rate(node->cascade, task, request->version_id))
 		start_rating(node, request, end->answer, 0);
--- a/packages/node/src/request_choice.c
+++ b/packages/node/src/request_choice.c
@@ -176,12 +176,12 @@
 		/* A version that failed this request is used only if no other version is left. */
 		if (id == request->failed_version)
 			weight_factor = 0;
-		score = cw_rendezvous(key, id, weight * weight_factor);
+		score = cw_rendezvous_score(key, id, weight * weight_factor);
 		if (weight_factor > 0 && score > best_score) {
 			best = row;
 			best_score = score;
 		}
-		score = cw_rendezvous(key, id, weight);
+		score = cw_rendezvous_score(key, id, weight);
 		if (score > fallback_score) {
 			fallback = row;
 			fallback_score = score;
--- a/packages/peer/include/cw_peer.h
+++ b/packages/peer/include/cw_peer.h
@@ -9,7 +9,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-struct cw_peer_bytes {
+struct cw_peer_buffer {
 	uint8_t *data; /* g_free */
 	size_t size;
 };
@@ -17,22 +17,23 @@
 struct cw_peer_server;
 struct cw_peer_client;
 
-enum cw_status cw_peer_seal(const uint8_t key[CW_KEY_BYTES], struct peer_message *message,
-			    struct cw_peer_bytes *sealed); /* CW_FULL: over PEER_TEXT_MAX bytes */
-enum cw_status cw_peer_open(const uint8_t key[CW_KEY_BYTES], const void *data, size_t size,
-			    struct peer_message *message); /* CW_INVALID: forged or malformed */
-void cw_peer_release(struct peer_message *message);	   /* frees a message of cw_peer_open */
-
-struct cw_peer_server *cw_peer_serve(const char *address,
-				     void (*deliver)(void *context, const void *data, size_t size),
-				     void *context,
-				     struct cw_error *error); /* own thread; NULL: see error */
-void cw_peer_server_destroy(struct cw_peer_server *server);   /* joins its thread */
+enum cw_status
+cw_peer_encode(const uint8_t key[CW_KEY_BYTES], struct peer_message *message,
+	       struct cw_peer_buffer *sealed); /* CW_FULL: over PEER_TEXT_MAX bytes */
+enum cw_status cw_peer_decode(const uint8_t key[CW_KEY_BYTES], const void *data, size_t size,
+			      struct peer_message *message); /* CW_INVALID: forged or malformed */
+void cw_peer_message_clear(struct peer_message *message);    /* frees a message of cw_peer_decode */
+
+struct cw_peer_server *
+cw_peer_server_create(const char *address,
+		      void (*deliver)(void *context, const void *data, size_t size), void *context,
+		      struct cw_error *error);		    /* own thread; NULL: see error */
+void cw_peer_server_destroy(struct cw_peer_server *server); /* joins its thread */
 int cw_peer_server_port(const struct cw_peer_server *server);
 
 struct cw_peer_client *cw_peer_client_create(const char *address, int timeout_ms);
 void cw_peer_client_destroy(struct cw_peer_client *client);
-enum cw_status cw_peer_send(struct cw_peer_client *client, const void *data, size_t size,
-			    struct cw_error *error); /* connects if necessary */
+enum cw_status cw_peer_client_send(struct cw_peer_client *client, const void *data, size_t size,
+				   struct cw_error *error); /* connects if necessary */
 
 #endif
--- a/packages/peer/src/codec.c
+++ b/packages/peer/src/codec.c
@@ -6,8 +6,8 @@
 #define MAC_BYTES 32
 
 /* The signature precedes the message. */
-enum cw_status cw_peer_seal(const uint8_t key[CW_KEY_BYTES], struct peer_message *message,
-			    struct cw_peer_bytes *sealed)
+enum cw_status cw_peer_encode(const uint8_t key[CW_KEY_BYTES], struct peer_message *message,
+			      struct cw_peer_buffer *sealed)
 {
 	size_t size = xdr_sizeof((xdrproc_t)xdr_peer_message, message);
 	XDR xdr;
@@ -25,8 +25,8 @@
 	return CW_OK;
 }
 
-enum cw_status cw_peer_open(const uint8_t key[CW_KEY_BYTES], const void *data, size_t size,
-			    struct peer_message *message)
+enum cw_status cw_peer_decode(const uint8_t key[CW_KEY_BYTES], const void *data, size_t size,
+			      struct peer_message *message)
 {
 	const uint8_t *bytes = data;
 	XDR xdr;
@@ -38,11 +38,11 @@
 	xdrmem_create(&xdr, (char *)bytes + MAC_BYTES, (u_int)(size - MAC_BYTES), XDR_DECODE);
 	if (xdr_peer_message(&xdr, message))
 		return CW_OK;
-	cw_peer_release(message);
+	cw_peer_message_clear(message);
 	return CW_INVALID;
 }
 
-void cw_peer_release(struct peer_message *message)
+void cw_peer_message_clear(struct peer_message *message)
 {
 	xdr_free((xdrproc_t)xdr_peer_message, message);
 }
--- a/packages/peer/src/rpc.c
+++ b/packages/peer/src/rpc.c
@@ -51,9 +51,10 @@
 static enum cw_status client_connect(struct cw_peer_client *client, struct cw_error *error);
 static void client_disconnect(struct cw_peer_client *client);
 
-struct cw_peer_server *cw_peer_serve(const char *address,
-				     void (*deliver)(void *context, const void *data, size_t size),
-				     void *context, struct cw_error *error)
+struct cw_peer_server *cw_peer_server_create(const char *address,
+					     void (*deliver)(void *context, const void *data,
+							     size_t size),
+					     void *context, struct cw_error *error)
 {
 	struct cw_peer_server *server = g_new0(struct cw_peer_server, 1);
 	int max_record = PEER_TEXT_MAX + 4096;
@@ -143,8 +144,8 @@
 	g_free(client);
 }
 
-enum cw_status cw_peer_send(struct cw_peer_client *client, const void *data, size_t size,
-			    struct cw_error *error)
+enum cw_status cw_peer_client_send(struct cw_peer_client *client, const void *data, size_t size,
+				   struct cw_error *error)
 {
 	struct timeval timeout = {client->timeout_ms / 1000, (client->timeout_ms % 1000) * 1000};
 	const size_t mac_size = sizeof(((peer_envelope *)NULL)->mac);
--- a/packages/platform/src/platform_http.c
+++ b/packages/platform/src/platform_http.c
@@ -21,7 +21,7 @@
 static enum cw_status http_rate(const char *platform, const struct cw_rating_request *request,
 				double *score, struct cw_error *error);
 static enum cw_status send_call(const char *method, const char *platform, const char *path,
-				const char *body, int total_ms, int once,
+				const char *body, int total_ms, int forbids_retry,
 				struct json_object **answer, int *http_status,
 				struct cw_error *error);
 static void parse_records(struct json_object *answer, struct cw_platform_read_result *read);
@@ -146,7 +146,7 @@
 }
 
 static enum cw_status send_call(const char *method, const char *platform, const char *path,
-				const char *body, int total_ms, int once,
+				const char *body, int total_ms, int forbids_retry,
 				struct json_object **answer, int *http_status,
 				struct cw_error *error)
 {
@@ -160,7 +160,7 @@
 		.body_size = body ? strlen(body) : 0,
 		.connect_ms = CONNECT_TIMEOUT_MS,
 		.total_ms = total_ms,
-		.once = once,
+		.forbids_retry = forbids_retry,
 		.max_size = ANSWER_SIZE_MAX_BYTES,
 	};
 	struct cw_http_answer reply;
--- a/packages/pool/src/candidates.c
+++ b/packages/pool/src/candidates.c
@@ -91,7 +91,7 @@
 
 		if (is_candidate(pool, server, choice))
 			sample_add(is_local ? &local : &remote, server,
-				   cw_rendezvous_bits(key, server->id));
+				   cw_rendezvous_hash(key, server->id));
 	}
 	/* Traffic to another failure domain costs more than processing the prompt prefix anew. */
 	if (local.count == LOCAL_CANDIDATES)
--- a/packages/pool/src/choice.c
+++ b/packages/pool/src/choice.c
@@ -152,7 +152,7 @@
 	for (size_t i = 0; i < count; i++)
 		total += cw_pool_load(candidates[i], choice->now_ms);
 	for (size_t i = 0; i < count; i++) {
-		double score = cw_rendezvous(choice->prefix, candidates[i]->id, 1);
+		double score = cw_rendezvous_score(choice->prefix, candidates[i]->id, 1);
 		double bound = AFFINITY_LOAD_FACTOR * total / (double)count + AFFINITY_LOAD_EXTRA;
 
 		if (score <= best_score || cw_pool_load(candidates[i], choice->now_ms) > bound)
--- a/packages/pool/src/placement.c
+++ b/packages/pool/src/placement.c
@@ -130,7 +130,7 @@
 	double best = -1;
 
 	for (size_t i = 0; choice->prefix && i < count; i++) {
-		double score = cw_rendezvous(choice->prefix, candidates[i]->id, 1);
+		double score = cw_rendezvous_score(choice->prefix, candidates[i]->id, 1);
 
 		if (score > best) {
 			best = score;
--- a/packages/rollout/src/plan.c
+++ b/packages/rollout/src/plan.c
@@ -107,7 +107,8 @@
 	const struct rollout *rollout = rollout_find(rollouts, request->service);
 
 	return rollout && cw_rollouts_needs_load_trial(rollouts, request->service, now_ms) &&
-	       cw_hash_part(request->session) < load_trial_share(rollout, request->route, now_ms);
+	       cw_hash_to_fraction(request->session) <
+		       load_trial_share(rollout, request->route, now_ms);
 }
 
 void cw_rollouts_record_arrival(struct cw_rollouts *rollouts,
--- a/packages/rollout/src/rollout.c
+++ b/packages/rollout/src/rollout.c
@@ -132,7 +132,7 @@
 		return CW_ROLLOUT_VARIANT_NEW;
 	if (rollout->state == CW_ROLLOUT_ROLLED_BACK)
 		return CW_ROLLOUT_VARIANT_OLD;
-	if (cw_hash_part(request->session) >= rollout_share(rollout, request->route, now_ms))
+	if (cw_hash_to_fraction(request->session) >= rollout_share(rollout, request->route, now_ms))
 		return CW_ROLLOUT_VARIANT_OLD;
 	if (rollout_elapsed_fraction(rollout, now_ms) < ROLLOUT_FIRST_END &&
 	    rollout_was_on_old_version(rollouts, rollout, request->session, now_ms))
@@ -150,7 +150,7 @@
 	return (struct cw_rollout_assignment){
 		.variant = cw_rollouts_choose_variant(rollouts, request, now_ms),
 		.share = is_running ? rollout_share(rollout, request->route, now_ms) : 1,
-		.point = cw_hash_part(request->session),
+		.point = cw_hash_to_fraction(request->session),
 	};
 }
 
--- a/packages/rollout/src/sessions.c
+++ b/packages/rollout/src/sessions.c
@@ -114,7 +114,7 @@
 	struct cw_rollout_session *slot = &out->sessions[out->session_count];
 
 	if (out->session_count == CW_ROLLOUT_MAX_SESSIONS ||
-	    cw_hash_part(session) >= ROLLOUT_FIRST_SHARE)
+	    cw_hash_to_fraction(session) >= ROLLOUT_FIRST_SHARE)
 		return;
 	slot->session = session;
 	slot->age_ms = (uint32_t)age_ms;
--- a/tests/fake/world.h
+++ b/tests/fake/world.h
@@ -25,7 +25,7 @@
 	int64_t ended_ms;	 /* final answer, -1 none */
 	enum cw_effect_kind end; /* RELEASE, REFUSE or REPLAY */
 	enum cw_error_code code;
-	enum cw_run run;
+	enum cw_run_state run;
 	int64_t retry_after_ms;
 	unsigned int dispatched;
 	unsigned int ran; /* times a server really ran it */
--- a/tests/fuzz/oracle_checks.c
+++ b/tests/fuzz/oracle_checks.c
@@ -129,7 +129,7 @@
 			oracle_broke("one whole answer", "%s never got a final answer",
 				     request->in.request_id);
 		if (request->finals == 1 && request->end == CW_EFFECT_REJECT &&
-		    request->run == CW_RUN_NOT && request->ran > 0)
+		    request->run == CW_RUN_NOT_EXECUTED && request->ran > 0)
 			oracle_broke("not run", "%s was refused as not run and ran %u times",
 				     request->in.request_id, request->ran);
 		if (request->finals == 1 && request->end == CW_EFFECT_RELEASE && request->ran == 0)
@@ -232,7 +232,8 @@
 		oracle_broke("one whole answer", "%s ended %ld ms behind its deadline",
 			     request->in.request_id,
 			     (long)(request->ended_ms - request->in.deadline_ms));
-	if (request->end == CW_EFFECT_REJECT && request->run == CW_RUN_NOT && request->ran > 0)
+	if (request->end == CW_EFFECT_REJECT && request->run == CW_RUN_NOT_EXECUTED &&
+	    request->ran > 0)
 		oracle_broke("not run", "%s was refused as not run and had run %u times",
 			     request->in.request_id, request->ran);
 }
@@ -241,7 +242,8 @@
 {
 	struct peer_message message;
 
-	if (!world_node(world, to)->node || cw_peer_open(oracle.key, data, size, &message) != CW_OK)
+	if (!world_node(world, to)->node ||
+	    cw_peer_decode(oracle.key, data, size, &message) != CW_OK)
 		return;
 	if (message.body.kind == PEER_BILLS)
 		for (u_int i = 0; i < message.body.peer_body_u.bills.list.list_len; i++) {
@@ -252,7 +254,7 @@
 			g_strlcpy(mirror.id, id ? id + 1 : "", sizeof(mirror.id));
 			g_array_append_val(oracle.mirrors, mirror);
 		}
-	cw_peer_release(&message);
+	cw_peer_message_clear(&message);
 }
 
 void oracle_broke(const char *promise, const char *format, ...)
--- a/tests/fuzz/users_input.c
+++ b/tests/fuzz/users_input.c
@@ -390,7 +390,7 @@
 		check(!account->is_shown, "refused after a part was shown");
 		check((step->status != 503 && step->status != 429) || !account->may_ran,
 		      "called not run, and it may have run");
-		check(step->run != CW_RUN_NOT || !account->may_ran,
+		check(step->run != CW_RUN_NOT_EXECUTED || !account->may_ran,
 		      "said to have not run, and it may have");
 		break;
 	case CW_STEP_ABORT:
--- a/tests/standins/backend.c
+++ b/tests/standins/backend.c
@@ -76,34 +76,34 @@
 	struct ending ending;
 };
 
-static void handle(void *context, const struct cw_http_in *in, struct cw_http_out *out);
-static void handle_completion(struct backend *backend, const struct cw_http_in *in,
-			      struct cw_http_out *out);
-static void handle_resume(struct backend *backend, const struct cw_http_in *in,
-			  struct cw_http_out *out);
-static void handle_cancel(struct backend *backend, const struct cw_http_in *in,
-			  struct cw_http_out *out);
-static void handle_load(struct backend *backend, struct cw_http_out *out);
-static void handle_order(struct backend *backend, const struct cw_http_in *in,
-			 struct cw_http_out *out);
-static void handle_service(struct backend *backend, const struct cw_http_in *in,
-			   struct cw_http_out *out);
-static void handle_control(struct backend *backend, const struct cw_http_in *in,
-			   struct cw_http_out *out);
-static int fail_at_once(struct backend *backend, enum fault fault, struct cw_http_out *out);
+static void handle(void *context, const struct cw_http_request *in, struct cw_http_response *out);
+static void handle_completion(struct backend *backend, const struct cw_http_request *in,
+			      struct cw_http_response *out);
+static void handle_resume(struct backend *backend, const struct cw_http_request *in,
+			  struct cw_http_response *out);
+static void handle_cancel(struct backend *backend, const struct cw_http_request *in,
+			  struct cw_http_response *out);
+static void handle_load(struct backend *backend, struct cw_http_response *out);
+static void handle_order(struct backend *backend, const struct cw_http_request *in,
+			 struct cw_http_response *out);
+static void handle_service(struct backend *backend, const struct cw_http_request *in,
+			   struct cw_http_response *out);
+static void handle_control(struct backend *backend, const struct cw_http_request *in,
+			   struct cw_http_response *out);
+static int fail_at_once(struct backend *backend, enum fault fault, struct cw_http_response *out);
 static enum fault take_fault(struct backend *backend, const char *model);
 static void hang(struct backend *backend);
-static void note_run(struct backend *backend, const struct cw_http_in *in, const char *model);
+static void note_run(struct backend *backend, const struct cw_http_request *in, const char *model);
 static struct generation *generate(struct backend *backend, const char *id, int first, int tokens,
 				   enum fault fault);
 static void *run_generation(void *data);
 static void nap(struct backend *backend, int ms);
 static void answer_stream(struct generation *generation, size_t next, const char *id,
-			  struct cw_http_out *out);
+			  struct cw_http_response *out);
 static ssize_t pull(void *context, char *buffer, size_t max);
 static void end_reader(void *context);
 static int tokens_said(struct json_object *body);
-static const char *header(const struct cw_http_in *in, const char *name);
+static const char *header(const struct cw_http_request *in, const char *name);
 
 int main(int argc, char **argv)
 {
@@ -168,7 +168,7 @@
 	return 0;
 }
 
-static void handle(void *context, const struct cw_http_in *in, struct cw_http_out *out)
+static void handle(void *context, const struct cw_http_request *in, struct cw_http_response *out)
 {
 	struct backend *backend = context;
 
@@ -190,16 +190,16 @@
 	else if (g_str_has_prefix(in->path, "/v1/requests/"))
 		handle_resume(backend, in, out);
 	else if (g_str_has_prefix(in->path, "/cache_events"))
-		cw_http_out_json(out, 200, g_strdup("{\"events\":[]}"));
+		cw_http_response_set_json(out, 200, g_strdup("{\"events\":[]}"));
 	else if (!strcmp(in->path, "/orders"))
 		handle_order(backend, in, out);
 	else
-		cw_http_out_json(out, 404, g_strdup("{\"error\":\"no such path\"}"));
+		cw_http_response_set_json(out, 404, g_strdup("{\"error\":\"no such path\"}"));
 	pthread_mutex_unlock(&backend->mutex);
 }
 
-static void handle_completion(struct backend *backend, const struct cw_http_in *in,
-			      struct cw_http_out *out)
+static void handle_completion(struct backend *backend, const struct cw_http_request *in,
+			      struct cw_http_response *out)
 {
 	struct json_object *body = standin_parse(in);
 	const char *model = standin_text(body, "model", "");
@@ -210,8 +210,8 @@
 	enum fault fault;
 
 	if (!body || !g_strv_contains((const char *const *)backend->versions, model)) {
-		cw_http_out_json(out, body ? 404 : 400,
-				 g_strdup("{\"error\":\"no such version is loaded\"}"));
+		cw_http_response_set_json(out, body ? 404 : 400,
+					  g_strdup("{\"error\":\"no such version is loaded\"}"));
 		json_object_put(body);
 		return;
 	}
@@ -251,15 +251,15 @@
 		json_object_object_add(json_object_object_get(answer, "usage"), "completion_tokens",
 				       json_object_new_int(tokens - said));
 		standin_reply(out, 200, answer);
-		cw_http_out_header(out, "X-Request-Id",
-				   fault == FAULT_FOREIGN ? "somebody-elses" : id);
+		cw_http_response_add_header(out, "X-Request-Id",
+					    fault == FAULT_FOREIGN ? "somebody-elses" : id);
 		g_string_free(text, TRUE);
 	}
 	json_object_put(body);
 }
 
-static void handle_resume(struct backend *backend, const struct cw_http_in *in,
-			  struct cw_http_out *out)
+static void handle_resume(struct backend *backend, const struct cw_http_request *in,
+			  struct cw_http_response *out)
 {
 	char *id = g_strndup(in->path + strlen("/v1/requests/"),
 			     strcspn(in->path + strlen("/v1/requests/"), "/"));
@@ -270,13 +270,13 @@
 		generation->fault = FAULT_NONE;
 		answer_stream(generation, g_ascii_strtoull(last, NULL, 10) + 1, id, out);
 	} else {
-		cw_http_out_json(out, 404, g_strdup("{\"error\":\"no such request\"}"));
+		cw_http_response_set_json(out, 404, g_strdup("{\"error\":\"no such request\"}"));
 	}
 	g_free(id);
 }
 
-static void handle_cancel(struct backend *backend, const struct cw_http_in *in,
-			  struct cw_http_out *out)
+static void handle_cancel(struct backend *backend, const struct cw_http_request *in,
+			  struct cw_http_response *out)
 {
 	struct generation *generation =
 		g_hash_table_lookup(backend->generations, in->path + strlen("/v1/requests/"));
@@ -284,10 +284,10 @@
 	if (generation)
 		generation->cancelled = 1;
 	pthread_cond_broadcast(&backend->changed);
-	cw_http_out_json(out, generation ? 200 : 404, g_strdup("{}"));
+	cw_http_response_set_json(out, generation ? 200 : 404, g_strdup("{}"));
 }
 
-static void handle_load(struct backend *backend, struct cw_http_out *out)
+static void handle_load(struct backend *backend, struct cw_http_response *out)
 {
 	struct json_object *body = json_object_new_object();
 	struct json_object *versions = json_object_new_array();
@@ -307,8 +307,8 @@
 	standin_reply(out, 200, body);
 }
 
-static void handle_order(struct backend *backend, const struct cw_http_in *in,
-			 struct cw_http_out *out)
+static void handle_order(struct backend *backend, const struct cw_http_request *in,
+			 struct cw_http_response *out)
 {
 	struct json_object *body = standin_parse(in);
 	int64_t fencing = standin_number(body, "fencing", 0);
@@ -317,7 +317,7 @@
 	if (backend->checks_fencing && fencing < backend->fencing) {
 		json_object_object_add(body, "refused", json_object_new_boolean(1));
 		json_object_array_add(backend->orders, body);
-		cw_http_out_json(out, 409, g_strdup("{\"error\":\"old fencing number\"}"));
+		cw_http_response_set_json(out, 409, g_strdup("{\"error\":\"old fencing number\"}"));
 		return;
 	}
 	backend->fencing = MAX(backend->fencing, fencing);
@@ -330,11 +330,11 @@
 		backend->versions[count + 1] = NULL;
 	}
 	json_object_array_add(backend->orders, body);
-	cw_http_out_json(out, 200, g_strdup("{}"));
+	cw_http_response_set_json(out, 200, g_strdup("{}"));
 }
 
-static void handle_service(struct backend *backend, const struct cw_http_in *in,
-			   struct cw_http_out *out)
+static void handle_service(struct backend *backend, const struct cw_http_request *in,
+			   struct cw_http_response *out)
 {
 	enum fault fault = take_fault(backend, "");
 	struct json_object *body;
@@ -353,11 +353,11 @@
 	json_object_object_add(body, "key", json_object_new_string(header(in, "Idempotency-Key")));
 	json_object_object_add(body, "request", json_object_new_string(header(in, "X-Request-Id")));
 	standin_reply(out, strcmp(in->method, "POST") ? 200 : 201, body);
-	cw_http_out_header(out, "X-Request-Id", header(in, "X-Request-Id"));
+	cw_http_response_add_header(out, "X-Request-Id", header(in, "X-Request-Id"));
 }
 
-static void handle_control(struct backend *backend, const struct cw_http_in *in,
-			   struct cw_http_out *out)
+static void handle_control(struct backend *backend, const struct cw_http_request *in,
+			   struct cw_http_response *out)
 {
 	struct json_object *body = standin_parse(in);
 	const char *fault = standin_text(body, "fault", fault_names[backend->fault]);
@@ -376,29 +376,29 @@
 	backend->first_ms = (int)standin_number(body, "first_ms", backend->first_ms);
 	pthread_cond_broadcast(&backend->changed);
 	json_object_put(body);
-	cw_http_out_json(out, 200, g_strdup("{}"));
+	cw_http_response_set_json(out, 200, g_strdup("{}"));
 }
 
-static int fail_at_once(struct backend *backend, enum fault fault, struct cw_http_out *out)
+static int fail_at_once(struct backend *backend, enum fault fault, struct cw_http_response *out)
 {
 	switch (fault) {
 	case FAULT_ERROR:
-		cw_http_out_json(out, 500, g_strdup("{\"error\":\"broken\"}"));
+		cw_http_response_set_json(out, 500, g_strdup("{\"error\":\"broken\"}"));
 		return 1;
 	case FAULT_BUSY:
-		cw_http_out_header(out, "Retry-After", "1");
-		cw_http_out_json(out, 429, g_strdup("{\"error\":\"busy\"}"));
+		cw_http_response_add_header(out, "Retry-After", "1");
+		cw_http_response_set_json(out, 429, g_strdup("{\"error\":\"busy\"}"));
 		return 1;
 	case FAULT_RUBBISH:
-		cw_http_out_json(out, 200, g_strdup("<html>not what was asked</html>"));
-		cw_http_out_header(out, "X-Request-Id", "rubbish");
+		cw_http_response_set_json(out, 200, g_strdup("<html>not what was asked</html>"));
+		cw_http_response_add_header(out, "X-Request-Id", "rubbish");
 		return 1;
 	case FAULT_HUGE:
-		cw_http_out_json(out, 200, g_strnfill(HUGE_BYTES, 'x'));
+		cw_http_response_set_json(out, 200, g_strnfill(HUGE_BYTES, 'x'));
 		return 1;
 	case FAULT_HANG:
 		hang(backend);
-		cw_http_out_json(out, 500, g_strdup("{}"));
+		cw_http_response_set_json(out, 500, g_strdup("{}"));
 		return 1;
 	default:
 		return 0;
@@ -420,7 +420,7 @@
 		nap(backend, 100);
 }
 
-static void note_run(struct backend *backend, const struct cw_http_in *in, const char *model)
+static void note_run(struct backend *backend, const struct cw_http_request *in, const char *model)
 {
 	struct json_object *run = json_object_new_object();
 
@@ -500,7 +500,7 @@
 }
 
 static void answer_stream(struct generation *generation, size_t next, const char *id,
-			  struct cw_http_out *out)
+			  struct cw_http_response *out)
 {
 	struct reader *reader = g_new0(struct reader, 1);
 
@@ -508,7 +508,7 @@
 	reader->next = next;
 	out->status = 200;
 	g_strlcpy(out->content_type, "text/event-stream", sizeof(out->content_type));
-	cw_http_out_header(out, "X-Request-Id", id);
+	cw_http_response_add_header(out, "X-Request-Id", id);
 	out->pull = pull;
 	out->on_end = end_reader;
 	out->context = reader;
@@ -527,7 +527,7 @@
 			pthread_cond_wait(&backend->changed, &backend->mutex);
 		if (generation->fault == FAULT_CUT && reader->next > (size_t)generation->after) {
 			pthread_mutex_unlock(&backend->mutex);
-			return CW_PULL_CUT;
+			return CW_PULL_ABORT;
 		}
 		while (generation->fault == FAULT_FREEZE &&
 		       reader->next > (size_t)generation->after && backend->fault == FAULT_FREEZE)
@@ -574,9 +574,9 @@
 	return count;
 }
 
-static const char *header(const struct cw_http_in *in, const char *name)
+static const char *header(const struct cw_http_request *in, const char *name)
 {
-	const char *value = cw_http_header(in, name);
+	const char *value = cw_http_request_header(in, name);
 
 	return value ? value : "";
 }
--- a/tests/standins/platform.c
+++ b/tests/standins/platform.c
@@ -38,21 +38,21 @@
 	uint64_t reads;
 };
 
-static void handle(void *context, const struct cw_http_in *in, struct cw_http_out *out);
-static void handle_append(struct platform *platform, const char *name, const struct cw_http_in *in,
-			  struct cw_http_out *out);
-static void handle_read(struct platform *platform, const char *name, const struct cw_http_in *in,
-			struct cw_http_out *out);
-static void handle_rating(struct platform *platform, const struct cw_http_in *in,
-			  struct cw_http_out *out);
-static void handle_control(struct platform *platform, const struct cw_http_in *in,
-			   struct cw_http_out *out);
+static void handle(void *context, const struct cw_http_request *in, struct cw_http_response *out);
+static void handle_append(struct platform *platform, const char *name,
+			  const struct cw_http_request *in, struct cw_http_response *out);
+static void handle_read(struct platform *platform, const char *name,
+			const struct cw_http_request *in, struct cw_http_response *out);
+static void handle_rating(struct platform *platform, const struct cw_http_request *in,
+			  struct cw_http_response *out);
+static void handle_control(struct platform *platform, const struct cw_http_request *in,
+			   struct cw_http_response *out);
 static struct stream *stream_of(struct platform *platform, const char *name);
 static void expire(struct platform *platform, struct stream *stream);
 static void drop_before(struct stream *stream, uint64_t first);
 static void wait_for_append(struct platform *platform, struct stream *stream, uint64_t from,
 			    int wait_ms);
-static void error_reply(struct cw_http_out *out, int status);
+static void error_reply(struct cw_http_response *out, int status);
 
 int main(int argc, char **argv)
 {
@@ -84,7 +84,7 @@
 	return 0;
 }
 
-static void handle(void *context, const struct cw_http_in *in, struct cw_http_out *out)
+static void handle(void *context, const struct cw_http_request *in, struct cw_http_response *out)
 {
 	struct platform *platform = context;
 	char name[64] = "";
@@ -121,8 +121,8 @@
 	pthread_mutex_unlock(&platform->mutex);
 }
 
-static void handle_append(struct platform *platform, const char *name, const struct cw_http_in *in,
-			  struct cw_http_out *out)
+static void handle_append(struct platform *platform, const char *name,
+			  const struct cw_http_request *in, struct cw_http_response *out)
 {
 	struct stream *stream = stream_of(platform, name);
 	struct json_object *parsed = standin_parse(in);
@@ -157,8 +157,8 @@
 	standin_reply(out, 201, body);
 }
 
-static void handle_read(struct platform *platform, const char *name, const struct cw_http_in *in,
-			struct cw_http_out *out)
+static void handle_read(struct platform *platform, const char *name,
+			const struct cw_http_request *in, struct cw_http_response *out)
 {
 	struct stream *stream = stream_of(platform, name);
 	char text[32];
@@ -197,8 +197,8 @@
 	standin_reply(out, 200, body);
 }
 
-static void handle_rating(struct platform *platform, const struct cw_http_in *in,
-			  struct cw_http_out *out)
+static void handle_rating(struct platform *platform, const struct cw_http_request *in,
+			  struct cw_http_response *out)
 {
 	struct json_object *parsed = standin_parse(in);
 	struct json_object *body = json_object_new_object();
@@ -215,8 +215,8 @@
 	json_object_put(parsed);
 }
 
-static void handle_control(struct platform *platform, const struct cw_http_in *in,
-			   struct cw_http_out *out)
+static void handle_control(struct platform *platform, const struct cw_http_request *in,
+			   struct cw_http_response *out)
 {
 	struct json_object *parsed = standin_parse(in);
 	struct json_object *body = json_object_new_object();
@@ -306,8 +306,8 @@
 			break;
 }
 
-static void error_reply(struct cw_http_out *out, int status)
+static void error_reply(struct cw_http_response *out, int status)
 {
-	cw_http_out_header(out, "Retry-After", "1");
-	cw_http_out_json(out, status, g_strdup("{\"error\":\"stand-in\"}"));
+	cw_http_response_add_header(out, "Retry-After", "1");
+	cw_http_response_set_json(out, status, g_strdup("{\"error\":\"stand-in\"}"));
 }
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -18,8 +18,9 @@
 }
 
 struct cw_http_server *standin_listen(int port,
-				      void (*handle)(void *context, const struct cw_http_in *in,
-						     struct cw_http_out *out),
+				      void (*handle)(void *context,
+						     const struct cw_http_request *in,
+						     struct cw_http_response *out),
 				      void *context)
 {
 	char address[64];
@@ -71,15 +72,16 @@
 	return value;
 }
 
-void standin_reply(struct cw_http_out *out, int status, struct json_object *body)
+void standin_reply(struct cw_http_response *out, int status, struct json_object *body)
 {
-	cw_http_out_json(out, status,
-			 g_strdup(json_object_to_json_string_ext(
-				 body, JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)));
+	cw_http_response_set_json(
+		out, status,
+		g_strdup(json_object_to_json_string_ext(
+			body, JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)));
 	json_object_put(body);
 }
 
-struct json_object *standin_parse(const struct cw_http_in *in)
+struct json_object *standin_parse(const struct cw_http_request *in)
 {
 	char *text = g_strndup(in->body, in->body_size);
 	struct json_object *parsed = json_tokener_parse(text);
--- a/tests/standins/standin.h
+++ b/tests/standins/standin.h
@@ -7,14 +7,16 @@
 #include <json-c/json.h>
 
 struct cw_http_server *standin_listen(int port,
-				      void (*handle)(void *context, const struct cw_http_in *in,
-						     struct cw_http_out *out),
+				      void (*handle)(void *context,
+						     const struct cw_http_request *in,
+						     struct cw_http_response *out),
 				      void *context); /* prints "listening IP:PORT" */
 void standin_wait(void);			      /* until SIGTERM or SIGINT */
 const char *standin_query(const char *path, const char *name, char *value,
 			  size_t size); /* "" when missing */
-void standin_reply(struct cw_http_out *out, int status, struct json_object *body); /* takes body */
-struct json_object *standin_parse(const struct cw_http_in *in); /* NULL: not JSON */
+void standin_reply(struct cw_http_response *out, int status,
+		   struct json_object *body);			     /* takes body */
+struct json_object *standin_parse(const struct cw_http_request *in); /* NULL: not JSON */
 const char *standin_text(struct json_object *object, const char *key, const char *fallback);
 int64_t standin_number(struct json_object *object, const char *key, int64_t fallback);
 int64_t standin_now_ms(void); /* wall clock */
--- a/tests/standins/users_runner.c
+++ b/tests/standins/users_runner.c
@@ -72,15 +72,15 @@
 		struct cw_caller *caller = run->caller;
 
 		/* In the middle of an event. */
-		cw_caller_data(caller, "id: 9", 5);
-		cw_caller_attach(caller, NULL);
+		cw_caller_send_body(caller, "id: 9", 5);
+		cw_caller_set_request(caller, NULL);
 		end_run(run);
 		cw_caller_abort(caller);
 		return;
 	}
 	if (run->next <= run->last) {
 		snprintf(event, sizeof(event), "id: %ld\ndata: part %ld\n\n", run->next, run->next);
-		cw_caller_data(run->caller, event, strlen(event));
+		cw_caller_send_body(run->caller, event, strlen(event));
 		run->next++;
 		run->made++;
 	}
@@ -88,7 +88,7 @@
 		struct cw_caller *caller = run->caller;
 
 		end_run(run);
-		cw_caller_end(caller);
+		cw_caller_end_answer(caller);
 	}
 }
 
@@ -103,7 +103,7 @@
 			       name, id, id, running, more);
 	if (confidence)
 		g_string_append_printf(fields, "Confidence: %s\r\n", confidence);
-	cw_caller_head(caller, status, fields->str, length);
+	cw_caller_send_head(caller, status, fields->str, length);
 	g_string_free(fields, TRUE);
 }
 
@@ -119,7 +119,7 @@
 	run->timer.data = run;
 	TAILQ_INSERT_TAIL(&runs, run, link);
 	running++;
-	cw_caller_attach(caller, run);
+	cw_caller_set_request(caller, run);
 	head(caller, request, 200, "Content-Type: text/event-stream\r\n", CW_FLOW_CHUNKED);
 	uv_timer_start(&run->timer, on_event, 5, (uint64_t)gap_ms);
 }
@@ -149,9 +149,9 @@
 		ending_now(&ending);
 	if (m)
 		g_strlcpy(mode, m + 3, sizeof(mode));
-	cw_caller_head(caller, 200, "", (int64_t)journal->len);
-	cw_caller_data(caller, journal->str, journal->len);
-	cw_caller_end(caller);
+	cw_caller_send_head(caller, 200, "", (int64_t)journal->len);
+	cw_caller_send_body(caller, journal->str, journal->len);
+	cw_caller_end_answer(caller);
 }
 
 static void on_request(void *context, struct cw_caller *caller, struct cw_message *request)
@@ -164,14 +164,14 @@
 		on_admin(caller, request);
 	} else if (expected && strcmp(expected, name) != 0) {
 		head(caller, request, 421, "Instance-Id: other\r\n", 0);
-		cw_caller_end(caller);
+		cw_caller_end_answer(caller);
 	} else if (!strcmp(mode, "notrun")) {
 		head(caller, request, 503, "Not-Executed: 1\r\n", 0);
-		cw_caller_end(caller);
+		cw_caller_end_answer(caller);
 	} else if (!strcmp(mode, "garble")) {
 		note_run(request);
-		cw_caller_head(caller, 200, "\x01\x02 no field at all\r\n", 0);
-		cw_caller_end(caller);
+		cw_caller_send_head(caller, 200, "\x01\x02 no field at all\r\n", 0);
+		cw_caller_end_answer(caller);
 	} else if (accept && !strcmp(accept, "text/event-stream")) {
 		note_run(request);
 		stream(caller, request, events ? strtol(events + 1, NULL, 10) : 1);
@@ -180,13 +180,13 @@
 	} else if (!strcmp(mode, "short")) {
 		note_run(request);
 		head(caller, request, 200, "", 100);
-		cw_caller_data(caller, "half", 4);
+		cw_caller_send_body(caller, "half", 4);
 		cw_caller_abort(caller);
 	} else {
 		note_run(request);
 		head(caller, request, strcmp(mode, "error") ? 200 : 500, "", 5);
-		cw_caller_data(caller, "whole", 5);
-		cw_caller_end(caller);
+		cw_caller_send_body(caller, "whole", 5);
+		cw_caller_end_answer(caller);
 	}
 }
 
--- a/tests/standins/users_store.c
+++ b/tests/standins/users_store.c
@@ -85,9 +85,9 @@
 
 static void reply(struct cw_caller *caller, unsigned int status, const char *bytes, size_t size)
 {
-	cw_caller_head(caller, status, "", (int64_t)size);
-	cw_caller_data(caller, bytes, size);
-	cw_caller_end(caller);
+	cw_caller_send_head(caller, status, "", (int64_t)size);
+	cw_caller_send_body(caller, bytes, size);
+	cw_caller_end_answer(caller);
 }
 
 static void put_number(GString *out, uint64_t number, int bytes)
@@ -182,7 +182,7 @@
 	waiting->not_before_ms = strcmp(mode, "slow") ? 0 : uv_now(&loop) + SLOW_MS;
 	waiting->is_lost = is_lost;
 	TAILQ_INSERT_TAIL(&waitings, waiting, link);
-	cw_caller_attach(caller, waiting);
+	cw_caller_set_request(caller, waiting);
 }
 
 static void on_tick(uv_timer_t *timer)
--- a/tests/tools/faultproxy.c
+++ b/tests/tools/faultproxy.c
@@ -57,7 +57,7 @@
 	int64_t answered; /* bytes */
 };
 
-static void handle(void *context, const struct cw_http_in *in, struct cw_http_out *out);
+static void handle(void *context, const struct cw_http_request *in, struct cw_http_response *out);
 static void *accept_loop(void *data);
 static void *serve(void *data);
 static int forward(struct connection *connection, int from, int to, int is_answer, enum mode mode);
@@ -86,7 +86,7 @@
 
 	port->ival[0] = 0;
 	if (arg_parse(argc, argv, table) || help->count ||
-	    cw_address_split(to->sval[0], host, sizeof(host), &target_port)) {
+	    cw_http_parse_address(to->sval[0], host, sizeof(host), &target_port)) {
 		arg_print_glossary(stdout, table, "  %-20s %s\n");
 		return help->count ? 0 : 2;
 	}
@@ -105,7 +105,7 @@
 	return 0;
 }
 
-static void handle(void *context, const struct cw_http_in *in, struct cw_http_out *out)
+static void handle(void *context, const struct cw_http_request *in, struct cw_http_response *out)
 {
 	struct proxy *proxy = context;
 	struct json_object *body = standin_parse(in);
@@ -124,7 +124,7 @@
 	proxy->count = standin_number(body, "count", INT64_MAX);
 	pthread_mutex_unlock(&proxy->mutex);
 	json_object_put(body);
-	cw_http_out_json(out, known ? 200 : 400, g_strdup("{}"));
+	cw_http_response_set_json(out, known ? 200 : 400, g_strdup("{}"));
 }
 
 static void *accept_loop(void *data)
--- a/tests/tools/loadgen.c
+++ b/tests/tools/loadgen.c
@@ -178,7 +178,7 @@
 		.body_size = strlen(body),
 		.connect_ms = 2000,
 		.total_ms = TOTAL_MS,
-		.once = 0,
+		.forbids_retry = 0,
 		.on_head = on_head,
 		.on_data = on_data,
 		.context = &one,
--- a/tests/unit/gate_bed.c
+++ b/tests/unit/gate_bed.c
@@ -121,7 +121,8 @@
 	cw_call_handle_head(fixture->call, &facts, FIXTURE_NOW_MS + 10, &fixture->step);
 }
 
-void fixture_assert_rejected(const struct fixture *fixture, unsigned int status, enum cw_run run)
+void fixture_assert_rejected(const struct fixture *fixture, unsigned int status,
+			     enum cw_run_state run)
 {
 	assert_int_equal(fixture->step.kind, CW_STEP_REJECT);
 	assert_int_equal(fixture->step.status, status);
--- a/tests/unit/test_flow.c
+++ b/tests/unit/test_flow.c
@@ -154,14 +154,14 @@
 }
 
 static void send_request(struct client_fixture *fixture, const char *address, const char *id,
-			 int64_t silence_ms)
+			 int64_t read_timeout_ms)
 {
 	struct cw_exchange_request request = {
 		.address = address,
 		.bytes = g_string_new("GET / HTTP/1.1\r\nHost: a\r\n\r\n"),
 		.reuse_idle_ms = 1000,
 		.connect_ms = 1000,
-		.silence_ms = silence_ms,
+		.read_timeout_ms = read_timeout_ms,
 		.echo_name = "X-Id",
 		.echo_value = id,
 	};
@@ -189,7 +189,7 @@
 		send_request(&fixture, server.address, "a", 0);
 		fake_server_stop(&server);
 		assert_true(fixture.has_failed);
-		assert_int_equal(fixture.failure, CW_FLOW_BROKEN);
+		assert_int_equal(fixture.failure, CW_FLOW_CONNECTION_LOST);
 		client_fixture_close(&fixture);
 	}
 }
@@ -221,7 +221,7 @@
 	send_request(&fixture, server.address, "a", 0);
 	fake_server_stop(&server);
 	assert_true(fixture.has_failed);
-	assert_int_equal(fixture.failure, CW_FLOW_BROKEN);
+	assert_int_equal(fixture.failure, CW_FLOW_CONNECTION_LOST);
 	client_fixture_close(&fixture);
 }
 
@@ -270,7 +270,7 @@
 	fake_server_stop(&server);
 	assert_true(fixture.is_complete);
 	assert_string_equal(fixture.body->str, "two");
-	assert_int_equal(cw_client_opened(fixture.client), 2);
+	assert_int_equal(cw_client_count_opened(fixture.client), 2);
 	client_fixture_close(&fixture);
 }
 
@@ -289,7 +289,7 @@
 	fake_server_stop(&server);
 	assert_true(fixture.is_complete);
 	assert_string_equal(fixture.body->str, "two");
-	assert_int_equal(cw_client_opened(fixture.client), 1);
+	assert_int_equal(cw_client_count_opened(fixture.client), 1);
 	client_fixture_close(&fixture);
 }
 
@@ -304,7 +304,7 @@
 	send_request(&fixture, server.address, "a", 0);
 	fake_server_stop(&server);
 	assert_true(fixture.has_failed);
-	assert_int_equal(fixture.failure, CW_FLOW_GARBLED);
+	assert_int_equal(fixture.failure, CW_FLOW_MALFORMED);
 	client_fixture_close(&fixture);
 }
 
@@ -317,11 +317,11 @@
 	fake_server_start(&server, NULL, 0, END_OPEN);
 	send_request(&fixture, server.address, "a", 50);
 	assert_true(fixture.has_failed);
-	assert_int_equal(fixture.failure, CW_FLOW_SILENT);
+	assert_int_equal(fixture.failure, CW_FLOW_TIMED_OUT);
 	fake_server_stop(&server);
 	send_request(&fixture, server.address, "a", 50);
 	assert_true(fixture.has_failed);
-	assert_int_equal(fixture.failure, CW_FLOW_REFUSED);
+	assert_int_equal(fixture.failure, CW_FLOW_CONNECTION_REFUSED);
 	client_fixture_close(&fixture);
 }
 
@@ -342,7 +342,7 @@
 	fake_server_start(&server, answers, 1, END_FIN);
 	request.address = server.address;
 	request.bytes = g_string_new("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-	request.silence_ms = 30;
+	request.read_timeout_ms = 30;
 	cw_client_send(fixture.client, &request, &exchange_ops, &fixture);
 	/* Sends the request. The answer arrives while the loop does not run. */
 	while (!server.has_request)
@@ -374,14 +374,14 @@
 	fixture->request_count++;
 	g_string_append(fixture->targets, request->target->str);
 	g_string_append_printf(fixture->targets, "[%s] ", request->body->str);
-	cw_caller_attach(caller, fixture);
+	cw_caller_set_request(caller, fixture);
 	if (fixture->delays_answers) {
 		fixture->delayed_caller = caller;
 		return;
 	}
-	cw_caller_head(caller, 200, "", 2);
-	cw_caller_data(caller, "ok", 2);
-	cw_caller_end(caller);
+	cw_caller_send_head(caller, 200, "", 2);
+	cw_caller_send_body(caller, "ok", 2);
+	cw_caller_end_answer(caller);
 }
 
 static void on_disconnected(void *context)
@@ -496,7 +496,7 @@
 	struct listener_fixture fixture;
 
 	listener_fixture_open(&fixture);
-	cw_listener_limits(fixture.listener, &limits);
+	cw_listener_set_limits(fixture.listener, &limits);
 	listener_fixture_send(&fixture,
 			      "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 67108864\r\n\r\n");
 	listener_fixture_expect(&fixture, "HTTP/1.1 413");
@@ -528,7 +528,7 @@
 	listener_fixture_send(&fixture, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n");
 	listener_fixture_expect(&fixture, "ok");
 	assert_null(strstr(fixture.received->str, "Connection: close"));
-	cw_listener_leave(fixture.listener);
+	cw_listener_start_draining(fixture.listener);
 	listener_fixture_send(&fixture, "GET /b HTTP/1.1\r\nHost: h\r\n\r\n");
 	listener_fixture_expect(&fixture, "Connection: close");
 	listener_fixture_close(&fixture);
--- a/tests/unit/test_gate.c
+++ b/tests/unit/test_gate.c
@@ -12,9 +12,9 @@
 	fixture_open_call(&fixture, "/read/deep/x");
 	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
 	fixture_open_call(&fixture, "/read/x");
-	fixture_assert_rejected(&fixture, 401, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 401, CW_RUN_NOT_EXECUTED);
 	fixture_open_call(&fixture, "/none/");
-	fixture_assert_rejected(&fixture, 404, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 404, CW_RUN_NOT_EXECUTED);
 	fixture_close(&fixture);
 }
 
@@ -28,7 +28,7 @@
 	cw_gate_destroy(fixture.gate);
 	fixture.gate = cw_gate_create(&options);
 	fixture_open_call(&fixture, "/none/");
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	assert_true(fixture.step.retry_after_ms > 0);
 	fixture_close(&fixture);
 }
@@ -89,7 +89,7 @@
 	fixture_open(&fixture);
 	fixture_open_call(&fixture, "/once/x");
 	fixture_answer(&fixture, 503, 0, 1);
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	assert_true(fixture.step.retry_after_ms > 0);
 	fixture_close(&fixture);
 }
@@ -189,7 +189,7 @@
 	}
 	cw_pool_find_name(cw_gate_pool(fixture.gate), "s2")->leaving = 1;
 	fixture_open_call(&fixture, "/read/x");
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	fixture_close(&fixture);
 }
 
@@ -205,7 +205,7 @@
 	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
 	cw_rollouts_apply_status(cw_gate_rollouts(fixture.gate), &back);
 	fixture_open_call(&fixture, "/once/x");
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	fixture_close(&fixture);
 }
 
--- a/tests/unit/test_gate_drain.c
+++ b/tests/unit/test_gate_drain.c
@@ -73,7 +73,7 @@
 	fixture_open(&fixture);
 	drain(&fixture, "d1", 5, 1);
 	fixture_open_call(&fixture, "/once/x");
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	assert_true(fixture.step.retry_after_ms > 0);
 	drain(&fixture, "d1", 6, 0);
 	fixture_open_call(&fixture, "/once/x");
@@ -94,7 +94,7 @@
 	cw_call_complete(fixture.call, FIXTURE_NOW_MS + 20);
 	list_server(&fixture, "s9", "orders", "d1", 0);
 	fixture_open_call(&fixture, "/once/x");
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	fixture_close(&fixture);
 }
 
@@ -123,7 +123,7 @@
 	}
 	/* Two servers with a warm-up rate of four requests a second each. */
 	assert_in_range(sent, 2, 8);
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	assert_string_equal(fixture.step.reason, "the backend servers are warming up");
 	assert_in_range(fixture.step.retry_after_ms, 1, 2300);
 	fixture_close(&fixture);
@@ -188,11 +188,11 @@
 	assert_string_equal(fixture.step.server->name, "s3");
 	set_homes(&fixture, 8, "south", "north");
 	fixture_open_call(&fixture, "/once/x");
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	set_homes(&fixture, 9, "south", NULL);
 	cw_pool_find_name(cw_gate_pool(fixture.gate), "s3")->leaving = 1;
 	fixture_open_call(&fixture, "/once/x");
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	fixture_close(&fixture);
 }
 
--- a/tests/unit/test_gate_quarantine.c
+++ b/tests/unit/test_gate_quarantine.c
@@ -51,7 +51,7 @@
 	assert_int_equal(send_poison_request(&fixture, "/chat/x"), 3);
 	fixture_assert_rejected(&fixture, 502, CW_RUN_UNKNOWN);
 	fixture_open_call(&fixture, "/chat/x");
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	assert_int_equal(fixture.step.retry_after_ms, -1);
 	assert_int_equal(cw_call_attempts(fixture.call), 0);
 	fixture.facts.body = BODY + 1;
@@ -206,7 +206,7 @@
 			       &fixture.step);
 	fixture_assert_rejected(&fixture, 502, CW_RUN_UNKNOWN);
 	fixture_open_call(&fixture, "/read/x");
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	fixture_close(&fixture);
 }
 
@@ -219,7 +219,7 @@
 	quarantine_suspect(&fixture);
 	cw_pool_set_place_lookup(cw_gate_pool(fixture.gate), set_second_place, NULL);
 	fixture_open_call(&fixture, "/read/x");
-	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	fixture_close(&fixture);
 }
 
--- a/tests/unit/test_overload.c
+++ b/tests/unit/test_overload.c
@@ -183,7 +183,7 @@
 			if (fixture.step.kind != CW_STEP_REJECT)
 				continue;
 			refused[priority]++;
-			fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
+			fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 			assert_in_range(fixture.step.retry_after_ms, 600, 9000 / 3);
 		}
 		fixture_close(&fixture);
