--- a/apps/corianderwalk/job_attempt.c
+++ b/apps/corianderwalk/job_attempt.c
@@ -257,7 +257,7 @@
 	return body;
 }
 
-/* Frees the engine's slot for another request forbids_retry the caller has left. */
+/* Frees the engine's slot for another request once the caller has left. */
 static void cancel_upstream(struct job *job, const struct cw_effect *effect)
 {
 	char *path;
