--- a/packages/gate/include/cw_facts.h
+++ b/packages/gate/include/cw_facts.h
@@ -21,21 +21,21 @@
 
 /* A request as its caller sent it. */
 struct cw_request_info {
-	char id[CW_ID_MAX]; /* of this attempt of the caller; a caller's retry has another one */
+	char id[CW_ID_MAX]; /* id of this request; a caller's retry has another one */
 	char host[CW_NAME_MAX * 2];
 	const char *path; /* with the query string; points into the message */
 	char key[CW_KEY_MAX];
-	int64_t allowed_ms; /* time limit given by the caller; -1: none given */
-	int64_t last_event; /* last event id the caller has of an earlier answer; CW_NO_EVENT */
+	int64_t allowed_ms;		/* time limit given by the caller; -1: none given */
+	int64_t last_event;		/* last event id that the caller received, or CW_NO_EVENT */
 	char model[CW_NAME_MAX];	/* CW_ANY_MODEL: the gate chooses */
-	double read_tokens;		/* prompt tokens */
+	double read_tokens;		/* tokens of the prompt */
 	double max_output_tokens;	/* upper limit of output tokens */
 	double estimated_output_tokens; /* caller's median estimate of output tokens; 0: none */
 	size_t segment_count;
 	struct cw_prompt_segment segments[CW_PROMPT_SEGMENTS_MAX];
 	char session[CW_ID_MAX]; /* empty: none */
 	size_t body_bytes;	 /* size of the request body */
-	uint64_t body;		 /* cw_hash of the request body */
+	uint64_t body;		 /* hash of the request body */
 	int is_head;		 /* HEAD request: the answer has no body */
 };
 
@@ -44,19 +44,19 @@
 	unsigned int status;
 	int is_signed;	     /* carries the server's own signature */
 	int is_not_run;	     /* the server states that it did not run the request and never will */
-	int is_other_server; /* another server has the address now */
+	int is_other_server; /* the address now belongs to another server */
 	int is_encoded;	     /* content encoding was applied: not the server's own body */
 	int is_event_stream; /* an event stream */
 	int confidence;	     /* the model's confidence in its answer, 0 to 100; -1: not given */
 	int has_warmup_time;
-	int64_t cold_ms; /* remaining warm-up time, in which the server bears few requests */
+	int64_t cold_ms; /* remaining warm-up time, in which the server handles few requests */
 	int has_load;
 	unsigned int running, queued, slots;
 };
 
-/* What one attempt sends to the backend server along with the request. */
+/* Values that one attempt sends to the backend server along with the request. */
 struct cw_dispatch {
-	char server[CW_NAME_MAX]; /* the one incarnation that may run it */
+	char server[CW_NAME_MAX]; /* name of the only server that may run the request */
 	char organisation[CW_NAME_MAX];
 	char model[CW_NAME_MAX]; /* empty: as the caller sent it */
 	int64_t allowed_ms;	 /* time left until the deadline */
--- a/packages/gate/include/cw_gate.h
+++ b/packages/gate/include/cw_gate.h
@@ -58,12 +58,12 @@
 	const char *failure_domain;
 	uint64_t seed;
 	double retry_ratio;	 /* retries allowed per request of a service */
-	double retry_slack;	 /* plus a fixed number, for all instances together */
+	double retry_slack;	 /* additional retries, shared by all instances */
 	int64_t retry_window_ms; /* window of the retry budget */
-	double cold_factor;	 /* limit of a cold service: its warm-up rate times this */
-	double cold_slack;	 /* plus so many requests a second */
+	double cold_factor;	 /* burst that a cold server handles: its rate times this, */
+	double cold_slack;	 /* plus this many requests a second */
 	struct cw_rollout_options rollouts;
-	const struct cw_policy *policy; /* NULL: the default; outlives the gate */
+	const struct cw_policy *policy; /* NULL: the default; must outlive the gate */
 };
 
 struct cw_gate;
@@ -71,8 +71,9 @@
 
 struct cw_gate *cw_gate_create(const struct cw_gate_options *options);
 void cw_gate_destroy(struct cw_gate *gate); /* all its calls must be closed */
-void cw_gate_set_instances(struct cw_gate *gate,
-			   size_t instances); /* that share fleet-wide budgets; 0: not known yet */
+void cw_gate_set_instances(
+	struct cw_gate *gate,
+	size_t instances); /* number that share the retry budgets; 0: not known yet */
 int cw_gate_configure(struct cw_gate *gate,
 		      struct cw_config *config); /* takes a reference; 0: not newer, ignored */
 const struct cw_config *cw_gate_config(const struct cw_gate *gate); /* NULL: none yet */
@@ -81,24 +82,26 @@
 struct cw_quarantine *cw_gate_quarantine(struct cw_gate *gate);
 
 struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_request_info *facts,
-			     int64_t arrived_ms, /* its time limits count from then */
+			     int64_t arrived_ms, /* start of the request's time limits */
 			     int64_t now_ms, struct cw_step *step);
 void cw_call_reject(struct cw_call *call, int64_t now_ms, const char *reason,
-		    struct cw_step *step); /* right after cw_call_open: not run, retry later */
+		    struct cw_step *step); /* only right after cw_call_open: not run, retry later */
 void cw_call_handle_head(struct cw_call *call, const struct cw_response_head *answer,
 			 int64_t now_ms, struct cw_step *step);
-int cw_call_wants_event(const struct cw_call *call, int64_t event); /* 0: the caller has it */
-void cw_call_add_event(struct cw_call *call, int64_t event, int64_t now_ms); /* was forwarded */
+int cw_call_wants_event(const struct cw_call *call,
+			int64_t event); /* 0: the caller already has the event */
+void cw_call_add_event(struct cw_call *call, int64_t event,
+		       int64_t now_ms); /* the event was forwarded */
 void cw_call_handle_failure(struct cw_call *call, enum cw_attempt_failure how, int64_t now_ms,
 			    struct cw_step *step);
 void cw_call_complete(struct cw_call *call, int64_t now_ms); /* the forwarded answer is complete */
 void cw_call_expire(struct cw_call *call, int64_t now_ms,
 		    struct cw_step *step);		/* at cw_call_deadline_ms */
-int cw_call_is_quarantined(const struct cw_call *call); /* its request is quarantined now */
+int cw_call_is_quarantined(const struct cw_call *call); /* the request is quarantined now */
 void cw_call_abort(struct cw_call *call, int64_t now_ms,
-		   struct cw_step *step); /* of a quarantined request; the step ends it */
+		   struct cw_step *step); /* ends a request that was quarantined while running */
 void cw_call_close(struct cw_call *call, int64_t now_ms);  /* also after the caller disconnected */
-int cw_call_may_change_server(const struct cw_call *call); /* may move to another server */
+int cw_call_may_change_server(const struct cw_call *call); /* another attempt may be made */
 int64_t cw_call_deadline_ms(const struct cw_call *call);   /* deadline of the final answer */
 const struct cw_route *cw_call_route(const struct cw_call *call);
 const char *cw_call_organisation(const struct cw_call *call);
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#define CONNECT_TIMEOUT_MAX_MS	     400  /* 1 ms round trip, 300 ms for a slow accept */
-#define CONNECT_TIMEOUT_MIN_MS	     100  /* a pause of this instance is no partition */
+#define CONNECT_TIMEOUT_MAX_MS	     400  /* a round trip takes 1 ms, a slow accept 300 ms */
+#define CONNECT_TIMEOUT_MIN_MS	     100  /* longer than a scheduling pause of this instance */
 #define CONNECT_FAILURES_MAX	     4	  /* failed connections before the request is rejected */
 #define NON_REPEATABLE_REUSE_IDLE_MS 1500 /* short, so that the server has rarely closed it */
 #define NO_CONFIG_RETRY_MS	     500
@@ -76,7 +76,7 @@
 	if (answer->has_load) {
 		cw_pool_apply_report(call->server, &load, now_ms);
 		gate_add_load_report(call->gate, call->service_name, &load, now_ms);
-		call_work_load_reported(call, &load, now_ms);
+		call_work_record_load(call, &load, now_ms);
 	}
 	if (answer->has_warmup_time)
 		cw_warmup_set_cold(&call->server->warmup, answer->cold_ms, now_ms);
@@ -102,7 +102,7 @@
 		return;
 	}
 	if (answer->status >= 500) {
-		call_work_failed(call, now_ms);
+		call_work_record_failure(call, now_ms);
 		if (is_retriable(call) && take_retry(call, now_ms) &&
 		    switch_server(call, now_ms, step))
 			return;
@@ -116,7 +116,7 @@
 		}
 	}
 	if (answer->status < 500)
-		call_work_head_received(call, now_ms);
+		call_work_record_head(call, now_ms);
 	if (!call->has_forwarded && call_model_should_escalate(call, answer, now_ms, step)) {
 		size_t small_index = call->model_index;
 
@@ -172,7 +172,7 @@
 	if (how == CW_ATTEMPT_CONNECTION_LOST)
 		call_record_crash(call, now_ms);
 	else
-		call_record_abandoned(call, call->server, now_ms);
+		call_record_incomplete(call, call->server, now_ms);
 	record_failure(call, now_ms);
 	release_server(call, now_ms, 0);
 	retry_or_fail(call, now_ms, step, "the backend server's answer was not whole");
@@ -182,9 +182,9 @@
 {
 	if (!call->server)
 		return;
-	call_work_completed(call, now_ms);
+	call_work_record_completion(call, now_ms);
 	if (call->is_resumed)
-		call_record_abandoned(call, call->server, now_ms);
+		call_record_incomplete(call, call->server, now_ms);
 	else
 		cw_quarantine_note_answer(call->gate->quarantine, call->fingerprint,
 					  call->server->id, call_run_time_ms(call, now_ms), now_ms);
@@ -205,7 +205,7 @@
 	step->run = call->may_have_run || call->attempts > 0 ? CW_RUN_UNKNOWN : CW_RUN_NOT;
 }
 
-/* A copy waiting in a server's queue would crash that server too, so the attempt is cancelled. */
+/* The attempt may still be queued at a server, which it would crash too: it is cancelled. */
 void cw_call_abort(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	memset(step, 0, sizeof(*step));
@@ -480,17 +480,17 @@
 /* The request may still run on the server, and crash it. */
 static void abandon_attempt(struct cw_call *call, int64_t now_ms)
 {
-	call_record_abandoned(call, call->server, now_ms);
+	call_record_incomplete(call, call->server, now_ms);
 	release_server(call, now_ms, 0);
 }
 
 static void record_failure(struct cw_call *call, int64_t now_ms)
 {
-	/* A network partition or an earlier incarnation is no evidence against the server. */
+	/* A network partition or a restart of the server is no evidence against the version. */
 	if (!call->server->is_unreachable && !call->server->is_superseded &&
 	    cw_pool_record_crash(call->server, now_ms) &&
 	    !cw_quarantine_explains_crash(call->gate->quarantine, call->server->id, now_ms))
-		call_work_failed(call, now_ms);
+		call_work_record_failure(call, now_ms);
 	cw_pool_record_failure(call->server, now_ms, gate_random(call->gate));
 }
 
--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -6,11 +6,11 @@
 
 #include <string.h>
 
-#define TRIAL_FILL_TARGET 0.7  /* of a trial server's slots: above half, room for others */
+#define TRIAL_FILL_TARGET 0.7  /* of a trial server's slots: above half, with room for others */
 #define TRIAL_FULL_TARGET 0.95 /* of its slots, for light requests: just short of queueing */
 
-static struct cw_server *choose_begun_version(const struct cw_call *call,
-					      const struct cw_choice *choice);
+static struct cw_server *choose_same_version(const struct cw_call *call,
+					     const struct cw_choice *choice);
 static void fill_choice(struct cw_call *call, int64_t now_ms, struct cw_choice *choice);
 static uint64_t prefix_key(const struct cw_request_info *facts);
 
@@ -27,15 +27,15 @@
 {
 	struct cw_gate *gate = call->gate;
 	const char *target = cw_rollouts_target(gate->rollouts, call->service_name);
-	const char *newcomer = cw_pool_new_software(gate->pool, call->service_name, now_ms);
+	const char *new_software = cw_pool_new_software(gate->pool, call->service_name, now_ms);
 	struct cw_rollout_request request = call_rollout_request(call);
 	struct cw_choice choice;
 	struct cw_server *server;
 
 	fill_choice(call, now_ms, &choice);
 	choice.is_affinity_server = is_affinity_server;
-	if (newcomer && (!target || strcmp(newcomer, target) != 0))
-		choice.pending_software = newcomer;
+	if (new_software && (!target || strcmp(new_software, target) != 0))
+		choice.pending_software = new_software;
 	call->assignment = cw_rollouts_assign(gate->rollouts, &request, now_ms);
 	switch (call->assignment.variant) {
 	case CW_ROLLOUT_VARIANT_OLD:
@@ -52,10 +52,10 @@
 	case CW_ROLLOUT_VARIANT_ANY:
 		break;
 	}
-	server = choose_begun_version(call, &choice);
+	server = choose_same_version(call, &choice);
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
-	/* All others are removed or tried: a server that failed before is better than none. */
+	/* No usable server is left: one with an open breaker is better than none. */
 	choice.allows_unusable = 1;
 	if (!server)
 		server = cw_pool_choose(gate->pool, &choice);
@@ -106,17 +106,17 @@
  * to another one meanwhile. NULL: nothing was forwarded, the version was rolled back, or it has no
  * server left; the choice is then made as for any other attempt.
  */
-static struct cw_server *choose_begun_version(const struct cw_call *call,
-					      const struct cw_choice *choice)
+static struct cw_server *choose_same_version(const struct cw_call *call,
+					     const struct cw_choice *choice)
 {
-	struct cw_choice begun = *choice;
+	struct cw_choice same = *choice;
 
 	if (!call->has_forwarded ||
 	    cw_rollouts_is_rolled_back(call->gate->rollouts, call->service_name))
 		return NULL;
-	begun.required_software = call->software;
-	begun.excluded_software = NULL;
-	return cw_pool_choose(call->gate->pool, &begun);
+	same.required_software = call->software;
+	same.excluded_software = NULL;
+	return cw_pool_choose(call->gate->pool, &same);
 }
 
 /* Key of the longest prompt prefix: all segments but the last, which is the request's own. */
--- a/packages/gate/src/call_held.c
+++ b/packages/gate/src/call_held.c
@@ -1,4 +1,4 @@
-/* Quarantine of requests that may crash servers: what is recorded, and what is refused. */
+/* Quarantine of poison requests: records crashes and answers, and rejects quarantined requests. */
 #include "gate_internal.h"
 
 static int start_trial(struct cw_call *call);
@@ -15,8 +15,9 @@
 }
 
 /*
- * Each server that starts a poison request crashes, with all other requests on it. The answer says
- * that the request was not run and gives no Retry-After, for a retry would be rejected again.
+ * Each server that starts a poison request crashes, with all other requests on it. The answer
+ * states that the request was not run and has no Retry-After, because a retry would be rejected as
+ * well.
  */
 int call_reject_quarantined(struct cw_call *call, struct cw_step *step)
 {
@@ -28,7 +29,7 @@
 	return 1;
 }
 
-/* Only one of the instances that know each other runs a trial, since it may crash a server. */
+/* Of instances that know each other only one runs a trial, since a trial may crash a server. */
 static int start_trial(struct cw_call *call)
 {
 	struct cw_quarantine *quarantine = call->gate->quarantine;
@@ -41,7 +42,7 @@
 	return 1;
 }
 
-void call_record_abandoned(struct cw_call *call, const struct cw_server *server, int64_t now_ms)
+void call_record_incomplete(struct cw_call *call, const struct cw_server *server, int64_t now_ms)
 {
 	cw_quarantine_note_finished(call->gate->quarantine, call->fingerprint, server->id,
 				    call_run_time_ms(call, now_ms), now_ms);
@@ -69,7 +70,7 @@
 	};
 }
 
-/* Counted from the response head if there is one: time in a queue is not run time. */
+/* Counted from the response head, if any, because time in a queue is not run time. */
 int64_t call_run_time_ms(const struct cw_call *call, int64_t now_ms)
 {
 	return now_ms - (call->is_head_seen ? call->head_ms : call->sent_ms);
--- a/packages/gate/src/call_model.c
+++ b/packages/gate/src/call_model.c
@@ -6,8 +6,8 @@
 
 #include <string.h>
 
-#define RAMP_START (1 / 3.0)  /* of escalate_late_part: the threshold starts to fall */
-#define RAMP_END   (16 / 9.0) /* of escalate_late_part: 0, for escalations would only add queue */
+#define RAMP_START (1 / 3.0)  /* of escalate_late_part: the threshold starts to fall there */
+#define RAMP_END   (16 / 9.0) /* of escalate_late_part: 0 there, as escalations lengthen queues */
 
 static const char *escalation_blocker(struct cw_call *call, const struct cw_response_head *answer,
 				      int64_t now_ms, struct cw_step *step);
--- a/packages/gate/src/call_refuse.c
+++ b/packages/gate/src/call_refuse.c
@@ -3,8 +3,8 @@
 
 #define RETRY_BASE_MS	    150 /* usual time until another server or the next instance is known */
 #define RETRY_JITTER_MS	    250 /* spreads the retries of rejected callers */
-#define REJECT_PRIORITY	    2	/* from this priority on, as many are rejected as servers reject */
-#define OVERLOAD_RETRY_MS   600 /* to twice as much: at least the length of a queue */
+#define REJECT_PRIORITY	    2	/* from this number on, as many are rejected as by the servers */
+#define OVERLOAD_RETRY_MS   600 /* to twice as much: a queue has been processed by then */
 #define RETRY_WAIT_FRACTION (1 / 3.0) /* of the time left: longest wait before a retry */
 #define RETRY_WAIT_JITTER   0.4	      /* of that wait: spreads the retries of rejected callers */
 
@@ -39,7 +39,7 @@
 	step->reason = reason;
 }
 
-/* A 503 promises that the request has not run and never will, so it needs that to be known. */
+/* A 503 states that the request has not run and never will; otherwise the answer is a 502. */
 void call_reject_not_run(struct cw_call *call, struct cw_step *step, const char *reason,
 			 int64_t now_ms)
 {
@@ -52,8 +52,9 @@
 }
 
 /*
- * Load pattern: all servers of a service restart. Cold servers take a few requests a second, and a
- * caller that retries too early is rejected again, so Retry-After says when a server may take it.
+ * Load pattern: all servers of a service restart. Cold servers admit a few requests a second, and a
+ * caller that retries too early is rejected again, so Retry-After covers the wait for a cold
+ * server.
  */
 void call_reject_unsent(struct cw_call *call, struct cw_step *step, int64_t now_ms)
 {
--- a/packages/gate/src/call_work.c
+++ b/packages/gate/src/call_work.c
@@ -13,19 +13,19 @@
 #define FIRST_TOKEN_OVERHEAD_MS 25.0 /* one batch step and the round trip */
 #define PLAIN_INITIAL_MS	50.0
 #define PLAIN_EWMA_GAIN		0.05
-#define SLOW_MARGIN_MS		40.0 /* for queued work of other instances not known here */
+#define SLOW_MARGIN_MS		40.0 /* for work of other instances that this one does not know of */
 /*
  * An answer that takes this many times the usual is evidence against a version. The factor may be
- * low, for the share of slow answers is compared with that of the other version.
+ * low, because the share of slow answers is compared with that of the other version.
  */
 #define SLOW_FACTOR		 4.0
 
-#define PLAIN_SLOW_FACTOR	 2.0 /* of a plain service, without prompts: 1 % are slower */
+#define PLAIN_SLOW_FACTOR	 2.0 /* for services without prompts: 1 % of the answers are slower */
 #define STREAM_SAMPLE_MIN_EVENTS 4   /* shorter streams give no sample of the event gap */
 #define EVENT_EWMA_GAIN		 0.05
 #define LOADED_FRACTION		 0.5  /* of a server's slots taken: it is under load */
 #define LOAD_REPORT_MAX_AGE_MS	 2000 /* a server's load report is stale afterwards */
-#define QUICK_ANSWER_MS		 80   /* to the response head: load unchanged since the send */
+#define QUICK_ANSWER_MS		 80   /* to the response head: the load is as it was at the send */
 #define LIGHT_PREFILL_MS	 25.0 /* prompt processing no longer than a step of a full engine */
 #define STREAM_BYTES		 4500 /* of a usual stream back to the caller */
 #define PLAIN_BYTES		 800  /* of a usual plain answer */
@@ -50,7 +50,7 @@
 	}
 	choice->bytes += STREAM_BYTES;
 	choice->read_tokens = call->facts.read_tokens;
-	choice->shared_tokens = MIN(prefix_tokens(&call->facts), call->facts.read_tokens);
+	choice->prefix_tokens = MIN(prefix_tokens(&call->facts), call->facts.read_tokens);
 	choice->ms_per_token = token_time_ms(call, timing);
 	choice->usual_work_ms = gate_get_timing(call->gate, call->service_name)->mean_ms;
 }
@@ -119,7 +119,7 @@
  * trial. So the engine's own report must show the load with the answer, and also shortly before the
  * send unless the answer began within QUICK_ANSWER_MS.
  */
-void call_work_load_reported(struct cw_call *call, const struct cw_load *load, int64_t now_ms)
+void call_work_record_load(struct cw_call *call, const struct cw_load *load, int64_t now_ms)
 {
 	int is_quick = now_ms - call->sent_ms <= QUICK_ANSWER_MS;
 
@@ -130,7 +130,7 @@
 		call->server_was_loaded = 0;
 }
 
-/* For an engine; counts this request as well, which a failed server no longer reports. */
+/* For an engine; adds this request, which the report of a failed server no longer includes. */
 static int is_under_load(unsigned int running, unsigned int slots)
 {
 	return running + 1 >= LOADED_FRACTION * slots;
@@ -160,7 +160,7 @@
 	cw_pool_begin_work(server, call->work_ms, work->mean_ms, now_ms);
 }
 
-void call_work_head_received(struct cw_call *call, int64_t now_ms)
+void call_work_record_head(struct cw_call *call, int64_t now_ms)
 {
 	double took_ms = (double)(now_ms - call->sent_ms);
 	double ratio = took_ms / (call->predicted_ms + SLOW_MARGIN_MS);
@@ -179,7 +179,7 @@
 }
 
 /* The event gap of long streams shows slow servers long before the time to the first event. */
-void call_work_completed(struct cw_call *call, int64_t now_ms)
+void call_work_record_completion(struct cw_call *call, int64_t now_ms)
 {
 	struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 	struct cw_rollout_answer answer = rollout_evidence(call);
@@ -196,7 +196,7 @@
 		timing->event_gap_ms += EVENT_EWMA_GAIN * (gap_ms - timing->event_gap_ms);
 }
 
-void call_work_failed(struct cw_call *call, int64_t now_ms)
+void call_work_record_failure(struct cw_call *call, int64_t now_ms)
 {
 	cw_pool_record_outcome(call->server, 1, 0, now_ms);
 	report_to_rollout(call, 1, 0, now_ms);
@@ -274,7 +274,7 @@
 			(sample - timing->ms_per_token);
 }
 
-/* The server runs the version being rolled out; timings are learned from the other version. */
+/* Timings are learned from the old version only, for comparison with the target of a roll-out. */
 static int is_on_target_version(const struct cw_call *call)
 {
 	const char *target = cw_rollouts_target(call->gate->rollouts, call->service_name);
--- a/packages/gate/src/gate.c
+++ b/packages/gate/src/gate.c
@@ -114,7 +114,7 @@
 	return repeats;
 }
 
-/* Includes this request; a first request states a longer limit than its retries. */
+/* Longest time limit stated on the route, this request's included; a retry states a shorter one. */
 int64_t gate_update_longest_wait(struct cw_gate *gate, const char *route, int64_t wait_ms)
 {
 	int64_t *longest;
@@ -148,8 +148,8 @@
 }
 
 /*
- * With many instances, one of them gets a report of each server once in half a minute, but of some
- * server several times a second. The mean of these is the newest estimate for all of them.
+ * With many instances, an instance gets a load report of a given server once in half a minute, but
+ * reports of some server several times a second. Their mean is the newest estimate for all servers.
  */
 double gate_slot_occupancy(struct cw_gate *gate, const char *service, int64_t now_ms)
 {
--- a/packages/gate/src/gate_internal.h
+++ b/packages/gate/src/gate_internal.h
@@ -12,17 +12,17 @@
 struct gate_timing {
 	double ms_per_token; /* of prompt processing; 0 for a plain service */
 	double mean_ms;	     /* plain service: time to answer; engine: prompt work of a request */
-	double event_gap_ms; /* between two events of a stream, 0 not known */
+	double event_gap_ms; /* between two events of a stream; 0: not known */
 	unsigned int samples;
 };
 
 /* Load of one service in the last second or so; all counters decay exponentially. */
 struct gate_load_stats {
 	double sent;	      /* requests */
-	double rejected;      /* of them, by servers without room */
+	double rejected;      /* requests that servers without room rejected */
 	double load_reports;  /* answers that reported their server's load */
 	double occupancy_sum; /* sum of (running + queued) / slots over load_reports */
-	int64_t updated_ms;   /* time that the counters are decayed to */
+	int64_t updated_ms;   /* time to which the counters are decayed */
 };
 
 struct cw_gate {
@@ -34,7 +34,7 @@
 	struct cw_rollouts *rollouts;
 	struct cw_quarantine *quarantine;
 	GHashTable *retry_budgets; /* service -> struct cw_repeats */
-	size_t instances;	   /* that share the retry budget, 0 not known */
+	size_t instances;	   /* number that share the retry budgets; 0: not known */
 	GHashTable *output_ratios; /* route or engine service -> double, output per prompt token */
 	GHashTable *load_stats;	   /* service -> struct gate_load_stats */
 	GHashTable *timings;	   /* model or plain service -> struct gate_timing */
@@ -59,26 +59,26 @@
 	uint64_t tried[CW_MAX_ATTEMPTS];
 	size_t tried_count;
 	unsigned int attempts;	       /* sends that reached a server */
-	unsigned int connect_failures; /* attempts of which no byte was sent */
+	unsigned int connect_failures; /* attempts that could not connect; no byte was sent */
 	int may_have_run;
 	int has_forwarded; /* a part of the answer went to the caller */
 	int is_resumed;	   /* the answer consists of more than one run */
-	int is_trial;	   /* trial of a quarantined request: sent once */
+	int is_trial;	   /* trial run of a quarantined request: a single attempt */
 	int64_t last_event;
 	size_t model_index; /* among the route's models, when it has any */
 	uint64_t session;
 	uint64_t route_hash; /* of the route's name */
 	uint64_t fingerprint;
-	double uncached_tokens; /* prompt tokens the server probably has to process */
-	double work_ms;		/* counted in server->own_work_ms */
+	double uncached_tokens; /* prompt tokens not expected in the server's prefix cache */
+	double work_ms;		/* predicted prompt work, counted in server->own_work_ms */
 	double predicted_ms;	/* from the attempt's send to the response head */
 	int is_output_heavy; /* the route's requests make more output per prompt token than most */
-	int server_was_idle; /* no other prompt work waited at the server */
+	int server_was_idle; /* almost no other prompt work was queued at the server */
 	int server_was_loaded;	    /* half of its slots or more were taken */
 	int server_reported_loaded; /* the same, by the server's last report before the send */
 	int is_head_seen;
 	int64_t head_ms;	       /* time of the response head */
-	unsigned int events_forwarded; /* of the attempt */
+	unsigned int events_forwarded; /* by the current attempt */
 };
 
 uint64_t gate_random(struct cw_gate *gate);
@@ -97,28 +97,29 @@
 			      int64_t now_ms); /* 0 to 1 */
 struct cw_repeats *gate_get_retry_budget(struct cw_gate *gate, const char *service);
 
-/* call_held.c: quarantine of requests that crash the servers that run them */
+/* call_held.c: quarantine of poison requests */
 int call_has_single_attempt(
 	const struct cw_call *call); /* quarantined or on trial: no further server is risked */
-int call_reject_quarantined(struct cw_call *call, struct cw_step *step); /* 0: it may be sent */
-void call_record_abandoned(struct cw_call *call, const struct cw_server *server, int64_t now_ms);
-void call_record_crash(struct cw_call *call, int64_t now_ms); /* after the connection broke */
+int call_reject_quarantined(struct cw_call *call, struct cw_step *step); /* 0: may be sent */
+void call_record_incomplete(struct cw_call *call, const struct cw_server *server, int64_t now_ms);
+void call_record_crash(struct cw_call *call, int64_t now_ms);	      /* the connection broke */
 int64_t call_run_time_ms(const struct cw_call *call, int64_t now_ms); /* at the attempt's server */
 
 /* call_choice.c: choice of a server */
-struct cw_server *call_choose_server(struct cw_call *call, int64_t now_ms,
-				     int *is_affinity_server); /* NULL: no server may take it */
+struct cw_server *
+call_choose_server(struct cw_call *call, int64_t now_ms,
+		   int *is_affinity_server); /* NULL: no server may run the request */
 int64_t call_warmup_wait_ms(struct cw_call *call,
-			    int64_t now_ms); /* until a cold server may take it; -1: none will */
+			    int64_t now_ms); /* until a cold server admits it; -1: no cold server */
 struct cw_rollout_request call_rollout_request(const struct cw_call *call);
 
 /* call_refuse.c: rejection of requests: status, message and time to retry */
-int call_should_reject(struct cw_call *call, int64_t now_ms); /* 1: no room for its priority */
+int call_should_reject(struct cw_call *call, int64_t now_ms); /* 1: overload at its priority */
 void call_reject(struct cw_step *step, unsigned int status, const char *reason); /* not run */
 void call_reject_not_run(struct cw_call *call, struct cw_step *step, const char *reason,
-			 int64_t now_ms); /* retry later; fails if it may have run */
+			 int64_t now_ms); /* retry later; call_fail() if it may have run */
 void call_reject_unsent(struct cw_call *call, struct cw_step *step,
-			int64_t now_ms); /* no server may take it: retry when one may */
+			int64_t now_ms); /* no server may run it: retry when one may */
 void call_fail(struct cw_call *call, struct cw_step *step, const char *reason); /* may have run */
 int64_t call_retry_after_ms(struct cw_call *call);
 
@@ -136,17 +137,17 @@
 double call_work_predict_ms(const struct cw_call *call, const struct cw_server *server,
 			    int is_affinity_server, int64_t now_ms); /* until the response head */
 double call_work_queue_ms(const struct cw_call *call, const struct cw_server *server,
-			  int64_t now_ms); /* of it, prompt work that is queued before */
+			  int64_t now_ms); /* the part of it for prompts queued before */
 int call_work_fits_deadline(const struct cw_call *call,
-			    int64_t now_ms);		   /* the largest model's whole stream */
-int call_work_is_output_heavy(const struct cw_call *call); /* long in a slot, little prompt work */
+			    int64_t now_ms); /* the largest model's whole stream does */
+int call_work_is_output_heavy(const struct cw_call *call); /* holds a slot for long */
 int call_work_is_light(const struct cw_call *call);	   /* short prompt for the smallest model */
-void call_work_load_reported(struct cw_call *call, const struct cw_load *load,
-			     int64_t now_ms); /* with its answer */
+void call_work_record_load(struct cw_call *call, const struct cw_load *load,
+			   int64_t now_ms); /* load that came with the answer */
 void call_work_begin(struct cw_call *call, int is_affinity_server, int64_t now_ms);
-void call_work_head_received(struct cw_call *call, int64_t now_ms); /* status below 500 */
-void call_work_completed(struct cw_call *call, int64_t now_ms);	    /* the answer was whole */
-void call_work_failed(struct cw_call *call, int64_t now_ms);
+void call_work_record_head(struct cw_call *call, int64_t now_ms);	/* status below 500 */
+void call_work_record_completion(struct cw_call *call, int64_t now_ms); /* complete answer */
+void call_work_record_failure(struct cw_call *call, int64_t now_ms);
 void call_work_end(struct cw_call *call);
 
 #endif
--- a/packages/pool/include/cw_pool.h
+++ b/packages/pool/include/cw_pool.h
@@ -1,7 +1,7 @@
 /*
- * The backend servers of every service: their estimated load, their circuit breakers and the choice
- * of one for a request. Load reports lag, so each instance corrects a report by the requests that
- * it sent and completed since the report was sampled.
+ * The backend servers of all services, with their estimated load and circuit breakers, and the
+ * choice of a server for a request. Load reports lag, so each instance corrects a report by the
+ * requests that it sent and completed since the report was sampled.
  */
 #ifndef CW_POOL_H
 #define CW_POOL_H
@@ -38,7 +38,7 @@
 	char software[CW_NAME_MAX]; /* version of the server's software */
 	unsigned int slots;
 	int leaving;
-	int64_t cold_ms; /* remaining cold time, counted from when the entry was written */
+	int64_t cold_ms; /* remaining warm-up time, counted from when the entry was written */
 };
 
 /* The effect of a server list entry on the pool. */
@@ -68,7 +68,7 @@
 	int is_active; /* on the pool's list of servers in use, unreachable or suspect */
 	char name[CW_NAME_MAX];
 	int64_t process_start_ms; /* Unix time of the process start, as listed */
-	int is_superseded; /* the server restarted: requests that ran on this start are lost */
+	int is_superseded;	  /* the server has restarted: requests on this start are lost */
 	char service[CW_NAME_MAX];
 	char address[CW_ADDRESS_MAX];
 	char failure_domain[CW_NAME_MAX];
@@ -107,14 +107,14 @@
 	double slowness;      /* measured over predicted time, 1: as predicted; decays */
 	int64_t evidence_ms;  /* last update of failure_rate and slowness */
 
-	int64_t crash_ms;	 /* last broken connection that counted as a crash of its own */
+	int64_t crash_ms;	 /* last broken connection that counted as a new crash */
 	int64_t last_seen_ms;	 /* last byte received from the server */
 	int64_t sent_ms;	 /* newest request sent */
 	int64_t probed_ms;	 /* last connection probe begun */
 	int64_t probe_gap_ms;	 /* least time between probes; grows while the server is silent */
 	int is_unreachable;	 /* the last probe's connection did not open in time */
 	int64_t crash_probed_ms; /* last probe that followed a broken request */
-	int is_suspect;		 /* may be cut off with an unreachable server; being probed */
+	int is_suspect; /* maybe behind the same partition as an unreachable server; probed */
 
 	unsigned int consecutive_failures;
 	int64_t breaker_open_until_ms; /* the breaker is open until then, 0: closed */
@@ -144,8 +144,8 @@
 	double fill_part;	       /* part of one server's slots to fill first; 0: off */
 	int64_t now_ms;
 	uint64_t random;
-	double read_tokens;	 /* tokens of the prompt; 0 for a service without models */
-	double shared_tokens;	 /* tokens of the prompt prefix, which other requests share */
+	double read_tokens;	 /* in the prompt; 0 for a service without models */
+	double prefix_tokens;	 /* in the prompt prefix, which other requests share */
 	double ms_per_token;	 /* predicted prefill time per token */
 	double usual_work_ms;	 /* predicted work of an average queued request */
 	size_t bytes;		 /* of the request and its expected answer */
@@ -176,8 +176,9 @@
 			      void (*find)(void *context, uint64_t server,
 					   struct cw_warmup_place *place),
 			      void *context); /* without a lookup, no other instance is assumed */
-int cw_pool_is_owner(const struct cw_pool *pool,
-		     uint64_t key); /* 1: this instance is the first by rendezvous of those known */
+int cw_pool_is_owner(
+	const struct cw_pool *pool,
+	uint64_t key); /* 1: of the known instances, this one ranks first for the key */
 void cw_pool_set_region(struct cw_pool *pool, const char *failure_domain,
 			const char *region); /* call before its servers are added */
 int cw_pool_drain(struct cw_pool *pool, const struct cw_drain_order *order,
@@ -195,7 +196,7 @@
 cw_pool_new_software(const struct cw_pool *pool, const char *service,
 		     int64_t now_ms); /* a software version first listed moments ago; NULL: none */
 void cw_pool_get_entry(const struct cw_server *server, struct cw_server_entry *entry,
-		       int64_t now_ms); /* the entry to pass on, with the cold time left */
+		       int64_t now_ms); /* the entry to forward, with the remaining warm-up time */
 void cw_pool_delist(struct cw_pool *pool, struct cw_server *server, int64_t until_ms,
 		    int64_t now_ms); /* removed at until_ms unless listed again before */
 void cw_pool_delist_unlisted(struct cw_pool *pool, int64_t since_ms, int64_t until_ms,
@@ -208,7 +209,7 @@
 void cw_pool_remove(struct cw_pool *pool,
 		    struct cw_server *server); /* frees a server without running requests */
 void cw_pool_select_tracked(
-	struct cw_pool *pool, uint64_t owner,
+	struct cw_pool *pool, uint64_t instance,
 	const char *failure_domain); /* selects the servers that this instance uses */
 uint64_t cw_pool_version_hash(const char *model, const char *version); /* hash of the two */
 struct cw_server *cw_pool_choose(struct cw_pool *pool,
@@ -224,11 +225,11 @@
 void cw_pool_record_success(struct cw_server *server, int64_t now_ms); /* closes the breaker */
 void cw_pool_record_failure(struct cw_server *server, int64_t now_ms,
 			    uint64_t random);			  /* may open the breaker */
-void cw_pool_mark_seen(struct cw_server *server, int64_t now_ms); /* a byte came: reachable */
+void cw_pool_mark_seen(struct cw_server *server, int64_t now_ms); /* a byte arrived */
 int cw_pool_record_crash(struct cw_server *server,
 			 int64_t now_ms); /* 1: counts as a new crash; 0: part of the last one */
 void cw_pool_mark_reachable(struct cw_server *server,
-			    int64_t now_ms); /* a probe's connection opened, no byte came */
+			    int64_t now_ms); /* a probe's connection opened, no byte arrived */
 void cw_pool_mark_unreachable(struct cw_server *server); /* no connection opened in time */
 size_t cw_pool_mark_suspects(struct cw_pool *pool, const struct cw_server *unreachable,
 			     const char *own_domain, struct cw_server **suspects, size_t max,
@@ -238,7 +239,7 @@
 			    int64_t now_ms); /* outcome of an attempt; slowness 0: unknown */
 void cw_pool_begin_work(struct cw_server *server, double work_ms, double usual_work_ms,
 			int64_t now_ms);			 /* a prompt was sent */
-void cw_pool_end_work(struct cw_server *server, double work_ms); /* its answer began or failed */
+void cw_pool_end_work(struct cw_server *server, double work_ms); /* the answer began or failed */
 double cw_pool_own_work_ms(const struct cw_server *server,
 			   int64_t now_ms); /* predicted work left of own prompts */
 double cw_pool_backlog_ms(const struct cw_server *server, double usual_work_ms,
--- a/packages/pool/include/cw_warmup.h
+++ b/packages/pool/include/cw_warmup.h
@@ -1,11 +1,11 @@
 /*
  * Rate limit towards a cold backend server: one that has just started, was unreachable, or reports
- * that it is cold. A cold server bears few requests a second from all instances together, whether
+ * that it is cold. A cold server handles few requests a second from all instances together, whether
  * they are connected to each other or not, and crashes under more. Sans-I/O.
  *
- * Instances share no counter. A few of them, chosen by rendezvous, divide at most half of what a
- * cold server bears, because after a network partition each side may choose a few of its own. The
- * other instances send it nothing.
+ * Instances share no counter. A few of them, chosen by rendezvous hashing, divide at most half of
+ * the rate that a cold server handles, because each side of a network partition may choose a few.
+ * The other instances send it nothing.
  */
 #ifndef CW_WARMUP_H
 #define CW_WARMUP_H
@@ -16,7 +16,7 @@
 #define CW_WARMUP_SEND_HISTORY                                                                     \
 	16 /* own sends remembered per server, which caps the rate per second */
 #define CW_WARMUP_ASSUMED_COLD_MS                                                                  \
-	2000 /* within it a server that was unreachable has reported its cold time */
+	2000 /* a server that was unreachable has reported its warm-up time by then */
 
 /* The rank of this instance among those that may send to one cold server. */
 struct cw_warmup_place {
@@ -24,16 +24,16 @@
 	size_t instances; /* known instances, this one included; 0: too few are known yet */
 };
 
-/* The requests a second of all instances together that a cold server of a service bears. */
+/* Requests a second that a cold server of a service handles, from all instances together. */
 struct cw_warmup_rate {
 	double per_s;  /* sustained; 0: unlimited */
-	double factor; /* a burst of per_s times factor, */
-	double slack;  /* plus slack, is borne at times */
+	double factor; /* a burst of per_s times factor */
+	double slack;  /* plus slack is handled at times */
 };
 
 /* The cold state of one server, as known to this instance. */
 struct cw_warmup {
-	int64_t cold_until_ms;	       /* as the server reported */
+	int64_t cold_until_ms;	       /* end of the warm-up time that the server reported */
 	int64_t assumed_cold_until_ms; /* assumed cold until then, as it was unreachable */
 	int64_t sent_ms[CW_WARMUP_SEND_HISTORY]; /* ring of the newest sends */
 	size_t sent_next;
@@ -43,7 +43,7 @@
 
 int cw_warmup_is_cold(const struct cw_warmup *warmup, int64_t now_ms);
 void cw_warmup_set_cold(struct cw_warmup *warmup, int64_t cold_ms,
-			int64_t now_ms); /* the server reported its cold time */
+			int64_t now_ms); /* the server reported its warm-up time */
 void cw_warmup_assume_cold(struct cw_warmup *warmup,
 			   int64_t now_ms); /* may have restarted unseen */
 void cw_warmup_record_send(struct cw_warmup *warmup,
--- a/packages/pool/src/candidates.c
+++ b/packages/pool/src/candidates.c
@@ -6,9 +6,9 @@
 #include <string.h>
 
 #define SHARE_MIN_SERVERS 2   /* on a single server a burst would look like a slow version */
-#define LOCAL_CANDIDATES  192 /* of the own failure domain; as many need no remote ones */
+#define LOCAL_CANDIDATES  192 /* of the own failure domain; with this many, no remote ones */
 #define MAX_CANDIDATES	  256
-#define PLACE_REFRESH_MS  1000	/* a rank costs a pass over hundreds of members, per server */
+#define PLACE_REFRESH_MS  1000	/* ranking scans hundreds of members for each server */
 #define FILL_BACKLOG_MS	  800.0 /* predicted work queued: half of the usual latency objective */
 
 /* The servers with the highest scores, max at most. */
--- a/packages/pool/src/placement.c
+++ b/packages/pool/src/placement.c
@@ -9,7 +9,7 @@
 #include <math.h>
 #include <string.h>
 
-#define EVIDENCE_DECAY_MS 4000 /* time constant of the decay, as a server may recover unseen */
+#define EVIDENCE_DECAY_MS 4000 /* time constant; a server may recover without a request */
 #define FAILURE_RATE_GAIN 0.25 /* weight of the newest attempt */
 #define SLOWNESS_GAIN	  0.3  /* weight of the newest attempt */
 #define SLOWNESS_MAX	  20.0
@@ -53,8 +53,8 @@
 /*
  * The work of a prompt is removed only when its answer begins. If it counted in full until then, a
  * server with three prompts of 600 ms would look 1.7 s late until all three were processed. The
- * backlog therefore falls with time, but not below policy->unread_least of the work, as the server
- * may be slower than predicted.
+ * backlog therefore falls with time, but not below policy->unread_least of the work, because the
+ * server may be slower than predicted.
  */
 double cw_pool_own_work_ms(const struct cw_server *server, int64_t now_ms)
 {
@@ -144,7 +144,7 @@
 		      int is_affinity_server)
 {
 	int64_t now_ms = choice->now_ms;
-	double tokens = choice->read_tokens - (is_affinity_server ? choice->shared_tokens : 0);
+	double tokens = choice->read_tokens - (is_affinity_server ? choice->prefix_tokens : 0);
 	double work_ms = cw_pool_backlog_ms(server, choice->usual_work_ms, now_ms) +
 			 tokens * choice->ms_per_token;
 	const struct cw_policy *policy = server->policy;
@@ -154,7 +154,7 @@
 	cost += cw_pool_load(server, now_ms) * policy->running_ms;
 	cost += cw_pool_failure_rate(server, now_ms) * policy->failure_ms;
 	if (!is_affinity_server)
-		cost += choice->shared_tokens * policy->again_token_ms;
+		cost += choice->prefix_tokens * policy->again_token_ms;
 	if (strcmp(server->failure_domain, choice->failure_domain) != 0)
 		cost += (double)choice->bytes * policy->cross_byte_ms;
 	return cost;
--- a/packages/pool/src/pool.c
+++ b/packages/pool/src/pool.c
@@ -13,11 +13,11 @@
 #define SERVICE_SMOOTHING      0.1
 #define OWN_DOMAIN_WEIGHT      8    /* rendezvous weight of servers in the own failure domain */
 #define ID_SEED		       4    /* arbitrary, but the same for all instances */
-#define NEW_SOFTWARE_HOLD_MS   2000 /* the roll-out order of a version arrives within it */
-#define LIST_ARRIVAL_MS	       1000 /* within it all entries of a server list arrive */
+#define NEW_SOFTWARE_HOLD_MS   2000 /* a new version's roll-out order arrives within this time */
+#define LIST_ARRIVAL_MS	       1000 /* all entries of a server list arrive within this time */
 
 static void deactivate(struct cw_server *server);
-static void set_gone_ms(struct cw_server *server, int64_t removed_ms);
+static void set_removed_ms(struct cw_server *server, int64_t removed_ms);
 static void free_removed(struct cw_pool *pool, int64_t now_ms);
 static struct cw_server *add(struct cw_pool *pool, const char *name, int64_t process_start_ms);
 static void set_location(const struct cw_pool *pool, struct cw_server *server, const char *service,
@@ -164,7 +164,7 @@
 		server->slots = entry->slots;
 	server->leaving = entry->leaving;
 	server->is_removed = 0;
-	set_gone_ms(server, 0);
+	set_removed_ms(server, 0);
 	server->listed_ms = now_ms;
 	return listing;
 }
@@ -188,7 +188,7 @@
 {
 	if (server->removed_ms)
 		return;
-	set_gone_ms(server, MAX(until_ms, now_ms));
+	set_removed_ms(server, MAX(until_ms, now_ms));
 	if (until_ms <= now_ms)
 		server->is_removed = 1;
 	if (server->is_removed)
@@ -206,8 +206,8 @@
 }
 
 /*
- * Of many thousands of servers few are in use or delisted at a time. Only the active list is passed
- * over, and the whole list only while a server is delisted.
+ * Of many thousands of servers few are in use or delisted at a time, so only the active list is
+ * scanned, and the whole list only while a server is delisted.
  */
 void cw_pool_sweep(struct cw_pool *pool, int64_t now_ms)
 {
@@ -254,7 +254,7 @@
 void cw_pool_remove(struct cw_pool *pool, struct cw_server *server)
 {
 	deactivate(server);
-	set_gone_ms(server, 0);
+	set_removed_ms(server, 0);
 	TAILQ_REMOVE(&pool->servers, server, link);
 	g_hash_table_remove(pool->by_id, &server->id);
 	if (cw_pool_find_name(pool, server->name) == server)
@@ -269,7 +269,7 @@
  * other control traffic. They are selected by rendezvous, so that all servers are used alike, with
  * a higher weight for those of the instance's own failure domain.
  */
-void cw_pool_select_tracked(struct cw_pool *pool, uint64_t owner, const char *failure_domain)
+void cw_pool_select_tracked(struct cw_pool *pool, uint64_t instance, const char *failure_domain)
 {
 	GHashTable *by_service = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, unref_array);
 	GHashTableIter iter;
@@ -280,7 +280,7 @@
 		int is_own = !strcmp(server->failure_domain, failure_domain);
 
 		server->track_score =
-			cw_rendezvous(owner, server->id, is_own ? OWN_DOMAIN_WEIGHT : 1);
+			cw_rendezvous(instance, server->id, is_own ? OWN_DOMAIN_WEIGHT : 1);
 		list = g_hash_table_lookup(by_service, server->service);
 		if (!list) {
 			list = g_ptr_array_new();
@@ -464,7 +464,7 @@
 	TAILQ_REMOVE(&server->pool->active, server, active_link);
 }
 
-static void set_gone_ms(struct cw_server *server, int64_t removed_ms)
+static void set_removed_ms(struct cw_server *server, int64_t removed_ms)
 {
 	server->pool->delisted += (size_t)(removed_ms != 0);
 	server->pool->delisted -= (size_t)(server->removed_ms != 0);
@@ -508,8 +508,8 @@
 
 /*
  * Servers of a new software version may be listed before this instance knows the roll-out order of
- * the version: within 2 s, 12 requests of sessions on the old version went to the new one. A new
- * version therefore gets no requests for NEW_SOFTWARE_HOLD_MS while servers of other versions
+ * the version: within 2 s, 12 requests of sessions on the old version were sent to the new one. A
+ * new version therefore gets no requests for NEW_SOFTWARE_HOLD_MS while servers of other versions
  * exist. If no order arrives, its servers are then used like any others.
  */
 const char *cw_pool_new_software(const struct cw_pool *pool, const char *service, int64_t now_ms)
@@ -553,7 +553,7 @@
 	server->is_superseded = 1;
 	server->leaving = 1;
 	server->is_removed = 1;
-	set_gone_ms(server, MAX(now_ms, 1));
+	set_removed_ms(server, MAX(now_ms, 1));
 	g_hash_table_remove(pool->by_name, server->name);
 }
 
--- a/packages/pool/src/pool_internal.h
+++ b/packages/pool/src/pool_internal.h
@@ -7,8 +7,7 @@
 #include <glib.h>
 
 #define SOFTWARE_MAX                                                                               \
-	64 /* versions remembered, of all services; further ones never count as new                \
-	    */
+	64 /* software versions remembered, of all services; others never count as new */
 
 /* A software version that servers of a service run. */
 struct software {
--- a/packages/pool/src/reach.c
+++ b/packages/pool/src/reach.c
@@ -1,16 +1,16 @@
 /*
  * Reachability of servers. A network partition shows as silence, and so does a server that
- * processes a long prompt. A probe connection tells the two apart within one round trip.
+ * processes a long prompt. A probe connection distinguishes the two within one round trip.
  */
 #include "pool_internal.h"
 
 #include <glib.h>
 #include <string.h>
 
-#define RECENTLY_SEEN_MS      200  /* shorter than the detection of a server that is cut off */
-#define CRASH_WINDOW_MS	      1000 /* connections that break within it belong to one crash */
+#define RECENTLY_SEEN_MS      200  /* shorter than the detection of an unreachable server */
+#define CRASH_WINDOW_MS	      1000 /* connections that break within this time are one crash */
 #define PROBE_INTERVAL_MS     300  /* bounds the time until a reachable server is used again */
-#define PROBE_INTERVAL_MAX_MS 2400 /* a server that is only slow gets few probe connections */
+#define PROBE_INTERVAL_MAX_MS 2400 /* few probe connections to a server that is only slow */
 
 void cw_pool_mark_seen(struct cw_server *server, int64_t now_ms)
 {
@@ -55,8 +55,8 @@
 /*
  * A request that moves from an unreachable server to another one behind the same network partition
  * loses time and an attempt. Behind the partition may be the failure domain of the server or, if
- * this instance's own domain is cut off, all other domains. Servers there that were not seen
- * recently get no requests until a probe is answered, which takes one round trip.
+ * this instance's own domain is partitioned off, all other domains. Servers there that were not
+ * seen recently get no requests until a probe is answered, which takes one round trip.
  */
 size_t cw_pool_mark_suspects(struct cw_pool *pool, const struct cw_server *unreachable,
 			     const char *own_domain, struct cw_server **suspects, size_t max,
--- a/packages/pool/src/warmup.c
+++ b/packages/pool/src/warmup.c
@@ -29,7 +29,7 @@
 }
 
 /*
- * The burst that a server bears is an upper bound and not a target: the senders of all sides of a
+ * The burst that a server handles is an upper bound and not a target: the senders of all sides of a
  * network partition together stay below the burst, and those of one side below the sustained rate.
  */
 unsigned int cw_warmup_quota(const struct cw_warmup_rate *rate, const struct cw_warmup_place *place)
--- a/tests/unit/test_many.c
+++ b/tests/unit/test_many.c
@@ -46,7 +46,7 @@
 				  .failure_domain = "d1",
 				  .now_ms = NOW,
 				  .read_tokens = 6000,
-				  .shared_tokens = 5000,
+				  .prefix_tokens = 5000,
 				  .ms_per_token = 0.02,
 				  .bytes = 20000,
 				  .random = cw_hash(&prefix, sizeof(prefix), 1)};
@@ -156,8 +156,8 @@
 }
 
 /*
- * Guards against half of a thousand members counting as silent at any time, because gossip names
- * each of them only every few seconds.
+ * Guards against half of a thousand members that count as silent at any time, because a gossip
+ * message names each of them only every few seconds.
  */
 static void members_named_every_few_seconds_are_live(void **state)
 {
