--- a/packages/quarantine/include/cw_quarantine.h
+++ b/packages/quarantine/include/cw_quarantine.h
@@ -31,14 +31,14 @@
 	const char *target;	  /* a route, a model or a service */
 };
 
-/* A server crash while a request ran, or a sign of life that disproves one; announced to peers. */
+/* A server crash while a request ran, or evidence that the server stayed up; sent to peers. */
 struct cw_quarantine_crash {
 	uint64_t fingerprint; /* unused if is_alive */
 	uint64_t server;
-	int is_alive;	  /* 1: a byte arrived age_ms ago, so the server had not crashed before */
+	int is_alive;	  /* 1: no crash: a byte arrived age_ms ago on an older connection */
 	uint32_t age_ms;  /* since the crash */
 	uint32_t ran_ms;  /* from the request's send, or from the first byte, to the crash */
-	int is_running;	  /* the server was up and had begun to answer the request */
+	int is_running;	  /* the server had begun to answer: ran_ms is from the first byte */
 	int is_confirmed; /* the server then refused connections, or many requests broke at once */
 	uint32_t answered_ms; /* since the request's last complete answer, or CW_QUARANTINE_NEVER */
 };
@@ -51,7 +51,7 @@
 	uint32_t ends;	 /* server crashes while the request ran, as far as known */
 	uint32_t age_ms; /* since the quarantine or the release */
 	int is_released; /* 0: quarantined */
-	int is_written;	 /* to the shared store */
+	int is_written;	 /* published in the shared store */
 };
 
 /* Where a decision came from. */
@@ -82,7 +82,7 @@
  */
 uint64_t cw_quarantine_fingerprint(const char *path, const char *organisation, uint64_t body);
 
-/* One request. ran_ms counts from the request's send to that server. */
+/* One request. ran_ms counts from the send to the server, or from the response head if seen. */
 int cw_quarantine_contains(const struct cw_quarantine *quarantine,
 			   uint64_t fingerprint); /* 1: must not be sent */
 int cw_quarantine_wants_trial(const struct cw_quarantine *quarantine, uint64_t fingerprint,
@@ -98,10 +98,10 @@
 						  ran_ms counts from the first byte */
 void cw_quarantine_note_finished(
 	struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server, int64_t ran_ms,
-	int64_t now_ms); /* abandoned, or partly answered: may still crash the server */
+	int64_t now_ms); /* ended without a complete answer: may still crash the server */
 void cw_quarantine_note_answer(struct cw_quarantine *quarantine, uint64_t fingerprint,
 			       uint64_t server, int64_t ran_ms,
-			       int64_t now_ms); /* completely and by one run, whatever the status */
+			       int64_t now_ms); /* complete answer by a single run, of any status */
 void cw_quarantine_note_unreachable(
 	struct cw_quarantine *quarantine, uint64_t server,
 	int64_t now_ms); /* the server refuses connections, or was removed */
@@ -109,7 +109,7 @@
 				 int64_t now_ms); /* a byte arrived for a request sent at sent_ms */
 int cw_quarantine_explains_crash(
 	const struct cw_quarantine *quarantine, uint64_t server,
-	int64_t now_ms); /* 1: the server just crashed under a quarantined one */
+	int64_t now_ms); /* 1: the server just crashed running a quarantined request */
 
 /* The quarantine list over time. */
 void cw_quarantine_tick(struct cw_quarantine *quarantine,
--- a/packages/quarantine/src/quarantine.c
+++ b/packages/quarantine/src/quarantine.c
@@ -77,7 +77,7 @@
 
 	if (!suspect_add_crash(quarantine, suspect, &crash, now_ms))
 		return;
-	quarantine_add_finished(quarantine, server, now_ms, now_ms);
+	quarantine_charge_finished(quarantine, server, now_ms, now_ms);
 	if (suspect->crash_count >= CRASHES_TO_QUARANTINE)
 		quarantine_judge(quarantine, now_ms);
 }
@@ -371,8 +371,8 @@
  * A small model's answer may be dropped for a larger model's just after it began, and its server
  * may crash a moment later: the request took part in the crash all the same.
  */
-void quarantine_add_finished(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
-			     int64_t now_ms)
+void quarantine_charge_finished(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
+				int64_t now_ms)
 {
 	for (size_t i = 0; i < FINISHED_KEPT; i++) {
 		struct finished *finished = &quarantine->finished[i];
@@ -469,7 +469,7 @@
 	return least_likely;
 }
 
-/* Whether one is less likely than other to be a poison request. */
+/* Whether `one` is less likely than `other` to be a poison request. */
 static int is_less_likely(const struct suspect *one, const struct suspect *other)
 {
 	int is_known = one->answered_ms >= 0;
--- a/packages/quarantine/src/quarantine_internal.h
+++ b/packages/quarantine/src/quarantine_internal.h
@@ -1,4 +1,4 @@
-/* Shared by the files of the package: suspect requests and the server crashes they took part in. */
+/* Suspect requests and the server crashes that they took part in; internal to the package. */
 #ifndef QUARANTINE_INTERNAL_H
 #define QUARANTINE_INTERNAL_H
 
@@ -14,7 +14,7 @@
 #define CRASHES_TO_QUARANTINE		 3  /* server crashes that quarantine a request */
 #define OUTAGE_MS			 1000 /* breaks this soon after a crash belong to the same outage */
 #define DETECTION_LAG_MS		 500 /* a peer may detect an outage this much earlier */
-#define SKEW_MS				 10  /* of a reported send time against an outage's start */
+#define SKEW_MS				 10 /* error of a send time relative to an outage's start */
 /* Servers that crash within this time share a cause, which charges a known request only once. */
 #define COMMON_CAUSE_MS 300
 #define BURST_MS	20 /* BURST_BREAKS requests that break within this time confirm a crash */
@@ -24,20 +24,20 @@
 #define UNREACHABLE_MS	   4000 /* a connection refused this soon after a break confirms a crash */
 /* After a gap this long between ticks, bytes just read may have arrived at any time in the gap. */
 #define STALL_MS	      300
-#define IN_FLIGHT_MS	      50   /* bytes sent before a crash have been read by then */
-#define SETTLE_MS	      200  /* peers' reports of the same crashes have arrived by then */
+#define IN_FLIGHT_MS	      50 /* after a crash; bytes sent before have been read by then */
+#define SETTLE_MS	      200 /* after a crash; peers' reports of the crash have arrived by then */
 #define COMMIT_MS	      1000 /* a decision that stands this long is announced and persisted */
-#define COMMIT_AMBIGUOUS_MS   5000 /* the same where another request took part in as many crashes */
-#define QUARANTINE_MS	      600000 /* then the request may run again: three crashes in ten minutes */
-#define SHORT_QUARANTINE_MS   10000  /* of a request answered lately: servers may be at fault */
+#define COMMIT_AMBIGUOUS_MS   5000 /* the same if another request took part in as many crashes */
+#define QUARANTINE_MS	      600000 /* a poison request costs three crashes in ten minutes */
+#define SHORT_QUARANTINE_MS   10000  /* for a request answered before: servers may be at fault */
 #define EVIDENCE_MS	      600000 /* age up to which a crash counts as evidence */
 #define ANNOUNCE_MS	      1000   /* how long a change is announced: seven gossip rounds */
-#define OWNER_WAIT_MS	      2000 /* from a crash until a peer has reported organisation and target */
+#define OWNER_WAIT_MS	      2000   /* by then a peer has reported the organisation and target */
 #define TOMBSTONE_MS	      60000 /* peers may announce a released request as quarantined this long */
 #define ANNOUNCED_CRASHES_MAX 4	    /* newest crashes announced per suspect */
 #define ANNOUNCED_SINGLES_MAX 8	    /* suspects with a single crash, per message */
 #define FINISHED_MS	      1000 /* a finished request may still crash its server for this long */
-#define TRIAL_GAP_MS	      10000 /* before the trial of a quarantined request is repeated */
+#define TRIAL_GAP_MS	      10000 /* least time between two trials of a quarantined request */
 
 /* A server crash that a suspect request took part in. */
 struct crash {
@@ -45,7 +45,7 @@
 	uint32_t outage; /* local number of the outage */
 	int64_t at_ms;
 	int64_t ran_ms;	  /* how long the request had run by then */
-	int is_running;	  /* the server was up when the request began */
+	int is_running;	  /* the server had begun to answer: ran_ms is from the first byte */
 	int is_confirmed; /* the server crashed, rather than only dropped the connection */
 };
 
@@ -64,19 +64,19 @@
 	int64_t released_ms;	/* time of the release, 0: none, or long ago */
 	int64_t changed_ms;	/* last committed quarantine, release, or write to the store */
 	int is_committed;	/* announced to peers; stays set until the request is released */
-	int is_short;		/* quarantined for SHORT_QUARANTINE_MS only */
+	int is_short;		/* quarantined for SHORT_QUARANTINE_MS instead of QUARANTINE_MS */
 	int is_written;		/* the shared store has the newest state */
 	int is_culprit;		/* found by the judgement that is running */
 	int is_sole_candidate;	/* no other request took part in as many of its crashes */
 	int is_ambiguous;  /* while quarantined: another request took part in all of its crashes */
-	int is_superseded; /* that other request took part in one more crash since */
+	int is_superseded; /* such a request took part in one more crash since */
 	int64_t trial_ms;  /* last trial run by this instance during the quarantine, 0: none */
 	unsigned int alternatives; /* alternative suspects, in two or more of its crashes */
 };
 
 TAILQ_HEAD(suspect_list, suspect);
 
-/* A request that finished at a server, which may still crash because of it. */
+/* A request that finished at a server and may still crash the server. */
 struct finished {
 	uint64_t fingerprint;
 	uint64_t server;
@@ -99,7 +99,7 @@
 	int64_t detected_ms;  /* the break that this instance learned of first */
 	int64_t recovered_ms; /* when the server was seen alive after the outage, 0: not yet */
 	unsigned int breaks;  /* requests that broke within BURST_MS of detected_ms */
-	int is_confirmed;     /* by more than a broken request */
+	int is_confirmed;     /* a crash, by more evidence than one broken request */
 	int is_false_alarm;   /* the server had not crashed */
 	int64_t last_seen_ms; /* when a byte arrived on a connection opened before the outage */
 	int64_t updated_ms;   /* when this instance learned of the false alarm */
@@ -140,8 +140,8 @@
 int suspect_add_crash(struct cw_quarantine *quarantine, struct suspect *suspect,
 		      const struct crash *crash,
 		      int64_t now_ms); /* 1: added, 0: known or irrelevant */
-void quarantine_add_finished(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
-			     int64_t now_ms); /* charges requests that finished just before */
+void quarantine_charge_finished(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
+				int64_t now_ms); /* charges requests that finished just before */
 void suspect_note_answer(struct cw_quarantine *quarantine, struct suspect *suspect, int64_t at_ms,
 			 int64_t now_ms);
 void suspect_quarantine(struct cw_quarantine *quarantine, struct suspect *suspect,
@@ -157,13 +157,14 @@
 uint32_t outage_find_or_add(struct cw_quarantine *quarantine,
 			    const struct crash *crash); /* the outage's number; 0: a false alarm */
 int outage_covers(const struct cw_quarantine *quarantine,
-		  const struct crash *crash); /* 1: the request was running when the outage began */
+		  const struct crash *crash); /* 1: the request ran when the outage began */
 int outage_is_confirmed(const struct cw_quarantine *quarantine, uint32_t number);
 void outage_confirm(struct cw_quarantine *quarantine, uint32_t number);
-void outage_add_break(struct cw_quarantine *quarantine,
-		      const struct crash *crash); /* by a request sent before or in it */
+void outage_add_break(
+	struct cw_quarantine *quarantine,
+	const struct crash *crash); /* by a request sent before or during the outage */
 void outage_mark_false_alarm(struct cw_quarantine *quarantine, uint64_t server, int64_t at_ms,
-			     int64_t now_ms); /* a byte that came at at_ms disproves it */
+			     int64_t now_ms); /* a byte that arrived at at_ms proves it */
 size_t outages_announce_false_alarms(const struct cw_quarantine *quarantine, int64_t now_ms,
 				     struct cw_quarantine_crash *crashes, size_t max);
 
--- a/packages/quarantine/src/share.c
+++ b/packages/quarantine/src/share.c
@@ -95,7 +95,7 @@
 	if (report->answered_ms != CW_QUARANTINE_NEVER)
 		suspect_note_answer(quarantine, suspect, now_ms - report->answered_ms, now_ms);
 	if (suspect_add_crash(quarantine, suspect, &crash, now_ms))
-		quarantine_add_finished(quarantine, crash.server, crash.at_ms, now_ms);
+		quarantine_charge_finished(quarantine, crash.server, crash.at_ms, now_ms);
 	if (report->is_confirmed)
 		outage_confirm(quarantine, outage_find_or_add(quarantine, &crash));
 }
