--- a/packages/rollout/include/cw_rollout.h
+++ b/packages/rollout/include/cw_rollout.h
@@ -176,8 +176,9 @@
 int cw_rollouts_has_any(const struct cw_rollouts *rollouts); /* 1: a roll-out is known */
 int cw_rollouts_is_rolled_back(const struct cw_rollouts *rollouts,
 			       const char *service); /* the roll-out was rolled back */
-int cw_rollouts_is_retired(const struct cw_rollouts *rollouts, const char *service,
-			   const char *software); /* replaced: its servers may stop at any time */
+int cw_rollouts_is_retired(
+	const struct cw_rollouts *rollouts, const char *service,
+	const char *software); /* replaced: servers with it may stop at any time */
 const char *cw_rollouts_target(const struct cw_rollouts *rollouts,
 			       const char *service); /* NULL: no roll-out */
 enum cw_rollout_variant cw_rollouts_choose_variant(struct cw_rollouts *rollouts,
@@ -195,22 +196,22 @@
 void cw_rollouts_record_arrival(
 	struct cw_rollouts *rollouts, const struct cw_rollout_request *request, uint32_t kinds,
 	unsigned int slots); /* load kinds of the request; slots per server */
-void cw_rollouts_record_retry(struct cw_rollouts *rollouts, const char *service, uint64_t session,
-			      int64_t asked_ms,
-			      int64_t now_ms); /* a caller retries that has waited since asked_ms */
+void cw_rollouts_record_retry(
+	struct cw_rollouts *rollouts, const char *service, uint64_t session, int64_t asked_ms,
+	int64_t now_ms); /* the caller retries and has waited since asked_ms */
 void cw_rollouts_record_answer(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
 			       int64_t now_ms);
-void cw_rollouts_mark_answer_slow(struct cw_rollouts *rollouts,
-				  const struct cw_rollout_answer *answer,
-				  int64_t now_ms); /* counted as good before, then slow */
-int cw_rollouts_is_trial_load(const struct cw_rollouts *rollouts,
-			      const struct cw_rollout_request *request,
-			      int64_t now_ms); /* its session loads a server of the target */
+void cw_rollouts_mark_answer_slow(
+	struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
+	int64_t now_ms); /* turns an answer that counted as good into a slow one */
+int cw_rollouts_is_trial_load(
+	const struct cw_rollouts *rollouts, const struct cw_rollout_request *request,
+	int64_t now_ms); /* the session helps to load a server of the target */
 int cw_rollouts_needs_load_trial(const struct cw_rollouts *rollouts, const char *service,
 				 int64_t now_ms); /* the target's trial under load is due */
 size_t cw_rollouts_evaluate(struct cw_rollouts *rollouts, int64_t now_ms,
 			    struct cw_rollout_verdict *verdicts,
-			    size_t max);	 /* outcomes not known to be published */
+			    size_t max);	 /* outcomes that are not known to be published */
 int64_t cw_rollouts_write_delay_ms(size_t rank); /* wait before publishing, by rank */
 int cw_rollouts_is_starting(const struct cw_rollouts *rollouts,
 			    int64_t now_ms); /* peers' sessions are due before the first move */
--- a/packages/rollout/src/evidence.c
+++ b/packages/rollout/src/evidence.c
@@ -9,11 +9,11 @@
 
 #define DECAY_MS	 8000 /* time constant of recent answers, so that a late regression shows */
 #define PAST_DECAY_MS	 60000	/* time constant for usual failure rates and for rare failures */
-#define PEER_RECENT_MS	 4000	/* a gossip round of 66 instances reaches every peer within it */
+#define PEER_RECENT_MS	 4000	/* gossip among 66 instances reaches every peer in this time */
 #define BAD_MIN_FAILURES 2.5	/* decayed bad answers */
 #define BAD_LEVEL	 5.0	/* log likelihood ratio: one false alarm per e^5 evaluations */
 #define PASSED_LEVEL	 (-4.5) /* log likelihood ratio: 13 good answers of full servers */
-#define EXPOSURE_LIMIT	 0.85	/* of the allowed exposure; a gossip round is still in flight */
+#define EXPOSURE_LIMIT	 0.85	/* of the allowed exposure; the rest may not be announced yet */
 #define RATE_INTERVAL_MS 500	/* between updates of the request rate */
 #define RATE_GAIN	 0.3	/* weight of the newest interval: averages over 1.5 s */
 #define PRIOR_ANSWERS	 10.0	/* assumed of the old version before the first answer */
--- a/packages/rollout/src/plan.c
+++ b/packages/rollout/src/plan.c
@@ -17,13 +17,13 @@
 #define STEP_DELAY_MS		1000
 #define STEP_DELAY_FEW_PEERS_MS 400
 #define FEW_PEERS		12
-#define PLAN_MIN_COUNTED_MS	3000 /* until then peers have announced their routes' requests */
+#define PLAN_MIN_COUNTED_MS	3000 /* peers have announced their routes' requests by then */
 #define TRIAL_END		0.67 /* of the duration */
-#define MORE_START		0.62 /* of the duration; no full server by then: larger trial share */
+#define MORE_START		0.62 /* of the duration; if no server is full by then: larger share */
 #define ROUTE_TARGET_PER_S	3.0 /* requests to the target: failures of rare routes show in 10 s */
 #define SLOT_FILL_PER_S		0.25 /* part of a server's slots that the trial fills per second */
-#define MORE_FACTOR		3    /* on the planned trial share */
-#define SHORT_PROMPT_SHARE	0.30 /* of sessions that probe a full server: more overload it */
+#define MORE_FACTOR		3    /* by which the planned trial share is multiplied */
+#define SHORT_PROMPT_SHARE	0.30 /* of sessions that probe a full server; more would overload it */
 #define SECOND_SHARE		0.40 /* after the trial: failures of one route show before all move */
 #define SECOND_LENGTH		0.06 /* of the duration, for which the second share applies */
 #define FULL_SHARE_LATEST	0.86 /* of the duration, if passed by then: old requests finish */
--- a/packages/rollout/src/rollout_internal.h
+++ b/packages/rollout/src/rollout_internal.h
@@ -94,7 +94,7 @@
 	double trial_share;	  /* of long-running sessions; 0: no plan */
 	int64_t decayed_ms;	  /* time to which the kinds' counts are decayed */
 	GHashTable *peers;	  /* instance -> struct rollout_peer */
-	GHashTable *old_sessions; /* on the old version by peers' account: hash -> time */
+	GHashTable *old_sessions; /* on the old version as peers announced: hash -> time */
 };
 
 struct cw_rollouts {
@@ -130,16 +130,16 @@
 			    int64_t now_ms); /* of this instance's answers */
 void rollout_merge_evidence(struct rollout *rollout, uint64_t instance,
 			    const struct cw_rollout_announcement *update, int64_t now_ms);
-int rollout_is_target_bad(struct rollout *rollout, int64_t now_ms); /* also sets has_passed_trial */
+int rollout_is_target_bad(struct rollout *rollout, int64_t now_ms); /* may set has_passed_trial */
 void rollout_count_dispatch(struct rollout *rollout, int is_new);   /* a request was sent */
 void rollout_update_rate(struct rollout *rollout, int64_t now_ms);  /* periodic */
 int rollout_is_exposure_spent(
 	const struct cw_rollouts *rollouts, const struct rollout *rollout,
-	int64_t now_ms); /* the target received what a bad version may receive */
+	int64_t now_ms); /* the target received as much as a bad version may */
 double rollout_log_likelihood_ratio(double answers, double bad_answers,
 				    double old_rate); /* above 0: the target is rather bad */
 int rollout_has_recent_peers(const struct rollout *rollout,
-			     int64_t now_ms); /* 0: most evidence may be missing */
+			     int64_t now_ms); /* 0: more than half of the peers are silent */
 
 /* match.c: per-second comparison of the versions' failures on each route */
 void rollout_compare_answer(struct rollout *rollout, const struct cw_rollout_answer *answer);
--- a/packages/rollout/src/sessions.c
+++ b/packages/rollout/src/sessions.c
@@ -27,8 +27,9 @@
 }
 
 /*
- * A caller retries a request that was in flight on a machine that lost power. The instance that
- * knew the version of the session may be down. Before the order only the old version existed.
+ * A caller retries a request that was in flight on a machine that lost power, and the instance that
+ * knew the version of the session may be down. A request first sent before the order ran on the old
+ * version, because no other existed.
  */
 void cw_rollouts_record_retry(struct cw_rollouts *rollouts, const char *service, uint64_t session,
 			      int64_t asked_ms, int64_t now_ms)
