--- a/packages/cascade/include/cw_cascade.h
+++ b/packages/cascade/include/cw_cascade.h
@@ -21,19 +21,19 @@
 struct cw_plan {
 	size_t first;	    /* index of the option to ask first */
 	size_t then;	    /* index to escalate to; equal to first: no escalation */
-	int check;	    /* rate the first answer before it is shown */
-	int is_exploration; /* exploration: not the best known plan */
+	int check;	    /* 1: the first answer is rated before the caller gets it */
+	int is_exploration; /* not the best known plan, but one that gathers ratings */
 	double expected_cost;
 	double expected_quality;
 };
 
 struct cw_cascade_request {
 	uint64_t task;	 /* hash of organisation and task */
-	uint64_t common; /* hash of the task alone: used while the organisation has few ratings */
+	uint64_t common; /* hash of the task alone, used while the organisation has few ratings */
 	const struct cw_cascade_option *options;
 	size_t count;
 	double target; /* quality 0 to 1 */
-	int can_check; /* 0: streamed as generated, so no answer can be replaced */
+	int can_check; /* 0: the answer is streamed as generated and cannot be replaced */
 	uint64_t random;
 };
 
--- a/packages/cascade/src/cascade.c
+++ b/packages/cascade/src/cascade.c
@@ -11,11 +11,11 @@
 #define EXPLORE_SHARE 0.02 /* of requests, for versions whose bound is below the target */
 #define EXPLORE_CHECKED_SHARE                                                                      \
 	0.25 /* of requests while a version lacks ratings; checked before being shown */
-#define EXPLORE_UNCHECKED_SHARE 0.08  /* the same where no check is possible */
+#define EXPLORE_UNCHECKED_SHARE 0.08  /* the same where answers can't be checked */
 #define EXPLORE_LOSS		0.5   /* assumed quality loss of an answer of an unrated version */
 #define EXPLORE_SHARE_MIN	0.005 /* of requests: minimum of unchecked exploration */
 #define DEFAULT_TOKENS		500.0 /* tokens per answer before any was counted */
-#define SCORE_BINS		20    /* of the histogram of ratings, for the share that passes */
+#define SCORE_BINS		20 /* of the histogram of ratings, which gives the share that passes */
 #define PASS_MARGIN		0.05 /* a checked answer passes down to this far below the target */
 #define RATINGS_MEMORY		2000 /* effective number of ratings: older ones decay */
 
@@ -200,8 +200,7 @@
 
 /*
  * A version without enough ratings has no bound and would never be chosen, so a small bounded share
- * of requests explores it. Where possible its answers are checked, and poor ones are not
- * shown.
+ * of requests explores it. Where possible its answers are checked, and poor ones are replaced.
  */
 static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_request *in,
 			    struct cw_plan *plan)
--- a/packages/drain/include/cw_drain.h
+++ b/packages/drain/include/cw_drain.h
@@ -12,7 +12,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_DRAINS_MAX 16 /* failure domains with orders; more than a deployment has */
+#define CW_DRAINS_MAX 16 /* failure domains with orders; deployments have fewer */
 
 /* The newest order of an operator on a failure domain. */
 struct cw_drain_order {
--- a/packages/health/include/cw_health.h
+++ b/packages/health/include/cw_health.h
@@ -17,7 +17,7 @@
 	uint64_t version; /* cw_pool_version_hash of (model, version) */
 	uint32_t good;	  /* complete answers */
 	uint32_t bad;	  /* errors and incomplete answers */
-	uint32_t slow;	  /* complete answers with a first token later than the siblings' usual */
+	uint32_t slow;	  /* complete answers whose first token was later than usual for siblings */
 	uint32_t rated;
 	double rating_sum;
 	double rating_squares;
@@ -57,14 +57,14 @@
 	const struct cw_health_evidence *evidence,
 	int64_t now_ms); /* totals of another instance; 1: they tripped the version */
 int cw_health_trip(struct cw_health *health, uint64_t version,
-		   int64_t now_ms); /* reported by a peer or a notice; 1: newly tripped */
-void cw_health_clear(struct cw_health *health, uint64_t version); /* an operator's edit overrides */
+		   int64_t now_ms); /* reported by a peer or the shared store; 1: newly tripped */
+void cw_health_clear(struct cw_health *health, uint64_t version); /* on an operator's edit */
 enum cw_health_state cw_health_state(struct cw_health *health, uint64_t version, int64_t now_ms);
 double cw_health_weight_factor(struct cw_health *health, uint64_t version,
 			       int64_t now_ms); /* of the version's weight, 0 to 1 */
 int cw_health_is_model_degraded(
 	struct cw_health *health, uint64_t model,
-	int64_t now_ms); /* 1: a version is not good, or was restored lately */
+	int64_t now_ms); /* 1: a version is tripped, probing or restored recently */
 size_t cw_health_own_evidence(struct cw_health *health, struct cw_health_evidence *evidence,
 			      uint32_t *tripped,
 			      size_t max); /* this instance's totals, for gossip */
--- a/packages/route/include/cw_route.h
+++ b/packages/route/include/cw_route.h
@@ -18,7 +18,7 @@
 
 /* Retry policy of a route's requests. */
 enum cw_retry_policy {
-	CW_RETRY_ANY,	 /* idempotent: may be sent again */
+	CW_RETRY_ANY,	 /* idempotent: may be retried */
 	CW_RETRY_NEVER,	 /* runs at most once */
 	CW_RETRY_STREAM, /* event stream; resumed on another server if the route is resumable */
 };
@@ -34,14 +34,14 @@
 	char host[CW_NAME_MAX * 2];
 	char prefix[CW_NAME_MAX * 4]; /* begins and ends with a slash */
 	enum cw_retry_policy retry_policy;
-	int64_t limit_ms;     /* time-out of a request */
+	int64_t limit_ms;     /* timeout of a request */
 	int64_t objective_ms; /* target latency of the answer, or of a stream's first event */
 	int64_t pause_ms;     /* target for the longest gap between two events */
 	int priority;	      /* 0 is the highest */
 	int max_attempts;     /* backend servers one request may be sent to */
 	int is_public;	      /* no key required */
 	int is_resumable;
-	struct cw_home_regions homes; /* regions that may serve the route; none: any */
+	struct cw_home_regions homes; /* regions that may serve the route; empty: any */
 	size_t share_count;
 	struct cw_service_weight shares[CW_ROUTE_SERVICES];
 	size_t model_count;			   /* 0: the caller names the model */
