--- a/tests/unit/quarantine_bed.c
+++ b/tests/unit/quarantine_bed.c
@@ -1,15 +1,15 @@
 #include "quarantine_bed.h"
 
-struct cw_quarantine_request bed_request(uint64_t fingerprint, const char *organisation)
+struct cw_quarantine_request fixture_make_request(uint64_t fingerprint, const char *organisation)
 {
 	return (struct cw_quarantine_request){
 		.fingerprint = fingerprint, .organisation = organisation, .target = "chat"};
 }
 
-void bed_crash_server(struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server,
-		      int64_t now_ms)
+void fixture_crash_server(struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server,
+			  int64_t now_ms)
 {
-	struct cw_quarantine_request request = bed_request(fingerprint, "museo");
+	struct cw_quarantine_request request = fixture_make_request(fingerprint, "museo");
 
 	cw_quarantine_note_break(quarantine, &request, server, fingerprint == POISON ? 50 : 900, 0,
 				 now_ms);
@@ -18,13 +18,13 @@
 }
 
 /* Ticks as the event loop does. */
-void bed_run_ticks(struct cw_quarantine *quarantine, int64_t from_ms, int64_t to_ms)
+void fixture_run_ticks(struct cw_quarantine *quarantine, int64_t from_ms, int64_t to_ms)
 {
 	for (int64_t now_ms = from_ms; now_ms <= to_ms; now_ms += 100)
 		cw_quarantine_tick(quarantine, now_ms);
 }
 
-size_t bed_count_quarantined(const struct cw_quarantine *quarantine)
+size_t fixture_count_quarantined(const struct cw_quarantine *quarantine)
 {
 	struct cw_quarantine_record records[CW_QUARANTINE_MAX];
 
@@ -32,7 +32,7 @@
 }
 
 /* Sends one message from one instance to another. */
-void bed_announce(struct cw_quarantine *from, struct cw_quarantine *to, int64_t now_ms)
+void fixture_announce(struct cw_quarantine *from, struct cw_quarantine *to, int64_t now_ms)
 {
 	struct cw_quarantine_crash crashes[CW_QUARANTINE_CRASHES_MAX];
 	struct cw_quarantine_record records[CW_QUARANTINE_RECORDS_MAX];
@@ -47,12 +47,12 @@
 		cw_quarantine_merge_record(to, &records[i], CW_QUARANTINE_PEER, now_ms);
 }
 
-void bed_exchange(struct cw_quarantine *from, struct cw_quarantine *to, int64_t from_ms,
-		  int64_t to_ms)
+void fixture_exchange(struct cw_quarantine *from, struct cw_quarantine *to, int64_t from_ms,
+		      int64_t to_ms)
 {
 	for (int64_t now_ms = from_ms; now_ms < to_ms; now_ms += 100) {
 		cw_quarantine_tick(from, now_ms);
 		cw_quarantine_tick(to, now_ms);
-		bed_announce(from, to, now_ms);
+		fixture_announce(from, to, now_ms);
 	}
 }
--- a/tests/unit/test_gate.c
+++ b/tests/unit/test_gate.c
@@ -239,7 +239,7 @@
 /*
  * Guards against an order that reached no server but is answered 502, and against a stream that
  * doesn't return to a restarted server: the server restarts while the stream runs there, the other
- * server is leaving, and the new incarnation counted as tried because it has the same name.
+ * server is leaving, and the restarted server counted as tried because it has the same name.
  */
 static void a_stream_may_resume_on_a_restarted_server(void **state)
 {
--- a/tests/unit/test_gate_drain.c
+++ b/tests/unit/test_gate_drain.c
@@ -107,7 +107,7 @@
 	cw_config_unref(config);
 }
 
-/* Servers restored from a drain are cold: a rush to the idle servers would crash them. */
+/* Servers restored from a drain count as cold: a burst to the idle servers would crash them. */
 static void restored_servers_are_cold_until_they_report_otherwise(void **state)
 {
 	int sent = 0;
--- a/tests/unit/test_gate_quarantine.c
+++ b/tests/unit/test_gate_quarantine.c
@@ -138,7 +138,7 @@
 	}
 }
 
-/* The answer is dropped for an escalation and its server crashes: the request had run there. */
+/* The answer is dropped for an escalation, and the server that began the answer crashes. */
 static void a_dropped_answer_counts_on_the_server_that_began_it(void **state)
 {
 	struct cw_response_head low_confidence = {
@@ -192,7 +192,7 @@
 	place->rank = 1;
 }
 
-/* The trial of a suspect request must cost one server at most. */
+/* The trial of a suspect request may crash one server at most. */
 static void a_suspect_request_is_tried_once_on_one_server(void **state)
 {
 	struct fixture fixture;
--- a/tests/unit/test_health.c
+++ b/tests/unit/test_health.c
@@ -48,9 +48,9 @@
 }
 
 /*
- * Symptom: each of many instances saw several failures of a version before any of them acted,
- * because evidence stayed where it was seen. The totals of all instances are pooled, and a
- * duplicate message counts once.
+ * Guards against a faulty version that trips late: each of many instances saw several failures of
+ * the version before any of them acted, because instances did not share their evidence. The totals
+ * of all instances are pooled, and a duplicate message counts once.
  */
 static void evidence_of_many_instances_adds_up(void **state)
 {
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -9,10 +9,10 @@
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 	struct cw_quarantine_change change;
 
-	bed_crash_server(quarantine, POISON, 1, NOW);
-	bed_crash_server(quarantine, POISON, 2, NOW + 60);
+	fixture_crash_server(quarantine, POISON, 1, NOW);
+	fixture_crash_server(quarantine, POISON, 2, NOW + 60);
 	assert_false(cw_quarantine_contains(quarantine, POISON));
-	bed_crash_server(quarantine, POISON, 3, NOW + 120);
+	fixture_crash_server(quarantine, POISON, 3, NOW + 120);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
 	assert_false(cw_quarantine_contains(quarantine, HARMLESS));
 	assert_true(cw_quarantine_next_change(quarantine, &change));
@@ -34,14 +34,14 @@
 					     .answered_ms = CW_QUARANTINE_NEVER};
 
 	for (int i = 0; i < 5; i++)
-		bed_crash_server(quarantine, POISON, 1, NOW + i);
+		fixture_crash_server(quarantine, POISON, 1, NOW + i);
 	for (report.age_ms = 0; report.age_ms < 300; report.age_ms += 50)
 		cw_quarantine_merge_crash(quarantine, &report, NOW + 200);
-	bed_run_ticks(quarantine, NOW + 200, NOW + DECISION_MS);
+	fixture_run_ticks(quarantine, NOW + 200, NOW + DECISION_MS);
 	assert_false(cw_quarantine_contains(quarantine, POISON));
 	/* The server crashes again once it has recovered. */
-	bed_crash_server(quarantine, POISON, 1, NOW + 2000);
-	bed_crash_server(quarantine, POISON, 1, NOW + 4000);
+	fixture_crash_server(quarantine, POISON, 1, NOW + 2000);
+	fixture_crash_server(quarantine, POISON, 1, NOW + 4000);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
 	cw_quarantine_destroy(quarantine);
 }
@@ -57,30 +57,31 @@
 
 	for (int server = 1; server <= 8; server++) {
 		for (int i = 0; i < 20; i++)
-			bed_crash_server(quarantine, HARMLESS + i + (server > 3 ? server * 100 : 0),
-					 server, NOW + server * 80);
-		bed_crash_server(quarantine, POISON, server, NOW + server * 80);
+			fixture_crash_server(quarantine,
+					     HARMLESS + i + (server > 3 ? server * 100 : 0), server,
+					     NOW + server * 80);
+		fixture_crash_server(quarantine, POISON, server, NOW + server * 80);
 		cw_quarantine_tick(quarantine, NOW + server * 80);
 	}
-	bed_run_ticks(quarantine, NOW + DECISION_MS, NOW + DECISION_MS + 1000);
+	fixture_run_ticks(quarantine, NOW + DECISION_MS, NOW + DECISION_MS + 1000);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
-	assert_int_equal(bed_count_quarantined(quarantine), 1);
+	assert_int_equal(fixture_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
 
-/* All requests were on the same three servers; the one that had just begun crashed them. */
+/* All requests ran on the same three servers, and the one with the shortest runs crashed them. */
 static void equal_crash_counts_quarantine_the_shortest_run(void **state)
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 
 	for (int server = 1; server <= 3; server++) {
 		for (int i = 0; i < 20; i++)
-			bed_crash_server(quarantine, HARMLESS + i, server, NOW + server * 80);
-		bed_crash_server(quarantine, POISON, server, NOW + server * 80);
+			fixture_crash_server(quarantine, HARMLESS + i, server, NOW + server * 80);
+		fixture_crash_server(quarantine, POISON, server, NOW + server * 80);
 	}
-	bed_run_ticks(quarantine, NOW + 240, NOW + DECISION_MS);
+	fixture_run_ticks(quarantine, NOW + 240, NOW + DECISION_MS);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
-	assert_int_equal(bed_count_quarantined(quarantine), 1);
+	assert_int_equal(fixture_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -95,10 +96,10 @@
 	for (int i = 0; i < 40; i++) {
 		int64_t now_ms = NOW + i * 600;
 
-		bed_crash_server(quarantine, HARMLESS, (uint64_t)i % 6, now_ms);
+		fixture_crash_server(quarantine, HARMLESS, (uint64_t)i % 6, now_ms);
 		cw_quarantine_note_answer(quarantine, HARMLESS, 7, 50, now_ms + 100);
-		bed_run_ticks(quarantine, now_ms + 100, now_ms + 500);
-		assert_int_equal(bed_count_quarantined(quarantine), 0);
+		fixture_run_ticks(quarantine, now_ms + 100, now_ms + 500);
+		assert_int_equal(fixture_count_quarantined(quarantine), 0);
 	}
 	cw_quarantine_destroy(quarantine);
 }
@@ -111,8 +112,8 @@
 	cw_quarantine_note_answer(quarantine, HARMLESS, 7, 50, NOW - 1000);
 	cw_quarantine_tick(quarantine, NOW);
 	for (int server = 1; server <= 5; server++)
-		bed_crash_server(quarantine, HARMLESS, server, NOW + server);
-	bed_run_ticks(quarantine, NOW + 5, NOW + DECISION_MS);
+		fixture_crash_server(quarantine, HARMLESS, server, NOW + server);
+	fixture_run_ticks(quarantine, NOW + 5, NOW + DECISION_MS);
 	assert_false(cw_quarantine_contains(quarantine, HARMLESS));
 	cw_quarantine_destroy(quarantine);
 }
@@ -125,9 +126,9 @@
 	cw_quarantine_note_answer(quarantine, HARMLESS, 7, 50, NOW - 1000);
 	cw_quarantine_tick(quarantine, NOW);
 	for (int server = 1; server <= 3; server++)
-		bed_crash_server(quarantine, HARMLESS, server, NOW + server * 500);
+		fixture_crash_server(quarantine, HARMLESS, server, NOW + server * 500);
 	assert_true(cw_quarantine_contains(quarantine, HARMLESS));
-	bed_run_ticks(quarantine, NOW + 1500, NOW + 12000);
+	fixture_run_ticks(quarantine, NOW + 1500, NOW + 12000);
 	assert_false(cw_quarantine_contains(quarantine, HARMLESS));
 	cw_quarantine_destroy(quarantine);
 }
@@ -138,20 +139,22 @@
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 	for (int server = 1; server <= 3; server++) {
 		cw_quarantine_note_finished(quarantine, POISON, server, 5, NOW + server * 500);
-		bed_crash_server(quarantine, HARMLESS + server, server, NOW + server * 500 + 50);
+		fixture_crash_server(quarantine, HARMLESS + server, server,
+				     NOW + server * 500 + 50);
 	}
 	/* This request had finished long before the crash. */
 	cw_quarantine_note_finished(quarantine, POISON, 9, 5, NOW + 2000);
-	bed_crash_server(quarantine, HARMLESS + 9, 9, NOW + 4000);
-	bed_run_ticks(quarantine, NOW + 2000, NOW + 2000 + DECISION_MS);
+	fixture_crash_server(quarantine, HARMLESS + 9, 9, NOW + 4000);
+	fixture_run_ticks(quarantine, NOW + 2000, NOW + 2000 + DECISION_MS);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
-	assert_int_equal(bed_count_quarantined(quarantine), 1);
+	assert_int_equal(fixture_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
 
 /*
- * Symptom: servers kept crashing under one request. Its answer is four events long and complete 20
- * ms before the server crashes, and a complete answer cleared all its crashes.
+ * Guards against servers that keep crashing while running one request. Its answer is four events
+ * long and complete 20 ms before the server crashes, and a complete answer cleared all crashes of
+ * the request.
  */
 static void an_answer_just_before_a_crash_clears_no_request(void **state)
 {
@@ -161,17 +164,17 @@
 		int64_t now_ms = NOW + server * 2000;
 
 		cw_quarantine_note_answer(quarantine, POISON, server, 30, now_ms);
-		bed_crash_server(quarantine, HARMLESS + server, server, now_ms + 20);
-		bed_run_ticks(quarantine, now_ms + 20, now_ms + 1900);
+		fixture_crash_server(quarantine, HARMLESS + server, server, now_ms + 20);
+		fixture_run_ticks(quarantine, now_ms + 20, now_ms + 1900);
 	}
 	assert_true(cw_quarantine_contains(quarantine, POISON));
-	assert_int_equal(bed_count_quarantined(quarantine), 1);
+	assert_int_equal(fixture_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
 
 /*
- * Symptom: harmless requests were quarantined and their callers refused. Three servers reset two of
- * five answers and went on with the others, and each reset counted as a crash.
+ * Guards against harmless requests that are quarantined: three servers reset two of five answers
+ * and complete the others, and each reset counted as a crash.
  */
 static void a_server_that_still_answers_has_not_crashed(void **state)
 {
@@ -183,18 +186,18 @@
 		int64_t now_ms = NOW + server * 150;
 
 		cw_quarantine_tick(quarantine, now_ms);
-		bed_crash_server(quarantine, HARMLESS, server, now_ms);
+		fixture_crash_server(quarantine, HARMLESS, server, now_ms);
 		/* Sent before the crash, and read after the crash. */
 		cw_quarantine_note_received(quarantine, server, NOW, now_ms + 1);
 		if (server < 3)
 			cw_quarantine_note_received(quarantine, server, NOW, now_ms + 100);
 	}
-	bed_run_ticks(quarantine, NOW + 450, NOW + 450 + DECISION_MS);
-	assert_int_equal(bed_count_quarantined(quarantine), 0);
-	bed_crash_server(quarantine, HARMLESS, 4, NOW + 2000);
-	assert_int_equal(bed_count_quarantined(quarantine), 0);
-	bed_crash_server(quarantine, HARMLESS, 5, NOW + 2100);
-	assert_int_equal(bed_count_quarantined(quarantine), 1);
+	fixture_run_ticks(quarantine, NOW + 450, NOW + 450 + DECISION_MS);
+	assert_int_equal(fixture_count_quarantined(quarantine), 0);
+	fixture_crash_server(quarantine, HARMLESS, 4, NOW + 2000);
+	assert_int_equal(fixture_count_quarantined(quarantine), 0);
+	fixture_crash_server(quarantine, HARMLESS, 5, NOW + 2100);
+	assert_int_equal(fixture_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -207,18 +210,19 @@
 
 	cw_quarantine_tick(quarantine, NOW);
 	for (int server = 1; server <= 3; server++)
-		bed_crash_server(quarantine, POISON, server, NOW + server);
+		fixture_crash_server(quarantine, POISON, server, NOW + server);
 	cw_quarantine_tick(quarantine, NOW + 800);
 	cw_quarantine_note_received(quarantine, 1, NOW - 100, NOW + 801);
-	bed_run_ticks(quarantine, NOW + 900, NOW + 900 + DECISION_MS);
+	fixture_run_ticks(quarantine, NOW + 900, NOW + 900 + DECISION_MS);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
 	cw_quarantine_destroy(quarantine);
 }
 
 /*
- * Symptom: servers kept crashing under one request. A server recovers after 0.7 s and crashes again
- * at once, just after it sent the first byte of the answer to one instance. The other instances
- * took the second crash for a part of the first outage, in which the request was not running.
+ * Guards against servers that keep crashing while running one request. A server recovers after 0.7
+ * s and crashes again at once, just after it sent the first byte of the answer to one instance. The
+ * other instances counted the second crash as a part of the first outage, in which the request was
+ * not running.
  */
 static void a_recovered_server_can_crash_again(void **state)
 {
@@ -231,10 +235,10 @@
 					     .answered_ms = CW_QUARANTINE_NEVER};
 
 	for (int i = 0; i < 3; i++) {
-		bed_crash_server(quarantine, HARMLESS + i, 1, NOW + i * 760);
+		fixture_crash_server(quarantine, HARMLESS + i, 1, NOW + i * 760);
 		cw_quarantine_merge_crash(quarantine, &report, NOW + i * 760 + 740);
 	}
-	bed_run_ticks(quarantine, NOW + 2300, NOW + 2300 + DECISION_MS);
+	fixture_run_ticks(quarantine, NOW + 2300, NOW + 2300 + DECISION_MS);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
 	cw_quarantine_destroy(quarantine);
 }
@@ -243,31 +247,32 @@
 static void requests_sent_during_an_outage_are_not_charged(void **state)
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
-	struct cw_quarantine_request late = bed_request(HARMLESS, "museo");
+	struct cw_quarantine_request late = fixture_make_request(HARMLESS, "museo");
 
 	for (int server = 1; server <= 4; server++) {
-		bed_crash_server(quarantine, POISON, server, NOW + server * 50);
+		fixture_crash_server(quarantine, POISON, server, NOW + server * 50);
 		cw_quarantine_note_break(quarantine, &late, server, 1, 0, NOW + server * 50 + 20);
 	}
-	bed_run_ticks(quarantine, NOW + 300, NOW + 300 + DECISION_MS);
+	fixture_run_ticks(quarantine, NOW + 300, NOW + 300 + DECISION_MS);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
-	assert_int_equal(bed_count_quarantined(quarantine), 1);
+	assert_int_equal(fixture_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
 
 /*
- * Symptom: hundreds of harmless requests were quarantined. Servers reset two of five answers and
- * stay up; a request meets three such servers, and each broken connection counted as a crash.
+ * Guards against hundreds of harmless requests that are quarantined: servers reset two of five
+ * answers and stay up, a request meets three such servers, and each broken connection counted as a
+ * crash.
  */
 static void a_break_alone_is_no_crash(void **state)
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
-	struct cw_quarantine_request request = bed_request(HARMLESS, "museo");
+	struct cw_quarantine_request request = fixture_make_request(HARMLESS, "museo");
 
 	for (int server = 1; server <= 5; server++)
 		cw_quarantine_note_break(quarantine, &request, server, 40, 0, NOW + server * 100);
-	bed_run_ticks(quarantine, NOW + 500, NOW + 500 + DECISION_MS);
-	assert_int_equal(bed_count_quarantined(quarantine), 0);
+	fixture_run_ticks(quarantine, NOW + 500, NOW + 500 + DECISION_MS);
+	assert_int_equal(fixture_count_quarantined(quarantine), 0);
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -280,15 +285,15 @@
 
 	for (int server = 1; server <= 3; server++)
 		for (uint64_t i = 0; i < 3; i++) {
-			struct cw_quarantine_request request = bed_request(
+			struct cw_quarantine_request request = fixture_make_request(
 				i ? HARMLESS + (uint64_t)server * 10 + i : POISON, "museo");
 
 			cw_quarantine_note_break(quarantine, &request, server, 40, 0,
 						 NOW + server * 100 + (int64_t)i);
 		}
-	bed_run_ticks(quarantine, NOW + 300, NOW + 300 + DECISION_MS);
+	fixture_run_ticks(quarantine, NOW + 300, NOW + 300 + DECISION_MS);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
-	assert_int_equal(bed_count_quarantined(quarantine), 1);
+	assert_int_equal(fixture_count_quarantined(quarantine), 1);
 	cw_quarantine_destroy(quarantine);
 }
 
@@ -301,10 +306,10 @@
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 	struct cw_quarantine_request poison;
 
-	bed_crash_server(quarantine, POISON, 1, NOW);
-	bed_crash_server(quarantine, POISON, 2, NOW + 1);
+	fixture_crash_server(quarantine, POISON, 1, NOW);
+	fixture_crash_server(quarantine, POISON, 2, NOW + 1);
 	for (int i = 0; i < 1000; i++) {
-		poison = bed_request((uint64_t)(HARMLESS + i), "other");
+		poison = fixture_make_request((uint64_t)(HARMLESS + i), "other");
 		for (uint64_t j = 0; j < 3; j++) {
 			cw_quarantine_note_break(quarantine, &poison, 100 + (uint64_t)i * 3 + j, 40,
 						 0, NOW + i);
@@ -313,9 +318,9 @@
 		}
 		cw_quarantine_tick(quarantine, NOW + i);
 	}
-	assert_true(bed_count_quarantined(quarantine) <= 16);
-	bed_crash_server(quarantine, POISON, 3, NOW + 1000);
-	bed_run_ticks(quarantine, NOW + 1000, NOW + 1000 + DECISION_MS);
+	assert_true(fixture_count_quarantined(quarantine) <= 16);
+	fixture_crash_server(quarantine, POISON, 3, NOW + 1000);
+	fixture_run_ticks(quarantine, NOW + 1000, NOW + 1000 + DECISION_MS);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
 	cw_quarantine_destroy(quarantine);
 }
@@ -327,12 +332,12 @@
 static void quarantine_harmless_request(struct cw_quarantine *one, struct cw_quarantine *other)
 {
 	for (int server = 1; server <= 3; server++) {
-		struct cw_quarantine_request shared = bed_request(HARMLESS, "others");
+		struct cw_quarantine_request shared = fixture_make_request(HARMLESS, "others");
 
-		bed_crash_server(one, POISON, server, NOW + server * 50);
+		fixture_crash_server(one, POISON, server, NOW + server * 50);
 		cw_quarantine_note_break(one, &shared, server, 5, 0, NOW + server * 50);
 	}
-	bed_exchange(one, other, NOW + 200, NOW + 8000);
+	fixture_exchange(one, other, NOW + 200, NOW + 8000);
 	assert_true(cw_quarantine_contains(other, HARMLESS));
 }
 
@@ -346,14 +351,14 @@
 	struct cw_quarantine *other = cw_quarantine_create();
 
 	quarantine_harmless_request(one, other);
-	bed_crash_server(one, POISON, 4, NOW + 8000);
-	bed_exchange(one, other, NOW + 8100, NOW + 9500);
+	fixture_crash_server(one, POISON, 4, NOW + 8000);
+	fixture_exchange(one, other, NOW + 8100, NOW + 9500);
 	assert_true(cw_quarantine_contains(one, POISON));
 	assert_true(cw_quarantine_contains(other, POISON));
 	assert_true(cw_quarantine_wants_trial(other, HARMLESS, NOW + 9500));
 	cw_quarantine_begin_trial(other, HARMLESS, NOW + 9500);
 	cw_quarantine_note_answer(other, HARMLESS, 5, 100, NOW + 9600);
-	bed_exchange(other, one, NOW + 9600, NOW + 11500);
+	fixture_exchange(other, one, NOW + 9600, NOW + 11500);
 	assert_false(cw_quarantine_contains(one, HARMLESS));
 	assert_false(cw_quarantine_contains(other, HARMLESS));
 	assert_true(cw_quarantine_contains(one, POISON));
@@ -373,8 +378,8 @@
 
 	quarantine_harmless_request(one, other);
 	for (int server = 4; server <= 6; server++)
-		bed_crash_server(one, POISON, server, NOW + server * 2000);
-	bed_exchange(one, other, NOW + 12100, NOW + 14000);
+		fixture_crash_server(one, POISON, server, NOW + server * 2000);
+	fixture_exchange(one, other, NOW + 12100, NOW + 14000);
 	assert_true(cw_quarantine_contains(one, HARMLESS));
 	assert_true(cw_quarantine_contains(other, HARMLESS));
 	cw_quarantine_destroy(one);
@@ -388,14 +393,14 @@
 {
 	struct cw_quarantine *one = cw_quarantine_create();
 	struct cw_quarantine *other = cw_quarantine_create();
-	struct cw_quarantine_request retry = bed_request(HARMLESS, "others");
+	struct cw_quarantine_request retry = fixture_make_request(HARMLESS, "others");
 
 	quarantine_harmless_request(one, other);
 	cw_quarantine_begin_trial(one, HARMLESS, NOW + 8000);
 	assert_false(cw_quarantine_wants_trial(one, HARMLESS, NOW + 8000));
 	cw_quarantine_note_break(one, &retry, 7, 100, 0, NOW + 8200);
 	cw_quarantine_note_unreachable(one, 7, NOW + 8200);
-	bed_exchange(one, other, NOW + 8200, NOW + 30000);
+	fixture_exchange(one, other, NOW + 8200, NOW + 30000);
 	assert_true(cw_quarantine_contains(one, HARMLESS));
 	assert_true(cw_quarantine_contains(other, HARMLESS));
 	assert_false(cw_quarantine_wants_trial(one, HARMLESS, NOW + 30000));
@@ -420,35 +425,35 @@
 }
 
 /*
- * A request that was in a crash alone is not released because a bystander takes part in later
- * crashes.
+ * A request that was the only one in a crash is not released because a bystander takes part in
+ * later crashes.
  */
 static void bystanders_of_later_crashes_release_no_request(void **state)
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 
 	for (int server = 1; server <= 3; server++) {
-		bed_crash_server(quarantine, POISON, server, NOW + server * 50);
+		fixture_crash_server(quarantine, POISON, server, NOW + server * 50);
 		if (server > 1)
-			bed_crash_server(quarantine, HARMLESS, server, NOW + server * 50);
+			fixture_crash_server(quarantine, HARMLESS, server, NOW + server * 50);
 	}
-	bed_run_ticks(quarantine, NOW + 200, NOW + 8000);
+	fixture_run_ticks(quarantine, NOW + 200, NOW + 8000);
 	for (int server = 4; server <= 5; server++)
-		bed_crash_server(quarantine, HARMLESS, server, NOW + server * 2000);
-	bed_run_ticks(quarantine, NOW + 10000, NOW + 12000);
+		fixture_crash_server(quarantine, HARMLESS, server, NOW + server * 2000);
+	fixture_run_ticks(quarantine, NOW + 10000, NOW + 12000);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
 	cw_quarantine_destroy(quarantine);
 }
 
-/* A good version of an engine is not blamed for a crash caused by a quarantined request. */
+/* A crash caused by a quarantined request is no evidence against the engine's version. */
 static void a_crash_under_a_quarantined_request_is_no_fault_of_the_version(void **state)
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 
-	bed_crash_server(quarantine, POISON, 1, NOW);
-	bed_crash_server(quarantine, POISON, 2, NOW + 100);
+	fixture_crash_server(quarantine, POISON, 1, NOW);
+	fixture_crash_server(quarantine, POISON, 2, NOW + 100);
 	assert_false(cw_quarantine_explains_crash(quarantine, 2, NOW + 100));
-	bed_crash_server(quarantine, POISON, 3, NOW + 200);
+	fixture_crash_server(quarantine, POISON, 3, NOW + 200);
 	assert_true(cw_quarantine_explains_crash(quarantine, 3, NOW + 200));
 	assert_false(cw_quarantine_explains_crash(quarantine, 4, NOW + 200));
 	cw_quarantine_destroy(quarantine);
--- a/tests/unit/test_quarantine_causes.c
+++ b/tests/unit/test_quarantine_causes.c
@@ -56,7 +56,7 @@
 
 static struct cw_quarantine_request make_request(uint64_t body)
 {
-	return bed_request(body, body < SHARED_BODY ? "museo" : "others");
+	return fixture_make_request(body, body < SHARED_BODY ? "museo" : "others");
 }
 
 static void crash_server(struct simulation *simulation, size_t server)
@@ -170,8 +170,8 @@
 		for (size_t j = 0; j < INSTANCES; j++)
 			if (i != j && !is_partitioned(simulation, i) &&
 			    !is_partitioned(simulation, j))
-				bed_announce(simulation->instances[i], simulation->instances[j],
-					     simulation->now_ms);
+				fixture_announce(simulation->instances[i], simulation->instances[j],
+						 simulation->now_ms);
 	}
 }
 
--- a/tests/unit/test_quarantine_peers.c
+++ b/tests/unit/test_quarantine_peers.c
@@ -11,20 +11,20 @@
 	struct cw_quarantine *other = cw_quarantine_create();
 
 	cw_quarantine_note_answer(other, HARMLESS, 7, 50, NOW + 200);
-	bed_crash_server(one, HARMLESS, 1, NOW);
-	bed_crash_server(one, HARMLESS, 2, NOW + 100);
-	bed_announce(one, other, NOW + 250);
-	bed_run_ticks(other, NOW + 250, NOW + 1250);
-	bed_announce(other, one, NOW + 1260);
-	bed_crash_server(one, HARMLESS, 3, NOW + 1300);
-	bed_run_ticks(one, NOW + 1300, NOW + 1300 + DECISION_MS);
+	fixture_crash_server(one, HARMLESS, 1, NOW);
+	fixture_crash_server(one, HARMLESS, 2, NOW + 100);
+	fixture_announce(one, other, NOW + 250);
+	fixture_run_ticks(other, NOW + 250, NOW + 1250);
+	fixture_announce(other, one, NOW + 1260);
+	fixture_crash_server(one, HARMLESS, 3, NOW + 1300);
+	fixture_run_ticks(one, NOW + 1300, NOW + 1300 + DECISION_MS);
 	assert_false(cw_quarantine_contains(one, HARMLESS));
 	cw_quarantine_destroy(one);
 	cw_quarantine_destroy(other);
 }
 
 /*
- * Symptom: fifty-four servers crashed under one request. Each retry reached another instance, so
+ * Guards against a request that crashed fifty-four servers: each retry reached another instance, so
  * that none of them saw three crashes, and the instances did not announce crashes to each other.
  */
 static void crashes_seen_by_several_instances_add_up(void **state)
@@ -34,12 +34,12 @@
 	for (int i = 0; i < 4; i++)
 		all[i] = cw_quarantine_create();
 	for (int i = 0; i < 3; i++)
-		bed_crash_server(all[i], POISON, (uint64_t)i + 1, NOW + i * 100);
+		fixture_crash_server(all[i], POISON, (uint64_t)i + 1, NOW + i * 100);
 	for (int64_t now_ms = NOW + 200; now_ms <= NOW + DECISION_MS; now_ms += 150)
 		for (int i = 0; i < 4; i++) {
 			for (int j = 0; j < 4; j++)
 				if (i != j)
-					bed_announce(all[i], all[j], now_ms);
+					fixture_announce(all[i], all[j], now_ms);
 			cw_quarantine_tick(all[i], now_ms);
 		}
 	for (int i = 0; i < 4; i++) {
@@ -59,14 +59,14 @@
 	struct cw_quarantine_record record;
 
 	for (int server = 1; server <= 3; server++)
-		bed_crash_server(one, POISON, server, NOW + server);
+		fixture_crash_server(one, POISON, server, NOW + server);
 	assert_false(cw_quarantine_find_unwritten(one, NOW + 3, &record));
-	bed_run_ticks(one, NOW + 3, NOW + 20000);
+	fixture_run_ticks(one, NOW + 3, NOW + 20000);
 	assert_true(cw_quarantine_find_unwritten(one, NOW + 20000, &record));
 	assert_int_equal(record.fingerprint, POISON);
 	cw_quarantine_mark_written(one, POISON, 0, NOW + 20000);
 	assert_false(cw_quarantine_find_unwritten(one, NOW + 20000, &record));
-	bed_announce(one, other, NOW + 20000);
+	fixture_announce(one, other, NOW + 20000);
 	assert_true(cw_quarantine_contains(other, POISON));
 	assert_false(cw_quarantine_find_unwritten(other, NOW + 20000, &record));
 	cw_quarantine_destroy(one);
@@ -81,16 +81,16 @@
 	struct cw_quarantine_record record;
 
 	for (int server = 1; server <= 3; server++)
-		bed_crash_server(one, POISON, server, NOW + server);
-	bed_run_ticks(one, NOW + 3, NOW + DECISION_MS);
-	bed_announce(one, other, NOW + DECISION_MS);
+		fixture_crash_server(one, POISON, server, NOW + server);
+	fixture_run_ticks(one, NOW + 3, NOW + DECISION_MS);
+	fixture_announce(one, other, NOW + DECISION_MS);
 	assert_true(cw_quarantine_contains(other, POISON));
 	assert_true(cw_quarantine_release(one, POISON, NOW + 2000));
 	assert_false(cw_quarantine_release(one, POISON, NOW + 2000));
-	bed_announce(other, one, NOW + 2100);
-	bed_run_ticks(one, NOW + 2100, NOW + 2500);
+	fixture_announce(other, one, NOW + 2100);
+	fixture_run_ticks(one, NOW + 2100, NOW + 2500);
 	assert_false(cw_quarantine_contains(one, POISON));
-	bed_announce(one, other, NOW + 2600);
+	fixture_announce(one, other, NOW + 2600);
 	assert_false(cw_quarantine_contains(other, POISON));
 	assert_true(cw_quarantine_find_unwritten(one, NOW + 2600, &record));
 	assert_true(record.is_released);
@@ -98,31 +98,31 @@
 	cw_quarantine_destroy(other);
 }
 
-/* An instance without other requests on a server learns from a peer that the server is alive. */
+/* An instance with no other request on a server learns from a peer that the server is up. */
 static void a_sign_of_life_at_a_peer_disproves_a_crash(void **state)
 {
 	struct cw_quarantine *one = cw_quarantine_create();
 	struct cw_quarantine *other = cw_quarantine_create();
 
-	bed_run_ticks(other, NOW - 1000, NOW);
+	fixture_run_ticks(other, NOW - 1000, NOW);
 	for (int server = 1; server <= 3; server++) {
-		bed_crash_server(one, HARMLESS, server, NOW + server);
-		bed_announce(one, other, NOW + 50);
-		bed_run_ticks(other, NOW + 100, NOW + 200);
+		fixture_crash_server(one, HARMLESS, server, NOW + server);
+		fixture_announce(one, other, NOW + 50);
+		fixture_run_ticks(other, NOW + 100, NOW + 200);
 		cw_quarantine_note_received(other, server, NOW - 100, NOW + 200);
 	}
-	bed_announce(other, one, NOW + 250);
-	bed_announce(one, other, NOW + 260);
-	bed_announce(other, one, NOW + 270);
-	bed_run_ticks(one, NOW + 250, NOW + 250 + DECISION_MS);
-	assert_int_equal(bed_count_quarantined(one), 0);
-	assert_int_equal(bed_count_quarantined(other), 0);
+	fixture_announce(other, one, NOW + 250);
+	fixture_announce(one, other, NOW + 260);
+	fixture_announce(other, one, NOW + 270);
+	fixture_run_ticks(one, NOW + 250, NOW + 250 + DECISION_MS);
+	assert_int_equal(fixture_count_quarantined(one), 0);
+	assert_int_equal(fixture_count_quarantined(other), 0);
 	cw_quarantine_destroy(one);
 	cw_quarantine_destroy(other);
 }
 
 /*
- * Symptom: the fourth instance did not learn of the poison request in time. A hundred harmless
+ * Guards against an instance that learns of the poison request too late: a hundred harmless
  * requests were on the same servers, sixty of them on two. A message holds few crashes, and they
  * were announced in the order in which they were seen.
  */
@@ -136,8 +136,8 @@
 	for (int server = 1; server <= 3; server++) {
 		for (int i = 0; i < 60; i++)
 			if (server < 3)
-				bed_crash_server(one, HARMLESS + i, server, NOW + server * 50);
-		bed_crash_server(one, POISON, server, NOW + server * 50);
+				fixture_crash_server(one, HARMLESS + i, server, NOW + server * 50);
+		fixture_crash_server(one, POISON, server, NOW + server * 50);
 	}
 	count = cw_quarantine_announce_crashes(one, NOW + 200, crashes, CW_QUARANTINE_CRASHES_MAX);
 	assert_int_equal(count, CW_QUARANTINE_CRASHES_MAX);
@@ -148,8 +148,8 @@
 }
 
 /*
- * Symptom: bytes between failure domains doubled. A few requests are quarantined, and each of 195
- * instances announced all of them to eight others, seven times a second, for ten minutes.
+ * Guards against twice the bytes between failure domains: a few requests are quarantined, and each
+ * of 195 instances announced all of them to eight others, seven times a second, for ten minutes.
  */
 static void unchanged_records_take_turns_in_messages(void **state)
 {
@@ -159,16 +159,16 @@
 
 	for (uint64_t i = 0; i < 12; i++)
 		for (uint64_t j = 0; j < 3; j++)
-			bed_crash_server(one, HARMLESS + i, i * 3 + j, NOW + (int64_t)i);
-	bed_run_ticks(one, NOW + 12, NOW + DECISION_MS);
+			fixture_crash_server(one, HARMLESS + i, i * 3 + j, NOW + (int64_t)i);
+	fixture_run_ticks(one, NOW + 12, NOW + DECISION_MS);
 	assert_true(cw_quarantine_announce_records(one, NOW + DECISION_MS, records,
 						   CW_QUARANTINE_RECORDS_MAX) == 12);
 	assert_true(cw_quarantine_announce_records(one, NOW + 9000, records,
 						   CW_QUARANTINE_RECORDS_MAX) == 1);
 	/* An instance that starts now has the list after as many messages as there are records. */
 	for (int i = 0; i < 12; i++)
-		bed_announce(one, other, NOW + 9000 + i);
-	assert_int_equal(bed_count_quarantined(other), 12);
+		fixture_announce(one, other, NOW + 9000 + i);
+	assert_int_equal(fixture_count_quarantined(other), 12);
 	cw_quarantine_destroy(one);
 	cw_quarantine_destroy(other);
 }
--- a/tests/unit/test_rollout.c
+++ b/tests/unit/test_rollout.c
@@ -12,29 +12,29 @@
  */
 static void a_session_on_the_old_version_stays_there_until_it_expires(void **state)
 {
-	struct cw_rollouts *first = cw_rollouts_create(&rollout_bed_options);
-	struct cw_rollouts *second = rollout_bed_start(1000);
+	struct cw_rollouts *first = cw_rollouts_create(&rollout_fixture_options);
+	struct cw_rollouts *second = rollout_fixture_start(1000);
 	struct cw_rollout_announcement update;
 	uint64_t chosen = 0;
 
 	for (int i = 0; !chosen; i++)
-		if (rollout_bed_variant(second, rollout_bed_session(i), 4000) ==
+		if (rollout_fixture_variant(second, rollout_fixture_session(i), 4000) ==
 		    CW_ROLLOUT_VARIANT_NEW)
-			chosen = rollout_bed_session(i);
+			chosen = rollout_fixture_session(i);
 	cw_rollouts_record_dispatch(first, "llm", chosen, "v1", 900);
-	cw_rollouts_apply_order(first, &rollout_bed_order, 7, 1000);
-	assert_int_equal(rollout_bed_variant(first, chosen, 2500), CW_ROLLOUT_VARIANT_OLD);
+	cw_rollouts_apply_order(first, &rollout_fixture_order, 7, 1000);
+	assert_int_equal(rollout_fixture_variant(first, chosen, 2500), CW_ROLLOUT_VARIANT_OLD);
 	assert_int_equal(cw_rollouts_announce(first, 1100, &update, 1), 1);
 	assert_int_equal(update.session_count, 1);
 	cw_rollouts_merge(second, 1, &update, 1100);
-	assert_int_equal(rollout_bed_variant(second, chosen, 2500), CW_ROLLOUT_VARIANT_OLD);
+	assert_int_equal(rollout_fixture_variant(second, chosen, 2500), CW_ROLLOUT_VARIANT_OLD);
 	/* A third instance, which receives messages of the second one only, learns of the session
 	 * too. */
 	cw_rollouts_announce(second, 1200, &update, 1);
 	assert_int_equal(update.session_count, 1);
 	assert_int_equal(update.sessions[0].age_ms, 300);
 	/* After the idle time the session has ended, and a new one may run on the new version. */
-	assert_int_equal(rollout_bed_variant(second, chosen, 7000), CW_ROLLOUT_VARIANT_NEW);
+	assert_int_equal(rollout_fixture_variant(second, chosen, 7000), CW_ROLLOUT_VARIANT_NEW);
 	cw_rollouts_destroy(first);
 	cw_rollouts_destroy(second);
 }
@@ -48,29 +48,29 @@
  */
 static void a_session_on_the_last_target_stays_there_in_the_next_roll_out(void **state)
 {
-	static const struct cw_rollout_order next = {"llm", "v3", BED_DURATION_MS};
-	struct cw_rollouts *rollouts = rollout_bed_start(1000);
+	static const struct cw_rollout_order next = {"llm", "v3", ROLLOUT_DURATION_MS};
+	struct cw_rollouts *rollouts = rollout_fixture_start(1000);
 	struct cw_rollout_announcement update;
 	enum cw_rollout_state verdict;
 	uint64_t chosen = 0;
 
 	for (int i = 0; !chosen; i++)
-		if (rollout_bed_variant(rollouts, rollout_bed_session(i), 4000) ==
+		if (rollout_fixture_variant(rollouts, rollout_fixture_session(i), 4000) ==
 		    CW_ROLLOUT_VARIANT_NEW)
-			chosen = rollout_bed_session(i);
-	rollout_bed_pass_trial(rollouts, 900 + BED_DURATION_MS);
-	rollout_bed_evaluate(rollouts, 1000 + BED_DURATION_MS, &verdict);
+			chosen = rollout_fixture_session(i);
+	rollout_fixture_pass_trial(rollouts, 900 + ROLLOUT_DURATION_MS);
+	rollout_fixture_evaluate(rollouts, 1000 + ROLLOUT_DURATION_MS, &verdict);
 	assert_int_equal(verdict, CW_ROLLOUT_COMPLETED);
-	cw_rollouts_record_dispatch(rollouts, "llm", chosen, "v2", 1000 + BED_DURATION_MS);
-	cw_rollouts_apply_order(rollouts, &next, 8, 1100 + BED_DURATION_MS);
-	assert_int_equal(rollout_bed_variant(rollouts, chosen, 3000 + BED_DURATION_MS),
+	cw_rollouts_record_dispatch(rollouts, "llm", chosen, "v2", 1000 + ROLLOUT_DURATION_MS);
+	cw_rollouts_apply_order(rollouts, &next, 8, 1100 + ROLLOUT_DURATION_MS);
+	assert_int_equal(rollout_fixture_variant(rollouts, chosen, 3000 + ROLLOUT_DURATION_MS),
 			 CW_ROLLOUT_VARIANT_OLD);
-	cw_rollouts_announce(rollouts, 1200 + BED_DURATION_MS, &update, 1);
+	cw_rollouts_announce(rollouts, 1200 + ROLLOUT_DURATION_MS, &update, 1);
 	assert_int_equal(update.session_count, 1);
 	/* A request on v3 itself does not bind a session to the old version. */
-	cw_rollouts_record_dispatch(rollouts, "llm", rollout_bed_session(0), "v3",
-				    1200 + BED_DURATION_MS);
-	cw_rollouts_announce(rollouts, 1300 + BED_DURATION_MS, &update, 1);
+	cw_rollouts_record_dispatch(rollouts, "llm", rollout_fixture_session(0), "v3",
+				    1200 + ROLLOUT_DURATION_MS);
+	cw_rollouts_announce(rollouts, 1300 + ROLLOUT_DURATION_MS, &update, 1);
 	assert_int_equal(update.session_count, 1);
 	cw_rollouts_destroy(rollouts);
 }
@@ -84,17 +84,17 @@
  */
 static void a_caller_waiting_since_before_the_order_stays_on_the_old_version(void **state)
 {
-	struct cw_rollouts *rollouts = rollout_bed_start(1000);
+	struct cw_rollouts *rollouts = rollout_fixture_start(1000);
 	uint64_t chosen = 0;
 
 	for (int i = 0; !chosen; i++)
-		if (rollout_bed_variant(rollouts, rollout_bed_session(i), 4000) ==
+		if (rollout_fixture_variant(rollouts, rollout_fixture_session(i), 4000) ==
 		    CW_ROLLOUT_VARIANT_NEW)
-			chosen = rollout_bed_session(i);
+			chosen = rollout_fixture_session(i);
 	cw_rollouts_record_retry(rollouts, "llm", chosen, 1000, 4000);
-	assert_int_equal(rollout_bed_variant(rollouts, chosen, 4000), CW_ROLLOUT_VARIANT_NEW);
+	assert_int_equal(rollout_fixture_variant(rollouts, chosen, 4000), CW_ROLLOUT_VARIANT_NEW);
 	cw_rollouts_record_retry(rollouts, "llm", chosen, 900, 4000);
-	assert_int_equal(rollout_bed_variant(rollouts, chosen, 4000), CW_ROLLOUT_VARIANT_OLD);
+	assert_int_equal(rollout_fixture_variant(rollouts, chosen, 4000), CW_ROLLOUT_VARIANT_OLD);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -108,21 +108,23 @@
 {
 	static const struct cw_rollout_order usual = {"llm", "v2", 22000};
 	static const struct cw_rollout_order hasty = {"llm", "v2", 8000};
-	struct cw_rollouts *rollouts = cw_rollouts_create(&rollout_bed_options);
+	struct cw_rollouts *rollouts = cw_rollouts_create(&rollout_fixture_options);
 	enum cw_rollout_state verdict;
 
 	cw_rollouts_apply_order(rollouts, &usual, 1, 0);
-	assert_true(rollout_bed_share(rollouts, 16000) < 1);
-	rollout_bed_pass_trial(rollouts, 14380);
-	assert_true(rollout_bed_share(rollouts, 16099) < 1);
-	assert_true(rollout_bed_share(rollouts, 16100) == 1);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 16000 + BED_SESSION_MS, &verdict), 0);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 16100 + BED_SESSION_MS, &verdict), 1);
+	assert_true(rollout_fixture_share(rollouts, 16000) < 1);
+	rollout_fixture_pass_trial(rollouts, 14380);
+	assert_true(rollout_fixture_share(rollouts, 16099) < 1);
+	assert_true(rollout_fixture_share(rollouts, 16100) == 1);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 16000 + ROLLOUT_SESSION_MS, &verdict),
+			 0);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 16100 + ROLLOUT_SESSION_MS, &verdict),
+			 1);
 	/* With less time than the idle time, the ordered duration takes precedence. */
 	cw_rollouts_apply_order(rollouts, &hasty, 2, 20000);
-	rollout_bed_pass_trial(rollouts, 26000);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 27600, &verdict), 0);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 27900, &verdict), 1);
+	rollout_fixture_pass_trial(rollouts, 26000);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 27600, &verdict), 0);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 27900, &verdict), 1);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -139,22 +141,22 @@
 	enum cw_rollout_state verdict;
 
 	for (int i = 0; i < 3; i++) {
-		rollouts[i] = rollout_bed_start(1000);
-		rollout_bed_answer(rollouts[i], "v1", 40, 0, 3000);
-		rollout_bed_answer(rollouts[i], "v2", 1, 1, 3000);
-		assert_int_equal(rollout_bed_evaluate(rollouts[i], 3000, &verdict), 0);
+		rollouts[i] = rollout_fixture_start(1000);
+		rollout_fixture_answer(rollouts[i], "v1", 40, 0, 3000);
+		rollout_fixture_answer(rollouts[i], "v2", 1, 1, 3000);
+		assert_int_equal(rollout_fixture_evaluate(rollouts[i], 3000, &verdict), 0);
 	}
 	for (int i = 1; i < 3; i++) {
 		cw_rollouts_announce(rollouts[i], 3000, &update, 1);
 		cw_rollouts_merge(rollouts[0], (uint64_t)i, &update, 3000);
 	}
-	assert_int_equal(rollout_bed_evaluate(rollouts[0], 3000, &verdict), 1);
+	assert_int_equal(rollout_fixture_evaluate(rollouts[0], 3000, &verdict), 1);
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
-	assert_true(rollout_bed_share(rollouts[0], 4000) == 0);
+	assert_true(rollout_fixture_share(rollouts[0], 4000) == 0);
 	/* The peers merge the verdict and stop at once. */
 	cw_rollouts_announce(rollouts[0], 3000, &update, 1);
 	assert_int_equal(cw_rollouts_merge(rollouts[1], 9, &update, 3000), 1);
-	assert_true(rollout_bed_share(rollouts[1], 4000) == 0);
+	assert_true(rollout_fixture_share(rollouts[1], 4000) == 0);
 	for (int i = 0; i < 3; i++)
 		cw_rollouts_destroy(rollouts[i]);
 }
@@ -166,30 +168,30 @@
  */
 static void a_fault_of_both_versions_rolls_back_neither(void **state)
 {
-	struct cw_rollouts *rollouts = rollout_bed_start(1000);
+	struct cw_rollouts *rollouts = rollout_fixture_start(1000);
 	enum cw_rollout_state verdict;
 
-	rollout_bed_answer(rollouts, "v1", 70, 30, 5000);
-	rollout_bed_answer(rollouts, "v2", 7, 4, 5000);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 5000, &verdict), 0);
+	rollout_fixture_answer(rollouts, "v1", 70, 30, 5000);
+	rollout_fixture_answer(rollouts, "v2", 7, 4, 5000);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 5000, &verdict), 0);
 	cw_rollouts_destroy(rollouts);
 }
 
 static void a_version_that_turns_bad_late_is_rolled_back(void **state)
 {
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict;
 
 	for (int second = 2; second < 12; second++) {
-		rollout_bed_answer(rollouts, "v1", 45, 0, second * 1000);
-		rollout_bed_answer(rollouts, "v2", 5, 0, second * 1000);
-		assert_int_equal(rollout_bed_evaluate(rollouts, second * 1000, &verdict), 0);
+		rollout_fixture_answer(rollouts, "v1", 45, 0, second * 1000);
+		rollout_fixture_answer(rollouts, "v2", 5, 0, second * 1000);
+		assert_int_equal(rollout_fixture_evaluate(rollouts, second * 1000, &verdict), 0);
 	}
 	for (int second = 12; second < 15; second++) {
-		rollout_bed_answer(rollouts, "v1", 45, 0, second * 1000);
-		rollout_bed_answer(rollouts, "v2", 2, 3, second * 1000);
+		rollout_fixture_answer(rollouts, "v1", 45, 0, second * 1000);
+		rollout_fixture_answer(rollouts, "v2", 2, 3, second * 1000);
 	}
-	assert_int_equal(rollout_bed_evaluate(rollouts, 14000, &verdict), 1);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 14000, &verdict), 1);
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
@@ -202,14 +204,14 @@
 static void rare_failures_accumulate_over_the_first_half(void **state)
 {
 	struct cw_rollout_answer rare = {.software = "v2", .route = 9};
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict = CW_ROLLOUT_RUNNING;
 
-	rollout_bed_answer(rollouts, "v1", 200, 0, 1000);
+	rollout_fixture_answer(rollouts, "v1", 200, 0, 1000);
 	for (int second = 2; second < 12 && verdict != CW_ROLLOUT_ROLLED_BACK; second++) {
-		rollout_bed_answer_kind(rollouts, rare, second % 3 == 0, second % 3 != 0,
-					second * 1000);
-		rollout_bed_evaluate(rollouts, second * 1000, &verdict);
+		rollout_fixture_answer_kind(rollouts, rare, second % 3 == 0, second % 3 != 0,
+					    second * 1000);
+		rollout_fixture_evaluate(rollouts, second * 1000, &verdict);
 	}
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
@@ -217,16 +219,16 @@
 
 static void a_version_that_is_bad_on_one_route_only_is_rolled_back(void **state)
 {
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict;
 
-	rollout_bed_answer(rollouts, "v1", 200, 0, 4000);
-	rollout_bed_answer(rollouts, "v2", 60, 0, 4000);
-	rollout_bed_answer_kind(rollouts, (struct cw_rollout_answer){.software = "v1", .route = 2},
-				60, 0, 4000);
-	rollout_bed_answer_kind(rollouts, (struct cw_rollout_answer){.software = "v2", .route = 2},
-				2, 3, 4000);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 4000, &verdict), 1);
+	rollout_fixture_answer(rollouts, "v1", 200, 0, 4000);
+	rollout_fixture_answer(rollouts, "v2", 60, 0, 4000);
+	rollout_fixture_answer_kind(
+		rollouts, (struct cw_rollout_answer){.software = "v1", .route = 2}, 60, 0, 4000);
+	rollout_fixture_answer_kind(
+		rollouts, (struct cw_rollout_answer){.software = "v2", .route = 2}, 2, 3, 4000);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 4000, &verdict), 1);
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
@@ -240,21 +242,21 @@
  */
 static void a_version_that_is_bad_only_on_full_servers_is_rolled_back(void **state)
 {
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict;
 
-	rollout_bed_answer(rollouts, "v1", 400, 4, 13000);
-	rollout_bed_answer(rollouts, "v2", 60, 0, 13000);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 13000, &verdict), 0);
+	rollout_fixture_answer(rollouts, "v1", 400, 4, 13000);
+	rollout_fixture_answer(rollouts, "v2", 60, 0, 13000);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 13000, &verdict), 0);
 	assert_false(cw_rollouts_needs_load_trial(rollouts, "llm", 12400));
 	assert_true(cw_rollouts_needs_load_trial(rollouts, "llm", 12500));
-	rollout_bed_answer_kind(
+	rollout_fixture_answer_kind(
 		rollouts, (struct cw_rollout_answer){.software = "v2", .is_loaded = 1, .route = 1},
 		2, 3, 14000);
-	rollout_bed_answer_kind(
+	rollout_fixture_answer_kind(
 		rollouts, (struct cw_rollout_answer){.software = "v2", .is_loaded = 1, .route = 2},
 		2, 3, 14000);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 14000, &verdict), 1);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 14000, &verdict), 1);
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
@@ -263,17 +265,17 @@
 static void a_trial_under_load_ends_with_sufficient_evidence(void **state)
 {
 	struct cw_rollout_answer full = {.software = "v2", .is_loaded = 1, .route = 1};
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict;
 
-	rollout_bed_answer(rollouts, "v1", 400, 4, 14000);
+	rollout_fixture_answer(rollouts, "v1", 400, 4, 14000);
 	/* Of versions that fail 30 % of their answers, 1 in 10 passes 7 answers, 1 in 100
 	 * passes 13. */
-	rollout_bed_answer_kind(rollouts, full, 11, 0, 14000);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 14000, &verdict), 0);
+	rollout_fixture_answer_kind(rollouts, full, 11, 0, 14000);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 14000, &verdict), 0);
 	assert_true(cw_rollouts_needs_load_trial(rollouts, "llm", 14000));
-	rollout_bed_answer_kind(rollouts, full, 5, 0, 14000);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 14000, &verdict), 0);
+	rollout_fixture_answer_kind(rollouts, full, 5, 0, 14000);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 14000, &verdict), 0);
 	assert_false(cw_rollouts_needs_load_trial(rollouts, "llm", 14000));
 	cw_rollouts_destroy(rollouts);
 }
@@ -287,31 +289,34 @@
  */
 static void a_version_without_a_trial_under_load_is_rolled_back(void **state)
 {
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict;
 
-	rollout_bed_answer(rollouts, "v2", 200, 0, 18000);
-	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS * 85 / 100, &verdict), 0);
-	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS * 87 / 100, &verdict), 1);
+	rollout_fixture_answer(rollouts, "v2", 200, 0, 18000);
+	assert_int_equal(
+		rollout_fixture_evaluate(rollouts, ROLLOUT_DURATION_MS * 85 / 100, &verdict), 0);
+	assert_int_equal(
+		rollout_fixture_evaluate(rollouts, ROLLOUT_DURATION_MS * 87 / 100, &verdict), 1);
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
 static void a_trial_ends_before_the_exposure_is_spent(void **state)
 {
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
-	int64_t now_ms = BED_DURATION_MS * 6 / 10;
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
+	int64_t now_ms = ROLLOUT_DURATION_MS * 6 / 10;
 	enum cw_rollout_state verdict;
 
 	/* 1,000 requests by 0.6 of the duration predict 1,667: 250 + 30 may be exposed, 85 % are
 	 * 238. */
 	for (int i = 0; i < 1000; i++)
-		cw_rollouts_record_dispatch(rollouts, "llm", rollout_bed_session(i),
+		cw_rollouts_record_dispatch(rollouts, "llm", rollout_fixture_session(i),
 					    i < 230 ? "v2" : "v1", now_ms);
-	assert_int_equal(rollout_bed_evaluate(rollouts, now_ms, &verdict), 0);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, now_ms, &verdict), 0);
 	for (int i = 0; i < 20; i++)
-		cw_rollouts_record_dispatch(rollouts, "llm", rollout_bed_session(i), "v2", now_ms);
-	assert_int_equal(rollout_bed_evaluate(rollouts, now_ms, &verdict), 1);
+		cw_rollouts_record_dispatch(rollouts, "llm", rollout_fixture_session(i), "v2",
+					    now_ms);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, now_ms, &verdict), 1);
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
@@ -324,24 +329,24 @@
  */
 static void a_burst_does_not_raise_the_allowed_exposure(void **state)
 {
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict = CW_ROLLOUT_RUNNING;
 	int sent = 0;
 	int64_t now_ms;
 
 	/* 100 per second for 8 s, then 20: 1,120 in all, so 198 may go to the target. */
-	for (now_ms = 0; now_ms < BED_DURATION_MS * 6 / 10; now_ms += 100) {
+	for (now_ms = 0; now_ms < ROLLOUT_DURATION_MS * 6 / 10; now_ms += 100) {
 		for (int i = 0; i < (now_ms < 8000 ? 10 : 2); i++, sent++)
-			cw_rollouts_record_dispatch(rollouts, "llm", rollout_bed_session(sent),
+			cw_rollouts_record_dispatch(rollouts, "llm", rollout_fixture_session(sent),
 						    sent % 20 < 3 ? "v2" : "v1", now_ms);
-		rollout_bed_evaluate(rollouts, now_ms, &verdict);
+		rollout_fixture_evaluate(rollouts, now_ms, &verdict);
 		assert_int_equal(verdict, CW_ROLLOUT_RUNNING);
 	}
 	for (int to_new = sent * 3 / 20; verdict == CW_ROLLOUT_RUNNING; to_new++) {
 		assert_true(to_new < 198);
-		cw_rollouts_record_dispatch(rollouts, "llm", rollout_bed_session(to_new), "v2",
+		cw_rollouts_record_dispatch(rollouts, "llm", rollout_fixture_session(to_new), "v2",
 					    now_ms);
-		rollout_bed_evaluate(rollouts, now_ms, &verdict);
+		rollout_fixture_evaluate(rollouts, now_ms, &verdict);
 	}
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
@@ -358,15 +363,15 @@
 {
 	struct cw_rollout_answer old = {.software = "v1", .route = 5};
 	struct cw_rollout_answer new = {.software = "v2", .route = 5};
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict;
 
-	rollout_bed_answer(rollouts, "v1", 200, 0, 8000);
-	rollout_bed_answer_kind(rollouts, old, 40, 20, 8000);
-	rollout_bed_pass_trial(rollouts, 14000);
+	rollout_fixture_answer(rollouts, "v1", 200, 0, 8000);
+	rollout_fixture_answer_kind(rollouts, old, 40, 20, 8000);
+	rollout_fixture_pass_trial(rollouts, 14000);
 	for (int second = 17; second < 22; second++) {
-		rollout_bed_answer_kind(rollouts, new, 4, 2, second * 1000);
-		assert_int_equal(rollout_bed_evaluate(rollouts, second * 1000, &verdict), 0);
+		rollout_fixture_answer_kind(rollouts, new, 4, 2, second * 1000);
+		assert_int_equal(rollout_fixture_evaluate(rollouts, second * 1000, &verdict), 0);
 	}
 	cw_rollouts_destroy(rollouts);
 }
@@ -379,37 +384,39 @@
 {
 	struct cw_rollout_answer slow = {
 		.service = "llm", .software = "v2", .route = 1, .is_slow = 1};
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict;
 
-	rollout_bed_answer(rollouts, "v1", 200, 0, 12600);
+	rollout_fixture_answer(rollouts, "v1", 200, 0, 12600);
 	for (int i = 0; i < 20; i++)
 		cw_rollouts_record_answer(rollouts, &slow, 12600);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 12600, &verdict), 0);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 12600, &verdict), 0);
 	cw_rollouts_destroy(rollouts);
-	rollouts = rollout_bed_start(0);
-	rollout_bed_answer(rollouts, "v1", 200, 0, 12400);
+	rollouts = rollout_fixture_start(0);
+	rollout_fixture_answer(rollouts, "v1", 200, 0, 12400);
 	for (int i = 0; i < 20; i++)
 		cw_rollouts_record_answer(rollouts, &slow, 12400);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 12400, &verdict), 1);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 12400, &verdict), 1);
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
 }
 
 static void a_good_version_is_completed_in_time_and_published_once(void **state)
 {
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	struct cw_rollout_status status = {"llm", "v2", CW_ROLLOUT_COMPLETED};
 	enum cw_rollout_state verdict;
 
-	rollout_bed_answer(rollouts, "v2", 100, 1, 15000);
-	rollout_bed_pass_trial(rollouts, 15000);
-	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS * 8 / 10, &verdict), 0);
-	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS * 95 / 100, &verdict), 1);
+	rollout_fixture_answer(rollouts, "v2", 100, 1, 15000);
+	rollout_fixture_pass_trial(rollouts, 15000);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, ROLLOUT_DURATION_MS * 8 / 10, &verdict),
+			 0);
+	assert_int_equal(
+		rollout_fixture_evaluate(rollouts, ROLLOUT_DURATION_MS * 95 / 100, &verdict), 1);
 	assert_int_equal(verdict, CW_ROLLOUT_COMPLETED);
 	assert_int_equal(cw_rollouts_apply_status(rollouts, &status), 1);
-	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS, &verdict), 0);
-	assert_int_equal(rollout_bed_variant(rollouts, rollout_bed_session(1), 99000),
+	assert_int_equal(rollout_fixture_evaluate(rollouts, ROLLOUT_DURATION_MS, &verdict), 0);
+	assert_int_equal(rollout_fixture_variant(rollouts, rollout_fixture_session(1), 99000),
 			 CW_ROLLOUT_VARIANT_NEW);
 	cw_rollouts_destroy(rollouts);
 }
@@ -417,18 +424,18 @@
 /* The published status wins, also at an instance with another verdict or a recent start. */
 static void the_published_status_overrides_the_local_verdict(void **state)
 {
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	struct cw_rollout_status status = {"llm", "v2", CW_ROLLOUT_ROLLED_BACK};
 	enum cw_rollout_state verdict;
 
-	rollout_bed_pass_trial(rollouts, 20000);
-	assert_int_equal(rollout_bed_evaluate(rollouts, BED_DURATION_MS, &verdict), 1);
+	rollout_fixture_pass_trial(rollouts, 20000);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, ROLLOUT_DURATION_MS, &verdict), 1);
 	assert_int_equal(verdict, CW_ROLLOUT_COMPLETED);
 	cw_rollouts_apply_status(rollouts, &status);
-	assert_int_equal(rollout_bed_variant(rollouts, rollout_bed_session(1), 99000),
+	assert_int_equal(rollout_fixture_variant(rollouts, rollout_fixture_session(1), 99000),
 			 CW_ROLLOUT_VARIANT_OLD);
-	assert_int_equal(cw_rollouts_apply_order(rollouts, &rollout_bed_order, 7, 99000), 0);
-	assert_int_equal(cw_rollouts_apply_order(rollouts, &rollout_bed_order, 8, 99000), 1);
+	assert_int_equal(cw_rollouts_apply_order(rollouts, &rollout_fixture_order, 7, 99000), 0);
+	assert_int_equal(cw_rollouts_apply_order(rollouts, &rollout_fixture_order, 8, 99000), 1);
 	cw_rollouts_destroy(rollouts);
 }
 
@@ -441,16 +448,16 @@
  */
 static void a_status_may_be_read_before_its_order(void **state)
 {
-	struct cw_rollouts *rollouts = cw_rollouts_create(&rollout_bed_options);
+	struct cw_rollouts *rollouts = cw_rollouts_create(&rollout_fixture_options);
 	struct cw_rollout_status status = {"llm", "v2", CW_ROLLOUT_COMPLETED};
-	struct cw_rollout_order next = {"llm", "v3", BED_DURATION_MS};
+	struct cw_rollout_order next = {"llm", "v3", ROLLOUT_DURATION_MS};
 
 	assert_int_equal(cw_rollouts_apply_status(rollouts, &status), 1);
-	cw_rollouts_apply_order(rollouts, &rollout_bed_order, 7, 1000);
-	assert_int_equal(rollout_bed_variant(rollouts, rollout_bed_session(1), 2500),
+	cw_rollouts_apply_order(rollouts, &rollout_fixture_order, 7, 1000);
+	assert_int_equal(rollout_fixture_variant(rollouts, rollout_fixture_session(1), 2500),
 			 CW_ROLLOUT_VARIANT_NEW);
 	cw_rollouts_apply_order(rollouts, &next, 8, 3000);
-	assert_int_equal(rollout_bed_variant(rollouts, rollout_bed_session(1), 3500),
+	assert_int_equal(rollout_fixture_variant(rollouts, rollout_fixture_session(1), 3500),
 			 CW_ROLLOUT_VARIANT_OLD);
 	cw_rollouts_destroy(rollouts);
 }
--- a/tests/unit/test_rollout_match.c
+++ b/tests/unit/test_rollout_match.c
@@ -25,12 +25,12 @@
 		int fails = i < traffic->old_fails_of_ten;
 		int due = traffic->new_answers * (i + 1) / 10 - traffic->new_answers * i / 10;
 
-		rollout_bed_answer_kind(rollouts, old, !fails, fails, now_ms);
+		rollout_fixture_answer_kind(rollouts, old, !fails, fails, now_ms);
 		for (int j = 0; j < due; j++, target_answers++)
-			rollout_bed_answer_kind(rollouts, new,
-						target_answers % 3 >= traffic->new_fails,
-						target_answers % 3 < traffic->new_fails, now_ms);
-		rollout_bed_evaluate(rollouts, now_ms, verdict);
+			rollout_fixture_answer_kind(
+				rollouts, new, target_answers % 3 >= traffic->new_fails,
+				target_answers % 3 < traffic->new_fails, now_ms);
+		rollout_fixture_evaluate(rollouts, now_ms, verdict);
 	}
 }
 
@@ -49,7 +49,7 @@
 	static const struct traffic calm = {0, 1, 0};
 	static const struct traffic faulty = {6, 1, 0};
 	static const struct traffic bad = {0, 3, 1};
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict = CW_ROLLOUT_RUNNING;
 	int before;
 
@@ -69,7 +69,7 @@
 {
 	static const struct traffic calm = {0, 3, 0};
 	static const struct traffic faulty = {7, 3, 3};
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict = CW_ROLLOUT_RUNNING;
 
 	target_answers = 0;
@@ -84,8 +84,8 @@
 {
 	struct cw_rollout_answer old = {.software = "v1", .route = ROUTE};
 	struct cw_rollout_answer new = {.software = "v2", .route = ROUTE};
-	struct cw_rollouts *peers[3] = {rollout_bed_start(0), rollout_bed_start(0),
-					rollout_bed_start(0)};
+	struct cw_rollouts *peers[3] = {rollout_fixture_start(0), rollout_fixture_start(0),
+					rollout_fixture_start(0)};
 	struct cw_rollout_announcement update;
 	enum cw_rollout_state verdict = CW_ROLLOUT_RUNNING;
 	int64_t now_ms;
@@ -93,22 +93,22 @@
 	/* One failure and two good answers at each of two peers, announced again for 6 s. */
 	for (now_ms = 0; now_ms < 8000; now_ms += ANNOUNCE_MS) {
 		for (int i = 1; i < 3; i++) {
-			rollout_bed_answer_kind(peers[i], old, 1, 0, now_ms);
+			rollout_fixture_answer_kind(peers[i], old, 1, 0, now_ms);
 			if (now_ms == 2000)
-				rollout_bed_answer_kind(peers[i], new, 2, 1, now_ms);
+				rollout_fixture_answer_kind(peers[i], new, 2, 1, now_ms);
 			cw_rollouts_announce(peers[i], now_ms, &update, 1);
 			cw_rollouts_merge(peers[0], (uint64_t)i, &update, now_ms);
 			cw_rollouts_merge(peers[0], (uint64_t)i, &update, now_ms);
 		}
-		rollout_bed_evaluate(peers[0], now_ms, &verdict);
+		rollout_fixture_evaluate(peers[0], now_ms, &verdict);
 	}
 	assert_int_equal(verdict, CW_ROLLOUT_RUNNING);
 	for (int i = 1; i < 3; i++) {
-		rollout_bed_answer_kind(peers[i], new, 1, 3, now_ms);
+		rollout_fixture_answer_kind(peers[i], new, 1, 3, now_ms);
 		cw_rollouts_announce(peers[i], now_ms, &update, 1);
 		cw_rollouts_merge(peers[0], (uint64_t)i, &update, now_ms);
 	}
-	rollout_bed_evaluate(peers[0], now_ms + 1000, &verdict);
+	rollout_fixture_evaluate(peers[0], now_ms + 1000, &verdict);
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	for (int i = 0; i < 3; i++)
 		cw_rollouts_destroy(peers[i]);
--- a/tests/unit/test_rollout_slow.c
+++ b/tests/unit/test_rollout_slow.c
@@ -15,20 +15,20 @@
 {
 	struct cw_rollout_answer old = {.software = "v1", .route = 1};
 	struct cw_rollout_answer new = {.software = "v2", .route = 1};
-	struct cw_rollouts *rollouts = rollout_bed_start(0);
+	struct cw_rollouts *rollouts = rollout_fixture_start(0);
 	enum cw_rollout_state verdict = CW_ROLLOUT_RUNNING;
 	int answers = 0;
 
-	rollout_bed_answer_kind(rollouts, old, 600, 0, 4000);
-	rollout_bed_answer_kind(rollouts, new, 15, 0, 4000);
+	rollout_fixture_answer_kind(rollouts, old, 600, 0, 4000);
+	rollout_fixture_answer_kind(rollouts, new, 15, 0, 4000);
 	old.is_slow = new.is_slow = 1;
-	rollout_bed_answer_kind(rollouts, old, 57, 0, 4000);
-	rollout_bed_answer_kind(rollouts, new, 11, 0, 4200);
-	assert_int_equal(rollout_bed_evaluate(rollouts, 4200, &verdict), 0);
+	rollout_fixture_answer_kind(rollouts, old, 57, 0, 4000);
+	rollout_fixture_answer_kind(rollouts, new, 11, 0, 4200);
+	assert_int_equal(rollout_fixture_evaluate(rollouts, 4200, &verdict), 0);
 	/* A version whose answers are all slow is still detected by a dozen further answers. */
 	for (; verdict != CW_ROLLOUT_ROLLED_BACK && answers < 12; answers++) {
-		rollout_bed_answer_kind(rollouts, new, 1, 0, 5000 + answers * 100);
-		rollout_bed_evaluate(rollouts, 5000 + answers * 100, &verdict);
+		rollout_fixture_answer_kind(rollouts, new, 1, 0, 5000 + answers * 100);
+		rollout_fixture_evaluate(rollouts, 5000 + answers * 100, &verdict);
 	}
 	assert_int_equal(verdict, CW_ROLLOUT_ROLLED_BACK);
 	cw_rollouts_destroy(rollouts);
--- a/tests/unit/test_warmup.c
+++ b/tests/unit/test_warmup.c
@@ -48,7 +48,7 @@
 	assert_int_equal(cw_warmup_quota(&rate, &(struct cw_warmup_place){0, 0}), 0);
 }
 
-/* A report of being warm from before an absence may be that of an earlier start. */
+/* The last report before a server was unreachable may come from an earlier start. */
 static void a_server_that_was_unreachable_counts_as_cold(void **state)
 {
 	struct cw_warmup warmup = {.place = {.rank = 9, .instances = 20}};
@@ -132,7 +132,7 @@
 		struct node *node = &simulation.nodes[i];
 
 		g_snprintf(node->name, sizeof(node->name), "e%d-%lu", i, (unsigned long)seed);
-		/* Two sides, or each instance cut off by itself. */
+		/* A partition with two sides, or with one side for each instance. */
 		node->side = seed % 3 ? next_random(&simulation) % 4 == 0 : i;
 		restart(node, NOW);
 	}
@@ -146,7 +146,8 @@
 							   60000);
 		if (next_random(&simulation) % 100 == 0)
 			restart(&simulation.nodes[next_random(&simulation) % INSTANCES], now_ms);
-		/* With odd seeds, the instances that are cut off restart behind the partition. */
+		/* With odd seeds, the instances behind the partition restart when the partition
+		 * begins. */
 		if (now_ms - partition_ms >= 0 && now_ms - partition_ms < STEP_MS && seed % 2)
 			for (int i = 0; i < INSTANCES; i++)
 				if (simulation.nodes[i].side)
@@ -176,7 +177,7 @@
 		cw_membership_destroy(simulation.nodes[i].membership);
 }
 
-/* Under partitions, restarts and differing views, no second exceeds what the server bears. */
+/* With partitions, restarts and differing member lists, no second exceeds the server's limit. */
 static void all_instances_together_stay_within_the_burst(void **state)
 {
 	for (uint64_t seed = 1; seed <= SEEDS; seed++)
