--- a/packages/gate/include/cw_gate.h
+++ b/packages/gate/include/cw_gate.h
@@ -81,7 +81,7 @@
 struct cw_rollouts *cw_gate_rollouts(struct cw_gate *gate);
 struct cw_quarantine *cw_gate_quarantine(struct cw_gate *gate);
 
-struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_request_info *facts,
+struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_request_info *info,
 			     int64_t arrived_ms, /* start of the request's time limits */
 			     int64_t now_ms, struct cw_step *step);
 void cw_call_reject(struct cw_call *call, int64_t now_ms, const char *reason,
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -32,18 +32,18 @@
 static void record_wait(const struct cw_call *call);
 static uint64_t session_key(const struct cw_call *call);
 
-struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_request_info *facts,
+struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_request_info *info,
 			     int64_t arrived_ms, int64_t now_ms, struct cw_step *step)
 {
 	struct cw_call *call = g_new0(struct cw_call, 1);
 
 	memset(step, 0, sizeof(*step));
 	call->gate = gate;
-	call->facts = *facts;
+	call->info = *info;
 	call->opened_ms = arrived_ms;
-	call->last_event = facts->last_event;
-	call->is_resumed = facts->last_event != CW_NO_EVENT;
-	call->deadline_ms = arrived_ms + (facts->allowed_ms >= 0 ? facts->allowed_ms : 0);
+	call->last_event = info->last_event;
+	call->is_resumed = info->last_event != CW_NO_EVENT;
+	call->deadline_ms = arrived_ms + (info->allowed_ms >= 0 ? info->allowed_ms : 0);
 	if (!gate->config) {
 		call_reject(step, 503, "no configuration is known yet");
 		step->retry_after_ms = NO_CONFIG_RETRY_MS + call_retry_after_ms(call);
@@ -251,7 +251,7 @@
 const char *cw_call_model(const struct cw_call *call)
 {
 	if (!call->route || call->route->model_count == 0)
-		return *call->facts.model ? call->facts.model : "-";
+		return *call->info.model ? call->info.model : "-";
 	return call->route->models[call->model_index];
 }
 
@@ -283,11 +283,10 @@
 {
 	int64_t waited_ms;
 
-	if (call->facts.allowed_ms < 0)
+	if (call->info.allowed_ms < 0)
 		return;
-	waited_ms =
-		gate_update_longest_wait(call->gate, call->route->name, call->facts.allowed_ms) -
-		call->facts.allowed_ms;
+	waited_ms = gate_update_longest_wait(call->gate, call->route->name, call->info.allowed_ms) -
+		    call->info.allowed_ms;
 	cw_rollouts_record_retry(call->gate->rollouts, call->service_name, call->session,
 				 call->opened_ms - waited_ms, call->opened_ms);
 }
@@ -297,21 +296,21 @@
 {
 	const struct cw_config *config = call->config;
 
-	call->route = cw_config_find_route(config, call->facts.host, call->facts.path);
+	call->route = cw_config_find_route(config, call->info.host, call->info.path);
 	if (!call->route) {
 		call_reject(step, 404, "no route");
 		return 0;
 	}
 	if (cw_config_requires_key(config) && !call->route->is_public) {
-		call->organisation = cw_config_find_organisation(config, call->facts.key);
+		call->organisation = cw_config_find_organisation(config, call->info.key);
 		if (!call->organisation) {
 			call_reject(step, 401, "unknown key");
 			return 0;
 		}
 	}
 	call->fingerprint = cw_quarantine_fingerprint(
-		call->facts.path, call->organisation ? call->organisation->name : "",
-		call->facts.body);
+		call->info.path, call->organisation ? call->organisation->name : "",
+		call->info.body);
 	call->session = session_key(call);
 	call->route_hash = cw_hash_text(call->route->name, 0);
 	call->service_name = cw_route_choose_service(
@@ -325,7 +324,7 @@
 {
 	int64_t limit_ms = call->opened_ms + call->route->limit_ms;
 
-	if (call->facts.allowed_ms < 0 || limit_ms < call->deadline_ms)
+	if (call->info.allowed_ms < 0 || limit_ms < call->deadline_ms)
 		call->deadline_ms = limit_ms;
 	if (call_should_reject(call, now_ms)) {
 		call_reject_not_run(call, step, "the backend servers have no room", now_ms);
@@ -424,7 +423,7 @@
 	if (call->organisation)
 		g_strlcpy(dispatch->organisation, call->organisation->name,
 			  sizeof(dispatch->organisation));
-	if (call->route->model_count > 0 && !strcmp(call->facts.model, CW_ANY_MODEL))
+	if (call->route->model_count > 0 && !strcmp(call->info.model, CW_ANY_MODEL))
 		g_strlcpy(dispatch->model, call->route->models[call->model_index],
 			  sizeof(dispatch->model));
 	dispatch->allowed_ms = MAX(call->deadline_ms - now_ms - RETURN_PATH_MS, 1);
@@ -529,7 +528,7 @@
 
 static uint64_t session_key(const struct cw_call *call)
 {
-	if (*call->facts.session)
-		return cw_hash_text(call->facts.session, 0);
-	return cw_hash_text(call->facts.id, 0);
+	if (*call->info.session)
+		return cw_hash_text(call->info.session, 0);
+	return cw_hash_text(call->info.id, 0);
 }
--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -12,7 +12,7 @@
 static struct cw_server *choose_same_version(const struct cw_call *call,
 					     const struct cw_choice *choice);
 static void fill_choice(struct cw_call *call, int64_t now_ms, struct cw_choice *choice);
-static uint64_t prefix_key(const struct cw_request_info *facts);
+static uint64_t prefix_key(const struct cw_request_info *info);
 
 struct cw_rollout_request call_rollout_request(const struct cw_call *call)
 {
@@ -86,7 +86,7 @@
 
 	*choice = (struct cw_choice){
 		.service = call->service_name,
-		.prefix = prefix_key(&call->facts),
+		.prefix = prefix_key(&call->info),
 		.failure_domain = gate->failure_domain,
 		.tried = call->tried,
 		.tried_count = MIN(call->tried_count, CW_MAX_ATTEMPTS),
@@ -120,11 +120,11 @@
 }
 
 /* Key of the longest prompt prefix: all segments but the last, which is the request's own. */
-static uint64_t prefix_key(const struct cw_request_info *facts)
+static uint64_t prefix_key(const struct cw_request_info *info)
 {
 	uint64_t key = 0;
 
-	for (size_t i = 0; i + 1 < facts->segment_count; i++)
-		key = cw_hash(&facts->segments[i].id, sizeof(facts->segments[i].id), key + 1);
+	for (size_t i = 0; i + 1 < info->segment_count; i++)
+		key = cw_hash(&info->segments[i].id, sizeof(info->segments[i].id), key + 1);
 	return key;
 }
--- a/packages/gate/src/call_model.c
+++ b/packages/gate/src/call_model.c
@@ -31,7 +31,7 @@
 /* The caller named no model and the route has two or more. */
 int call_model_is_selectable(const struct cw_call *call)
 {
-	return call->route->model_count >= 2 && !strcmp(call->facts.model, CW_ANY_MODEL);
+	return call->route->model_count >= 2 && !strcmp(call->info.model, CW_ANY_MODEL);
 }
 
 /*
--- a/packages/gate/src/call_work.c
+++ b/packages/gate/src/call_work.c
@@ -33,7 +33,7 @@
 static const char *timing_key(const struct cw_call *call);
 static double token_time_ms(const struct cw_call *call, const struct gate_timing *timing);
 static double uncached_tokens(const struct cw_call *call, int is_affinity_server);
-static double prefix_tokens(const struct cw_request_info *facts);
+static double prefix_tokens(const struct cw_request_info *info);
 static void learn_timing(struct cw_call *call, double took_ms);
 static int is_on_target_version(const struct cw_call *call);
 static void report_to_rollout(struct cw_call *call, int is_failure, int is_slow, int64_t now_ms);
@@ -43,16 +43,16 @@
 {
 	const struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 
-	choice->bytes = call->facts.body_bytes;
-	if (call->facts.segment_count == 0) {
+	choice->bytes = call->info.body_bytes;
+	if (call->info.segment_count == 0) {
 		choice->bytes += PLAIN_BYTES;
 		return;
 	}
 	choice->bytes += STREAM_BYTES;
-	choice->read_tokens = call->facts.read_tokens;
-	choice->prefix_tokens = MIN(prefix_tokens(&call->facts), call->facts.read_tokens);
+	choice->read_tokens = call->info.read_tokens;
+	choice->prefix_tokens = MIN(prefix_tokens(&call->info), call->info.read_tokens);
 	choice->ms_per_token = token_time_ms(call, timing);
-	choice->usual_work_ms = gate_get_timing(call->gate, call->service_name)->mean_ms;
+	choice->mean_work_ms = gate_get_timing(call->gate, call->service_name)->mean_ms;
 }
 
 double call_work_predict_ms(const struct cw_call *call, const struct cw_server *server,
@@ -60,7 +60,7 @@
 {
 	const struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 
-	if (call->facts.segment_count == 0)
+	if (call->info.segment_count == 0)
 		return (timing->samples ? timing->mean_ms : PLAIN_INITIAL_MS) +
 		       cw_pool_wait_ms(server, now_ms);
 	return call_work_queue_ms(call, server, now_ms) +
@@ -88,7 +88,7 @@
 
 	if (!call->service || call->service->tokens_per_event <= 0 || timing->event_gap_ms <= 0)
 		return 1;
-	events = call->facts.estimated_output_tokens / call->service->tokens_per_event;
+	events = call->info.estimated_output_tokens / call->service->tokens_per_event;
 	return events * timing->event_gap_ms <
 	       call->gate->policy->escalate_whole_part * (double)(call->deadline_ms - now_ms);
 }
@@ -98,18 +98,18 @@
 {
 	double ratio;
 
-	if (call->facts.segment_count == 0)
+	if (call->info.segment_count == 0)
 		return 1;
-	ratio = call->facts.max_output_tokens / MAX(call->facts.read_tokens, 1);
+	ratio = call->info.max_output_tokens / MAX(call->info.read_tokens, 1);
 	return gate_update_output_ratio(call->gate, call->route->name, ratio) >=
 	       gate_update_output_ratio(call->gate, call->service_name, ratio);
 }
 
 int call_work_is_light(const struct cw_call *call)
 {
-	return call->facts.segment_count > 0 && call->model_index == 0 &&
+	return call->info.segment_count > 0 && call->model_index == 0 &&
 	       call->route->model_count > 1 &&
-	       call->facts.read_tokens * SMALL_MODEL_TOKEN_MS <= LIGHT_PREFILL_MS;
+	       call->info.read_tokens * SMALL_MODEL_TOKEN_MS <= LIGHT_PREFILL_MS;
 }
 
 /*
@@ -123,7 +123,7 @@
 {
 	int is_quick = now_ms - call->sent_ms <= QUICK_ANSWER_MS;
 
-	if (call->facts.segment_count > 0)
+	if (call->info.segment_count > 0)
 		call->server_was_loaded = is_under_load(load->running, load->slots) &&
 					  (is_quick || call->server_reported_loaded);
 	else if (load->running < LOADED_FRACTION * load->slots)
@@ -151,7 +151,7 @@
 	call->server_was_idle = server->own_work_ms + server->peers_work_ms <= IDLE_BACKLOG_MAX_MS;
 	call->predicted_ms = call_work_predict_ms(call, server, is_affinity_server, now_ms);
 	call->uncached_tokens = 0;
-	if (call->facts.segment_count == 0)
+	if (call->info.segment_count == 0)
 		return;
 	call->uncached_tokens = uncached_tokens(call, is_affinity_server);
 	call->work_ms = call->uncached_tokens * token_time_ms(call, timing);
@@ -164,7 +164,7 @@
 {
 	double took_ms = (double)(now_ms - call->sent_ms);
 	double ratio = took_ms / (call->predicted_ms + SLOW_MARGIN_MS);
-	int is_plain = call->facts.segment_count == 0;
+	int is_plain = call->info.segment_count == 0;
 	int is_slow = ratio > (is_plain ? PLAIN_SLOW_FACTOR : SLOW_FACTOR);
 
 	if (call->is_head_seen)
@@ -212,7 +212,7 @@
 /* Timing is learned per model for prompts, and per service for plain requests. */
 static const char *timing_key(const struct cw_call *call)
 {
-	return call->facts.segment_count > 0 ? cw_call_model(call) : call->service_name;
+	return call->info.segment_count > 0 ? cw_call_model(call) : call->service_name;
 }
 
 /* Without samples: between the smallest and the largest model's, by the model's position. */
@@ -230,20 +230,20 @@
 
 static double uncached_tokens(const struct cw_call *call, int is_affinity_server)
 {
-	double tokens = call->facts.read_tokens;
+	double tokens = call->info.read_tokens;
 
 	if (is_affinity_server)
-		tokens -= prefix_tokens(&call->facts);
+		tokens -= prefix_tokens(&call->info);
 	return MAX(tokens, 1);
 }
 
 /* Tokens of all prompt segments but the last, which is the request's own. */
-static double prefix_tokens(const struct cw_request_info *facts)
+static double prefix_tokens(const struct cw_request_info *info)
 {
 	double tokens = 0;
 
-	for (size_t i = 0; i + 1 < facts->segment_count; i++)
-		tokens += facts->segments[i].tokens;
+	for (size_t i = 0; i + 1 < info->segment_count; i++)
+		tokens += info->segments[i].tokens;
 	return tokens;
 }
 
@@ -256,7 +256,7 @@
 	struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 	double sample;
 
-	if (call->facts.segment_count == 0) {
+	if (call->info.segment_count == 0) {
 		timing->mean_ms =
 			timing->samples++
 				? timing->mean_ms + PLAIN_EWMA_GAIN * (took_ms - timing->mean_ms)
--- a/packages/gate/src/gate_internal.h
+++ b/packages/gate/src/gate_internal.h
@@ -45,7 +45,7 @@
 struct cw_call {
 	struct cw_gate *gate;
 	struct cw_config *config;
-	struct cw_request_info facts;
+	struct cw_request_info info;
 	const struct cw_route *route;
 	const struct cw_organisation *organisation; /* NULL: public route */
 	const struct cw_service *service;
--- a/packages/pool/include/cw_pool.h
+++ b/packages/pool/include/cw_pool.h
@@ -147,7 +147,7 @@
 	double read_tokens;	 /* in the prompt; 0 for a service without models */
 	double prefix_tokens;	 /* in the prompt prefix, which other requests share */
 	double ms_per_token;	 /* predicted prefill time per token */
-	double usual_work_ms;	 /* predicted work of an average queued request */
+	double mean_work_ms;	 /* predicted work of an average queued request */
 	size_t bytes;		 /* of the request and its expected answer */
 	int *is_affinity_server; /* out, may be NULL: 1 if the affinity server of the prefix was
 				    chosen */
@@ -237,12 +237,12 @@
 int cw_pool_needs_probe(const struct cw_server *server, int64_t now_ms);
 void cw_pool_record_outcome(struct cw_server *server, int is_failure, double slowness,
 			    int64_t now_ms); /* outcome of an attempt; slowness 0: unknown */
-void cw_pool_begin_work(struct cw_server *server, double work_ms, double usual_work_ms,
+void cw_pool_begin_work(struct cw_server *server, double work_ms, double mean_work_ms,
 			int64_t now_ms);			 /* a prompt was sent */
 void cw_pool_end_work(struct cw_server *server, double work_ms); /* the answer began or failed */
 double cw_pool_own_work_ms(const struct cw_server *server,
 			   int64_t now_ms); /* predicted work left of own prompts */
-double cw_pool_backlog_ms(const struct cw_server *server, double usual_work_ms,
+double cw_pool_backlog_ms(const struct cw_server *server, double mean_work_ms,
 			  int64_t now_ms); /* predicted work queued, of all instances */
 double cw_pool_failure_rate(const struct cw_server *server, int64_t now_ms);
 double cw_pool_slowness(const struct cw_server *server, int64_t now_ms);
--- a/packages/pool/src/candidates.c
+++ b/packages/pool/src/candidates.c
@@ -229,7 +229,7 @@
 			first = candidates[i];
 	if (!first || cw_pool_load(first, choice->now_ms) >= choice->fill_part * first->slots)
 		return NULL;
-	if (cw_pool_backlog_ms(first, choice->usual_work_ms, choice->now_ms) > FILL_BACKLOG_MS)
+	if (cw_pool_backlog_ms(first, choice->mean_work_ms, choice->now_ms) > FILL_BACKLOG_MS)
 		return NULL;
 	return first;
 }
--- a/packages/pool/src/placement.c
+++ b/packages/pool/src/placement.c
@@ -37,11 +37,11 @@
 	server->evidence_ms = now_ms;
 }
 
-void cw_pool_begin_work(struct cw_server *server, double work_ms, double usual_work_ms,
+void cw_pool_begin_work(struct cw_server *server, double work_ms, double mean_work_ms,
 			int64_t now_ms)
 {
 	server->work_until_ms =
-		(double)now_ms + cw_pool_backlog_ms(server, usual_work_ms, now_ms) + work_ms;
+		(double)now_ms + cw_pool_backlog_ms(server, mean_work_ms, now_ms) + work_ms;
 	server->own_work_ms += work_ms;
 }
 
@@ -69,7 +69,7 @@
  * peers' work is a second old. The queue length that a server reports with each answer is newer but
  * does not include the length of the queued prompts. The larger of the two estimates counts.
  */
-double cw_pool_backlog_ms(const struct cw_server *server, double usual_work_ms, int64_t now_ms)
+double cw_pool_backlog_ms(const struct cw_server *server, double mean_work_ms, int64_t now_ms)
 {
 	double known_ms = cw_pool_own_work_ms(server, now_ms);
 	double reported_ms = 0;
@@ -77,7 +77,7 @@
 	if (now_ms - server->peers_ms < server->policy->peers_ms)
 		known_ms += server->peers_work_ms;
 	if (server->sampled_ms >= 0 && now_ms - server->sampled_ms < server->policy->told_ms)
-		reported_ms = server->queued * usual_work_ms + cw_pool_own_work_ms(server, now_ms);
+		reported_ms = server->queued * mean_work_ms + cw_pool_own_work_ms(server, now_ms);
 	return MAX(known_ms, reported_ms);
 }
 
@@ -145,7 +145,7 @@
 {
 	int64_t now_ms = choice->now_ms;
 	double tokens = choice->read_tokens - (is_affinity_server ? choice->prefix_tokens : 0);
-	double work_ms = cw_pool_backlog_ms(server, choice->usual_work_ms, now_ms) +
+	double work_ms = cw_pool_backlog_ms(server, choice->mean_work_ms, now_ms) +
 			 tokens * choice->ms_per_token;
 	const struct cw_policy *policy = server->policy;
 	double slowness = 1 + policy->slowness_part * (cw_pool_slowness(server, now_ms) - 1);
--- a/packages/quarantine/include/cw_quarantine.h
+++ b/packages/quarantine/include/cw_quarantine.h
@@ -38,7 +38,7 @@
 	int is_alive;	  /* 1: no crash: a byte arrived age_ms ago on an older connection */
 	uint32_t age_ms;  /* since the crash */
 	uint32_t ran_ms;  /* from the request's send, or from the first byte, to the crash */
-	int is_running;	  /* the server had begun to answer: ran_ms is from the first byte */
+	int is_running;	  /* not queued: ran_ms counts from the first byte of the answer */
 	int is_confirmed; /* the server then refused connections, or many requests broke at once */
 	uint32_t answered_ms; /* since the request's last complete answer, or CW_QUARANTINE_NEVER */
 };
--- a/packages/quarantine/src/quarantine_internal.h
+++ b/packages/quarantine/src/quarantine_internal.h
@@ -45,7 +45,7 @@
 	uint32_t outage; /* local number of the outage */
 	int64_t at_ms;
 	int64_t ran_ms;	  /* how long the request had run by then */
-	int is_running;	  /* the server had begun to answer: ran_ms is from the first byte */
+	int is_running;	  /* not queued: ran_ms counts from the first byte of the answer */
 	int is_confirmed; /* the server crashed, rather than only dropped the connection */
 };
 
--- a/packages/rollout/src/sessions.c
+++ b/packages/rollout/src/sessions.c
@@ -32,11 +32,12 @@
  * version, because no other existed.
  */
 void cw_rollouts_record_retry(struct cw_rollouts *rollouts, const char *service, uint64_t session,
-			      int64_t asked_ms, int64_t now_ms)
+			      int64_t waiting_since_ms, int64_t now_ms)
 {
 	const struct rollout *rollout = rollout_find(rollouts, service);
 
-	if (rollout && rollout->state == CW_ROLLOUT_RUNNING && asked_ms < rollout->started_ms)
+	if (rollout && rollout->state == CW_ROLLOUT_RUNNING &&
+	    waiting_since_ms < rollout->started_ms)
 		record_recent(rollouts, service, session, SOFTWARE_UNKNOWN, now_ms);
 }
 
--- a/tests/unit/gate_bed.c
+++ b/tests/unit/gate_bed.c
@@ -84,12 +84,12 @@
 	cw_gate_set_instances(fixture->gate, 1);
 	fixture->config = fixture_make_config(5);
 	cw_gate_configure(fixture->gate, fixture->config);
-	strcpy(fixture->facts.id, "r1");
-	strcpy(fixture->facts.host, "H.example:80");
-	strcpy(fixture->facts.key, "key");
-	strcpy(fixture->facts.model, CW_ANY_MODEL);
-	fixture->facts.allowed_ms = 10000;
-	fixture->facts.last_event = CW_NO_EVENT;
+	strcpy(fixture->info.id, "r1");
+	strcpy(fixture->info.host, "H.example:80");
+	strcpy(fixture->info.key, "key");
+	strcpy(fixture->info.model, CW_ANY_MODEL);
+	fixture->info.allowed_ms = 10000;
+	fixture->info.last_event = CW_NO_EVENT;
 	fixture_add_server(fixture, "s1", "orders", "v1");
 	fixture_add_server(fixture, "s2", "orders", "v1");
 	fixture_add_server(fixture, "e1", "llm", "v1");
@@ -106,19 +106,19 @@
 void fixture_open_call(struct fixture *fixture, const char *path)
 {
 	cw_call_close(fixture->call, FIXTURE_NOW_MS);
-	fixture->facts.path = path;
-	fixture->call = cw_call_open(fixture->gate, &fixture->facts, FIXTURE_NOW_MS, FIXTURE_NOW_MS,
+	fixture->info.path = path;
+	fixture->call = cw_call_open(fixture->gate, &fixture->info, FIXTURE_NOW_MS, FIXTURE_NOW_MS,
 				     &fixture->step);
 }
 
 void fixture_answer(struct fixture *fixture, unsigned int status, int is_signed, int is_not_run)
 {
-	struct cw_response_head facts = {.status = status,
-					 .is_signed = is_signed,
-					 .is_not_run = is_not_run,
-					 .confidence = -1};
+	struct cw_response_head head = {.status = status,
+					.is_signed = is_signed,
+					.is_not_run = is_not_run,
+					.confidence = -1};
 
-	cw_call_handle_head(fixture->call, &facts, FIXTURE_NOW_MS + 10, &fixture->step);
+	cw_call_handle_head(fixture->call, &head, FIXTURE_NOW_MS + 10, &fixture->step);
 }
 
 void fixture_assert_rejected(const struct fixture *fixture, unsigned int status, enum cw_run run)
--- a/tests/unit/gate_bed.h
+++ b/tests/unit/gate_bed.h
@@ -13,7 +13,7 @@
 struct fixture {
 	struct cw_gate *gate;
 	struct cw_config *config;
-	struct cw_request_info facts;
+	struct cw_request_info info;
 	struct cw_step step;
 	struct cw_call *call;
 };
--- a/tests/unit/test_gate.c
+++ b/tests/unit/test_gate.c
@@ -8,7 +8,7 @@
 	struct fixture fixture;
 
 	fixture_open(&fixture);
-	fixture.facts.key[0] = '\0';
+	fixture.info.key[0] = '\0';
 	fixture_open_call(&fixture, "/read/deep/x");
 	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
 	fixture_open_call(&fixture, "/read/x");
@@ -159,14 +159,14 @@
 	struct fixture fixture;
 
 	fixture_open(&fixture);
-	fixture.facts.allowed_ms = 500;
+	fixture.info.allowed_ms = 500;
 	fixture_open_call(&fixture, "/read/x");
 	assert_true(fixture.step.dispatch.allowed_ms <= 500);
 	cw_call_handle_failure(fixture.call, CW_ATTEMPT_CONNECTION_LOST, FIXTURE_NOW_MS + 300,
 			       &fixture.step);
 	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
 	assert_true(fixture.step.dispatch.allowed_ms <= 200);
-	fixture.facts.allowed_ms = 10000;
+	fixture.info.allowed_ms = 10000;
 	fixture_open_call(&fixture, "/read/x");
 	assert_true(fixture.step.dispatch.allowed_ms <= 800);
 	assert_int_equal(cw_call_deadline_ms(fixture.call), FIXTURE_NOW_MS + 800);
@@ -302,11 +302,10 @@
 	TAILQ_FOREACH(server, servers, link)
 		cw_pool_apply_report(server, &reported, now_ms - 1);
 	cw_call_close(fixture->call, now_ms);
-	fixture->facts.path = "/chat/x";
-	fixture->facts.segment_count = 2;
-	fixture->facts.read_tokens = 100;
-	fixture->call =
-		cw_call_open(fixture->gate, &fixture->facts, now_ms, now_ms, &fixture->step);
+	fixture->info.path = "/chat/x";
+	fixture->info.segment_count = 2;
+	fixture->info.read_tokens = 100;
+	fixture->call = cw_call_open(fixture->gate, &fixture->info, now_ms, now_ms, &fixture->step);
 	cw_call_handle_head(fixture->call, &head, now_ms + took_ms, &fixture->step);
 }
 
@@ -360,11 +359,11 @@
 			  FIXTURE_NOW_MS);
 	strcpy(entry.name, "e9");
 	strcpy(entry.software, "v2");
-	fixture.facts.path = "/chat/x";
+	fixture.info.path = "/chat/x";
 	cw_pool_apply_entry(cw_gate_pool(fixture.gate), &entry, FIXTURE_NOW_MS + 5000);
 	for (int i = 0; i < 30; i++) {
 		cw_call_close(fixture.call, FIXTURE_NOW_MS + 5100);
-		fixture.call = cw_call_open(fixture.gate, &fixture.facts, FIXTURE_NOW_MS + 5100,
+		fixture.call = cw_call_open(fixture.gate, &fixture.info, FIXTURE_NOW_MS + 5100,
 					    FIXTURE_NOW_MS + 5100, &fixture.step);
 		assert_string_equal(fixture.step.server->software, "v1");
 	}
@@ -379,11 +378,11 @@
 	fixture_close(&fixture);
 	/* Servers of a version without a roll-out order are used after a while. */
 	fixture_open(&fixture);
-	fixture.facts.path = "/chat/x";
+	fixture.info.path = "/chat/x";
 	cw_pool_apply_entry(cw_gate_pool(fixture.gate), &entry, FIXTURE_NOW_MS + 5000);
 	for (int i = 0; i < 60; i++) {
 		cw_call_close(fixture.call, FIXTURE_NOW_MS + 8000);
-		fixture.call = cw_call_open(fixture.gate, &fixture.facts, FIXTURE_NOW_MS + 8000,
+		fixture.call = cw_call_open(fixture.gate, &fixture.info, FIXTURE_NOW_MS + 8000,
 					    FIXTURE_NOW_MS + 8000, &fixture.step);
 		used += !strcmp(fixture.step.server->software, "v2");
 	}
--- a/tests/unit/test_gate_quarantine.c
+++ b/tests/unit/test_gate_quarantine.c
@@ -10,7 +10,7 @@
 {
 	unsigned int sends = 0;
 
-	fixture->facts.body = BODY;
+	fixture->info.body = BODY;
 	fixture_open_call(fixture, path);
 	while (fixture->step.kind == CW_STEP_SEND) {
 		uint64_t server = fixture->step.server->id;
@@ -31,7 +31,7 @@
 {
 	struct cw_quarantine_record record = {.ends = 3};
 
-	fixture->facts.body = BODY;
+	fixture->info.body = BODY;
 	fixture_open_call(fixture, "/chat/x");
 	record.fingerprint = cw_call_fingerprint(fixture->call);
 	cw_quarantine_merge_record(cw_gate_quarantine(fixture->gate), &record, CW_QUARANTINE_PEER,
@@ -54,7 +54,7 @@
 	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT);
 	assert_int_equal(fixture.step.retry_after_ms, -1);
 	assert_int_equal(cw_call_attempts(fixture.call), 0);
-	fixture.facts.body = BODY + 1;
+	fixture.info.body = BODY + 1;
 	fixture_open_call(&fixture, "/chat/x");
 	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
 	fixture_close(&fixture);
@@ -98,7 +98,7 @@
 	struct fixture fixture;
 
 	fixture_open(&fixture);
-	fixture.facts.body = BODY;
+	fixture.info.body = BODY;
 	for (int i = 0; i < 6; i++) {
 		struct cw_server *server;
 
@@ -125,7 +125,7 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(others); i++) {
 		fixture_open(&fixture);
-		fixture.facts.body = BODY;
+		fixture.info.body = BODY;
 		for (int j = 0; j < 5; j++) {
 			fixture_open_call(&fixture, "/read/x");
 			while (fixture.step.kind == CW_STEP_SEND)
@@ -150,7 +150,7 @@
 	size_t count;
 
 	fixture_open(&fixture);
-	fixture.facts.body = BODY;
+	fixture.info.body = BODY;
 	fixture_open_call(&fixture, "/chat/x");
 	received.server = fixture.step.server->id;
 	cw_call_handle_head(fixture.call, &low_confidence, FIXTURE_NOW_MS + 20, &fixture.step);
@@ -170,7 +170,7 @@
 	struct cw_quarantine *quarantine = cw_gate_quarantine(fixture->gate);
 	struct cw_quarantine_request request = {.organisation = "museo", .target = "chat"};
 
-	fixture->facts.body = BODY;
+	fixture->info.body = BODY;
 	fixture_open_call(fixture, "/read/x");
 	request.fingerprint = cw_call_fingerprint(fixture->call);
 	for (uint64_t server = 901; server <= 903; server++) {
--- a/tests/unit/test_overload.c
+++ b/tests/unit/test_overload.c
@@ -56,8 +56,8 @@
 	struct fixture fixture;
 
 	fixture_open(&fixture);
-	fixture.facts.segment_count = 1;
-	fixture.facts.read_tokens = 1;
+	fixture.info.segment_count = 1;
+	fixture.info.read_tokens = 1;
 	TAILQ_FOREACH(server, cw_pool_servers(cw_gate_pool(fixture.gate)), link) {
 		server->peers_work_ms = backlog_ms;
 		server->peers_ms = FIXTURE_NOW_MS;
@@ -103,8 +103,8 @@
 	struct fixture fixture;
 
 	fixture_open(&fixture);
-	fixture.facts.segment_count = 1;
-	fixture.facts.read_tokens = 3000; /* 150 ms of an objective of 300 */
+	fixture.info.segment_count = 1;
+	fixture.info.read_tokens = 3000; /* 150 ms of an objective of 300 */
 	fixture_open_call(&fixture, "/chat/x");
 	cw_call_handle_head(fixture.call, &answer, FIXTURE_NOW_MS + 5, &fixture.step);
 	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
@@ -202,7 +202,7 @@
 	fixture_open(&fixture);
 	((struct cw_route *)cw_config_find_route(fixture.config, "h.example", "/chat/x"))
 		->limit_ms = limit_ms;
-	fixture.facts.allowed_ms = limit_ms;
+	fixture.info.allowed_ms = limit_ms;
 	for (int i = 0; i < 40; i++) {
 		fixture_open_call(&fixture, "/chat/x");
 		fixture_answer(&fixture, i < rejected ? 503 : 200, i >= rejected, i < rejected);
--- a/tests/unit/test_session_version.c
+++ b/tests/unit/test_session_version.c
@@ -74,16 +74,15 @@
 			       int session, int64_t now_ms)
 {
 	cw_call_close(fixture->call, now_ms);
-	snprintf(fixture->facts.session, sizeof(fixture->facts.session), "s%d", session);
-	snprintf(fixture->facts.id, sizeof(fixture->facts.id), "r%d-%ld", session, (long)now_ms);
-	fixture->facts.path = request_kind->path;
-	fixture->facts.segment_count = 1;
-	fixture->facts.segments[0].id = (uint64_t)session;
-	fixture->facts.read_tokens = request_kind->read_tokens;
-	fixture->facts.segments[0].tokens = (unsigned int)request_kind->read_tokens;
-	fixture->facts.max_output_tokens = request_kind->max_output_tokens;
-	fixture->call =
-		cw_call_open(fixture->gate, &fixture->facts, now_ms, now_ms, &fixture->step);
+	snprintf(fixture->info.session, sizeof(fixture->info.session), "s%d", session);
+	snprintf(fixture->info.id, sizeof(fixture->info.id), "r%d-%ld", session, (long)now_ms);
+	fixture->info.path = request_kind->path;
+	fixture->info.segment_count = 1;
+	fixture->info.segments[0].id = (uint64_t)session;
+	fixture->info.read_tokens = request_kind->read_tokens;
+	fixture->info.segments[0].tokens = (unsigned int)request_kind->read_tokens;
+	fixture->info.max_output_tokens = request_kind->max_output_tokens;
+	fixture->call = cw_call_open(fixture->gate, &fixture->info, now_ms, now_ms, &fixture->step);
 	assert_int_equal(fixture->step.kind, CW_STEP_SEND);
 	return fixture->step.server->software;
 }
