--- a/packages/gate/src/gate_internal.h
+++ b/packages/gate/src/gate_internal.h
@@ -97,7 +97,7 @@
 			      int64_t now_ms); /* 0 to 1 */
 struct cw_repeats *gate_get_retry_budget(struct cw_gate *gate, const char *service);
 
-/* call_held.c: quarantine of poison requests */
+/* call_held.c: quarantine of poison requests; a run without a complete answer is incomplete */
 int call_has_single_attempt(
 	const struct cw_call *call); /* quarantined or on trial: no further server is risked */
 int call_reject_quarantined(struct cw_call *call, struct cw_step *step); /* 0: may be sent */
--- a/packages/policy/include/cw_policy.h
+++ b/packages/policy/include/cw_policy.h
@@ -15,16 +15,13 @@
 struct cw_policy {
 	/* choice of the model */
 	double escalate_below;	    /* confidence, 0 to 100, below which an answer is escalated */
-	double escalate_below_late; /* the same threshold if the large model's answer would be late
-				     */
-	double escalate_late_part;  /* part of the latency objective from which that is late */
+	double escalate_below_late; /* the same if the large model would answer late */
+	double escalate_late_part;  /* part of the latency objective from which an answer is late */
 	double escalate_queue_weight; /* weight of queued prefill time in the predicted latency */
-	double escalate_less_taken;   /* part of engine slots in use above which the threshold
-					   falls */
-	double escalate_none_taken;   /* the same, above which the threshold is 0 */
-	double escalate_whole_part;   /* part of the time left that the large model's stream may use
-				       */
-	double rejected_to_small; /* 1: requests that full engines reject go to the small model */
+	double escalate_less_taken;   /* part of slots taken above which the threshold falls */
+	double escalate_none_taken;   /* part of slots taken above which the threshold is 0 */
+	double escalate_whole_part; /* part of the time left that a large model's stream may use */
+	double rejected_to_small;   /* 1: requests that full engines reject go to the small model */
 	/* load shedding */
 	double full_part; /* part of attempts rejected above which servers count as full */
 	double shed_part; /* part of the rejection rate that is shed before dispatch */
@@ -37,18 +34,15 @@
 	double noise_ms;       /* random cost that separates instances with equal views */
 	double peers_ms;       /* lifetime of the peers' announcements of their work */
 	double told_ms;	       /* lifetime of the queue length that a server reported */
-	double unread_least;   /* least part of sent prompt work that counts until the answer begins
-				*/
+	double unread_least;   /* least part of sent work that counts until its answer begins */
 	/* failing servers */
 	double breaker_failures; /* consecutive failures that open the breaker */
 	double quiet_ms;	 /* silence after which a server with requests is probed */
-	double doubt_beside; /* 1: servers maybe partitioned off with an unreachable one are probed
-			      */
-	double connect_part; /* part of the objective within which a connection must open */
+	double doubt_beside;	 /* 1: servers behind the same partition are probed, too */
+	double connect_part;	 /* part of the objective within which a connection must open */
 	double silence_factor; /* idle timeout before the next attempt: predicted wait times this */
 	double silence_part;   /* plus this part of the objective */
-	double pause_part;     /* idle timeout between events of a stream, as a part of the allowed
-				  pause */
+	double pause_part;     /* event gap timeout, as a multiple of the route's pause_ms */
 	/* requests to servers */
 	double urgency_step;  /* route priorities that one step of an organisation's is worth */
 	double reuse_idle_ms; /* idle time up to which a pooled connection is reused */
--- a/packages/pool/include/cw_warmup.h
+++ b/packages/pool/include/cw_warmup.h
@@ -5,7 +5,7 @@
  *
  * Instances share no counter. A few of them, chosen by rendezvous hashing, divide at most half of
  * the rate that a cold server handles, because each side of a network partition may choose a few.
- * The other instances send it nothing.
+ * The other instances send the server no requests.
  */
 #ifndef CW_WARMUP_H
 #define CW_WARMUP_H
--- a/packages/quarantine/src/judge.c
+++ b/packages/quarantine/src/judge.c
@@ -8,8 +8,8 @@
 #include "quarantine_internal.h"
 
 static void mark_ambiguous(struct cw_quarantine *quarantine, int64_t now_ms);
-static int is_shadowed(const struct cw_quarantine *quarantine, const struct suspect *suspect,
-		       int64_t since_ms, int64_t now_ms);
+static int is_covered_by_other(const struct cw_quarantine *quarantine,
+			       const struct suspect *suspect, int64_t since_ms, int64_t now_ms);
 static int crashed_without(const struct cw_quarantine *quarantine, const struct suspect *other,
 			   const struct suspect *suspect, int64_t since_ms, int64_t now_ms);
 static void find_culprits(struct cw_quarantine *quarantine, int64_t now_ms);
@@ -31,8 +31,8 @@
 
 /*
  * Judges from scratch each time, except for committed decisions, which peers know. An instance
- * learns of a crash from its own callers first, so a harmless request may lead until the reports of
- * the peers have arrived.
+ * learns of a crash from its own requests first, so a harmless request may have the most crashes
+ * until the reports of the peers have arrived.
  */
 void quarantine_judge(struct cw_quarantine *quarantine, int64_t now_ms)
 {
@@ -73,18 +73,18 @@
 		if (!suspect->quarantined_ms || !suspect->is_committed ||
 		    suspect->crash_count < CRASHES_TO_QUARANTINE)
 			continue;
-		suspect->is_ambiguous |= is_shadowed(quarantine, suspect, 0, now_ms);
+		suspect->is_ambiguous |= is_covered_by_other(quarantine, suspect, 0, now_ms);
 		suspect->is_superseded |=
-			is_shadowed(quarantine, suspect, suspect->quarantined_ms, now_ms);
+			is_covered_by_other(quarantine, suspect, suspect->quarantined_ms, now_ms);
 	}
 }
 
 /*
- * Whether another suspect took part in all of its crashes and, if since_ms is set, in one more
- * after since_ms.
+ * Whether another suspect took part in all crashes of `suspect` and, if since_ms is set, in one
+ * more crash after since_ms.
  */
-static int is_shadowed(const struct cw_quarantine *quarantine, const struct suspect *suspect,
-		       int64_t since_ms, int64_t now_ms)
+static int is_covered_by_other(const struct cw_quarantine *quarantine,
+			       const struct suspect *suspect, int64_t since_ms, int64_t now_ms)
 {
 	const struct suspect *other;
 
--- a/packages/rollout/include/cw_rollout.h
+++ b/packages/rollout/include/cw_rollout.h
@@ -196,9 +196,10 @@
 void cw_rollouts_record_arrival(
 	struct cw_rollouts *rollouts, const struct cw_rollout_request *request, uint32_t kinds,
 	unsigned int slots); /* load kinds of the request; slots per server */
-void cw_rollouts_record_retry(struct cw_rollouts *rollouts, const char *service, uint64_t session,
-			      int64_t waiting_since_ms,
-			      int64_t now_ms); /* the caller retries after it lost an attempt */
+void cw_rollouts_record_retry(
+	struct cw_rollouts *rollouts, const char *service, uint64_t session,
+	int64_t waiting_since_ms,
+	int64_t now_ms); /* the caller retries: it may have lost an earlier attempt */
 void cw_rollouts_record_answer(struct cw_rollouts *rollouts, const struct cw_rollout_answer *answer,
 			       int64_t now_ms);
 void cw_rollouts_mark_answer_slow(
--- a/packages/route/include/cw_route.h
+++ b/packages/route/include/cw_route.h
@@ -70,7 +70,7 @@
 	char name[CW_NAME_MAX];
 	int has_priority;
 	int priority;		      /* overrides the route's priority */
-	struct cw_home_regions homes; /* allowed regions, in addition to the route's restriction */
+	struct cw_home_regions homes; /* restrict the route's further; empty: any */
 };
 
 /* Limits on callers' connections and requests. */
--- a/tests/unit/test_gate_quarantine.c
+++ b/tests/unit/test_gate_quarantine.c
@@ -143,7 +143,7 @@
 {
 	struct cw_response_head low_confidence = {
 		.status = 200, .is_signed = 1, .is_event_stream = 1, .confidence = 0};
-	struct cw_quarantine_crash ends[CW_QUARANTINE_CRASHES_MAX];
+	struct cw_quarantine_crash crashes[CW_QUARANTINE_CRASHES_MAX];
 	struct cw_quarantine_crash received = {.fingerprint = 1,
 					       .answered_ms = CW_QUARANTINE_NEVER};
 	struct fixture fixture;
@@ -157,10 +157,10 @@
 	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
 	cw_quarantine_merge_crash(cw_gate_quarantine(fixture.gate), &received, FIXTURE_NOW_MS + 70);
 	count = cw_quarantine_announce_crashes(cw_gate_quarantine(fixture.gate),
-					       FIXTURE_NOW_MS + 70, ends,
+					       FIXTURE_NOW_MS + 70, crashes,
 					       CW_QUARANTINE_CRASHES_MAX);
 	assert_int_equal(count, 2);
-	assert_int_equal(ends[0].server, ends[1].server);
+	assert_int_equal(crashes[0].server, crashes[1].server);
 	fixture_close(&fixture);
 }
 
--- a/tests/unit/test_quarantine_causes.c
+++ b/tests/unit/test_quarantine_causes.c
@@ -1,6 +1,6 @@
 /*
  * Random simulations of three instances in virtual time, with several causes of crashes at once:
- * two poison requests, crashes without one, and an instance behind a network partition.
+ * two poison requests, crashes that no request causes, and an instance behind a network partition.
  */
 #include "quarantine_bed.h"
 
--- a/tests/unit/test_session_version.c
+++ b/tests/unit/test_session_version.c
@@ -87,7 +87,7 @@
 	return fixture->step.server->software;
 }
 
-/* Two instances up to the start of the trial. The second one receives no requests. */
+/* Two instances a second after the start of the trial; the second one received no requests. */
 static void run_until_trial(struct fixture *fixtures)
 {
 	for (int64_t at_ms = 0; at_ms <= TRIAL_MS; at_ms += ANNOUNCE_MS) {
@@ -98,7 +98,7 @@
 	}
 }
 
-/* As above, after a server of the target was full once. */
+/* The same two instances, after a server of the target has answered under load. */
 static void run_until_trial_of_full_server(struct fixture *fixtures)
 {
 	cw_rollouts_record_answer(rollouts(&fixtures[0]), &under_load, FIXTURE_NOW_MS);
