--- a/packages/policy/include/cw_policy.h
+++ b/packages/policy/include/cw_policy.h
@@ -38,8 +38,8 @@
 	/* failing servers */
 	double breaker_failures; /* consecutive failures that open the breaker */
 	double quiet_ms;	 /* silence after which a server with requests is probed */
-	double doubt_beside;	 /* 1: servers behind the same partition are probed, too */
-	double connect_part;	 /* part of the objective within which a connection must open */
+	double doubt_beside;   /* 1: servers that may be unreachable with another one are probed */
+	double connect_part;   /* part of the objective within which a connection must open */
 	double silence_factor; /* idle timeout before the next attempt: predicted wait times this */
 	double silence_part;   /* plus this part of the objective */
 	double pause_part;     /* event gap timeout, as a multiple of the route's pause_ms */
