--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-#define CONNECT_TIMEOUT_MAX_MS	     400  /* 1 ms round trip, 300 ms for a slow accept */
-#define CONNECT_TIMEOUT_MIN_MS	     100  /* a pause of this instance is no partition */
+#define CONNECT_TIMEOUT_MAX_MS	     400  /* a round trip takes 1 ms, a slow accept 300 ms */
+#define CONNECT_TIMEOUT_MIN_MS	     100  /* longer than a scheduling pause of this instance */
 #define CONNECT_FAILURES_MAX	     4	  /* failed connections before the request is rejected */
 #define NON_REPEATABLE_REUSE_IDLE_MS 1500 /* short, so that the server has rarely closed it */
 #define NO_CONFIG_RETRY_MS	     500
@@ -32,18 +32,18 @@
 static void record_wait(const struct cw_call *call);
 static uint64_t session_key(const struct cw_call *call);
 
-struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_request_info *facts,
+struct cw_call *cw_call_open(struct cw_gate *gate, const struct cw_request_info *info,
 			     int64_t arrived_ms, int64_t now_ms, struct cw_step *step)
 {
 	struct cw_call *call = g_new0(struct cw_call, 1);
 
 	memset(step, 0, sizeof(*step));
 	call->gate = gate;
-	call->facts = *facts;
+	call->info = *info;
 	call->opened_ms = arrived_ms;
-	call->last_event = facts->last_event;
-	call->is_resumed = facts->last_event != CW_NO_EVENT;
-	call->deadline_ms = arrived_ms + (facts->allowed_ms >= 0 ? facts->allowed_ms : 0);
+	call->last_event = info->last_event;
+	call->is_resumed = info->last_event != CW_NO_EVENT;
+	call->deadline_ms = arrived_ms + (info->allowed_ms >= 0 ? info->allowed_ms : 0);
 	if (!gate->config) {
 		call_reject(step, 503, "no configuration is known yet");
 		step->retry_after_ms = NO_CONFIG_RETRY_MS + call_retry_after_ms(call);
@@ -76,7 +76,7 @@
 	if (answer->has_load) {
 		cw_pool_apply_report(call->server, &load, now_ms);
 		gate_add_load_report(call->gate, call->service_name, &load, now_ms);
-		call_work_load_reported(call, &load, now_ms);
+		call_work_record_load(call, &load, now_ms);
 	}
 	if (answer->has_warmup_time)
 		cw_warmup_set_cold(&call->server->warmup, answer->cold_ms, now_ms);
@@ -102,7 +102,7 @@
 		return;
 	}
 	if (answer->status >= 500) {
-		call_work_failed(call, now_ms);
+		call_work_record_failure(call, now_ms);
 		if (is_retriable(call) && take_retry(call, now_ms) &&
 		    switch_server(call, now_ms, step))
 			return;
@@ -116,7 +116,7 @@
 		}
 	}
 	if (answer->status < 500)
-		call_work_head_received(call, now_ms);
+		call_work_record_head(call, now_ms);
 	if (!call->has_forwarded && call_model_should_escalate(call, answer, now_ms, step)) {
 		size_t small_index = call->model_index;
 
@@ -172,7 +172,7 @@
 	if (how == CW_ATTEMPT_CONNECTION_LOST)
 		call_record_crash(call, now_ms);
 	else
-		call_record_abandoned(call, call->server, now_ms);
+		call_record_incomplete(call, call->server, now_ms);
 	record_failure(call, now_ms);
 	release_server(call, now_ms, 0);
 	retry_or_fail(call, now_ms, step, "the backend server's answer was not whole");
@@ -182,9 +182,9 @@
 {
 	if (!call->server)
 		return;
-	call_work_completed(call, now_ms);
+	call_work_record_completion(call, now_ms);
 	if (call->is_resumed)
-		call_record_abandoned(call, call->server, now_ms);
+		call_record_incomplete(call, call->server, now_ms);
 	else
 		cw_quarantine_note_answer(call->gate->quarantine, call->fingerprint,
 					  call->server->id, call_run_time_ms(call, now_ms), now_ms);
@@ -205,7 +205,7 @@
 	step->run = call->may_have_run || call->attempts > 0 ? CW_RUN_UNKNOWN : CW_RUN_NOT_EXECUTED;
 }
 
-/* A copy waiting in a server's queue would crash that server too, so the attempt is cancelled. */
+/* The attempt may still be queued at a server, which it would crash too: it is cancelled. */
 void cw_call_abort(struct cw_call *call, int64_t now_ms, struct cw_step *step)
 {
 	memset(step, 0, sizeof(*step));
@@ -251,7 +251,7 @@
 const char *cw_call_model(const struct cw_call *call)
 {
 	if (!call->route || call->route->model_count == 0)
-		return *call->facts.model ? call->facts.model : "-";
+		return *call->info.model ? call->info.model : "-";
 	return call->route->models[call->model_index];
 }
 
@@ -283,11 +283,10 @@
 {
 	int64_t waited_ms;
 
-	if (call->facts.allowed_ms < 0)
+	if (call->info.allowed_ms < 0)
 		return;
-	waited_ms =
-		gate_update_longest_wait(call->gate, call->route->name, call->facts.allowed_ms) -
-		call->facts.allowed_ms;
+	waited_ms = gate_update_longest_wait(call->gate, call->route->name, call->info.allowed_ms) -
+		    call->info.allowed_ms;
 	cw_rollouts_record_retry(call->gate->rollouts, call->service_name, call->session,
 				 call->opened_ms - waited_ms, call->opened_ms);
 }
@@ -297,21 +296,21 @@
 {
 	const struct cw_config *config = call->config;
 
-	call->route = cw_config_find_route(config, call->facts.host, call->facts.path);
+	call->route = cw_config_find_route(config, call->info.host, call->info.path);
 	if (!call->route) {
 		call_reject(step, 404, "no route");
 		return 0;
 	}
 	if (cw_config_requires_key(config) && !call->route->is_public) {
-		call->organisation = cw_config_find_organisation(config, call->facts.key);
+		call->organisation = cw_config_find_organisation(config, call->info.key);
 		if (!call->organisation) {
 			call_reject(step, 401, "unknown key");
 			return 0;
 		}
 	}
 	call->fingerprint = cw_quarantine_fingerprint(
-		call->facts.path, call->organisation ? call->organisation->name : "",
-		call->facts.body);
+		call->info.path, call->organisation ? call->organisation->name : "",
+		call->info.body);
 	call->session = session_key(call);
 	call->route_hash = cw_hash_text(call->route->name, 0);
 	call->service_name = cw_route_choose_service(
@@ -325,7 +324,7 @@
 {
 	int64_t limit_ms = call->opened_ms + call->route->limit_ms;
 
-	if (call->facts.allowed_ms < 0 || limit_ms < call->deadline_ms)
+	if (call->info.allowed_ms < 0 || limit_ms < call->deadline_ms)
 		call->deadline_ms = limit_ms;
 	if (call_should_reject(call, now_ms)) {
 		call_reject_not_run(call, step, "the backend servers have no room", now_ms);
@@ -424,7 +423,7 @@
 	if (call->organisation)
 		g_strlcpy(dispatch->organisation, call->organisation->name,
 			  sizeof(dispatch->organisation));
-	if (call->route->model_count > 0 && !strcmp(call->facts.model, CW_ANY_MODEL))
+	if (call->route->model_count > 0 && !strcmp(call->info.model, CW_ANY_MODEL))
 		g_strlcpy(dispatch->model, call->route->models[call->model_index],
 			  sizeof(dispatch->model));
 	dispatch->allowed_ms = MAX(call->deadline_ms - now_ms - RETURN_PATH_MS, 1);
@@ -480,17 +479,17 @@
 /* The request may still run on the server, and crash it. */
 static void abandon_attempt(struct cw_call *call, int64_t now_ms)
 {
-	call_record_abandoned(call, call->server, now_ms);
+	call_record_incomplete(call, call->server, now_ms);
 	release_server(call, now_ms, 0);
 }
 
 static void record_failure(struct cw_call *call, int64_t now_ms)
 {
-	/* A network partition or an earlier incarnation is no evidence against the server. */
+	/* A network partition or a restart of the server is no evidence against the version. */
 	if (!call->server->is_unreachable && !call->server->is_superseded &&
 	    cw_pool_record_crash(call->server, now_ms) &&
 	    !cw_quarantine_explains_crash(call->gate->quarantine, call->server->id, now_ms))
-		call_work_failed(call, now_ms);
+		call_work_record_failure(call, now_ms);
 	cw_pool_record_failure(call->server, now_ms, gate_random(call->gate));
 }
 
@@ -529,7 +528,7 @@
 
 static uint64_t session_key(const struct cw_call *call)
 {
-	if (*call->facts.session)
-		return cw_hash_text(call->facts.session, 0);
-	return cw_hash_text(call->facts.id, 0);
+	if (*call->info.session)
+		return cw_hash_text(call->info.session, 0);
+	return cw_hash_text(call->info.id, 0);
 }
--- a/packages/gate/src/call_work.c
+++ b/packages/gate/src/call_work.c
@@ -13,19 +13,19 @@
 #define FIRST_TOKEN_OVERHEAD_MS 25.0 /* one batch step and the round trip */
 #define PLAIN_INITIAL_MS	50.0
 #define PLAIN_EWMA_GAIN		0.05
-#define SLOW_MARGIN_MS		40.0 /* for queued work of other instances not known here */
+#define SLOW_MARGIN_MS		40.0 /* for work of other instances that this one does not know of */
 /*
  * An answer that takes this many times the usual is evidence against a version. The factor may be
- * low, for the share of slow answers is compared with that of the other version.
+ * low, because the share of slow answers is compared with that of the other version.
  */
 #define SLOW_FACTOR		 4.0
 
-#define PLAIN_SLOW_FACTOR	 2.0 /* of a plain service, without prompts: 1 % are slower */
+#define PLAIN_SLOW_FACTOR	 2.0 /* for services without prompts: 1 % of the answers are slower */
 #define STREAM_SAMPLE_MIN_EVENTS 4   /* shorter streams give no sample of the event gap */
 #define EVENT_EWMA_GAIN		 0.05
 #define LOADED_FRACTION		 0.5  /* of a server's slots taken: it is under load */
 #define LOAD_REPORT_MAX_AGE_MS	 2000 /* a server's load report is stale afterwards */
-#define QUICK_ANSWER_MS		 80   /* to the response head: load unchanged since the send */
+#define QUICK_ANSWER_MS		 80   /* to the response head: the load is as it was at the send */
 #define LIGHT_PREFILL_MS	 25.0 /* prompt processing no longer than a step of a full engine */
 #define STREAM_BYTES		 4500 /* of a usual stream back to the caller */
 #define PLAIN_BYTES		 800  /* of a usual plain answer */
@@ -33,7 +33,7 @@
 static const char *timing_key(const struct cw_call *call);
 static double token_time_ms(const struct cw_call *call, const struct gate_timing *timing);
 static double uncached_tokens(const struct cw_call *call, int is_affinity_server);
-static double prefix_tokens(const struct cw_request_info *facts);
+static double prefix_tokens(const struct cw_request_info *info);
 static void learn_timing(struct cw_call *call, double took_ms);
 static int is_on_target_version(const struct cw_call *call);
 static void report_to_rollout(struct cw_call *call, int is_failure, int is_slow, int64_t now_ms);
@@ -43,16 +43,16 @@
 {
 	const struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 
-	choice->bytes = call->facts.body_bytes;
-	if (call->facts.segment_count == 0) {
+	choice->bytes = call->info.body_bytes;
+	if (call->info.segment_count == 0) {
 		choice->bytes += PLAIN_BYTES;
 		return;
 	}
 	choice->bytes += STREAM_BYTES;
-	choice->read_tokens = call->facts.read_tokens;
-	choice->shared_tokens = MIN(prefix_tokens(&call->facts), call->facts.read_tokens);
+	choice->read_tokens = call->info.read_tokens;
+	choice->prefix_tokens = MIN(prefix_tokens(&call->info), call->info.read_tokens);
 	choice->ms_per_token = token_time_ms(call, timing);
-	choice->usual_work_ms = gate_get_timing(call->gate, call->service_name)->mean_ms;
+	choice->mean_work_ms = gate_get_timing(call->gate, call->service_name)->mean_ms;
 }
 
 double call_work_predict_ms(const struct cw_call *call, const struct cw_server *server,
@@ -60,7 +60,7 @@
 {
 	const struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 
-	if (call->facts.segment_count == 0)
+	if (call->info.segment_count == 0)
 		return (timing->samples ? timing->mean_ms : PLAIN_INITIAL_MS) +
 		       cw_pool_wait_ms(server, now_ms);
 	return call_work_queue_ms(call, server, now_ms) +
@@ -88,7 +88,7 @@
 
 	if (!call->service || call->service->tokens_per_event <= 0 || timing->event_gap_ms <= 0)
 		return 1;
-	events = call->facts.estimated_output_tokens / call->service->tokens_per_event;
+	events = call->info.estimated_output_tokens / call->service->tokens_per_event;
 	return events * timing->event_gap_ms <
 	       call->gate->policy->escalate_whole_part * (double)(call->deadline_ms - now_ms);
 }
@@ -98,18 +98,18 @@
 {
 	double ratio;
 
-	if (call->facts.segment_count == 0)
+	if (call->info.segment_count == 0)
 		return 1;
-	ratio = call->facts.max_output_tokens / MAX(call->facts.read_tokens, 1);
+	ratio = call->info.max_output_tokens / MAX(call->info.read_tokens, 1);
 	return gate_update_output_ratio(call->gate, call->route->name, ratio) >=
 	       gate_update_output_ratio(call->gate, call->service_name, ratio);
 }
 
 int call_work_is_light(const struct cw_call *call)
 {
-	return call->facts.segment_count > 0 && call->model_index == 0 &&
+	return call->info.segment_count > 0 && call->model_index == 0 &&
 	       call->route->model_count > 1 &&
-	       call->facts.read_tokens * SMALL_MODEL_TOKEN_MS <= LIGHT_PREFILL_MS;
+	       call->info.read_tokens * SMALL_MODEL_TOKEN_MS <= LIGHT_PREFILL_MS;
 }
 
 /*
@@ -119,18 +119,18 @@
  * trial. So the engine's own report must show the load with the answer, and also shortly before the
  * send unless the answer began within QUICK_ANSWER_MS.
  */
-void call_work_load_reported(struct cw_call *call, const struct cw_load *load, int64_t now_ms)
+void call_work_record_load(struct cw_call *call, const struct cw_load *load, int64_t now_ms)
 {
 	int is_quick = now_ms - call->sent_ms <= QUICK_ANSWER_MS;
 
-	if (call->facts.segment_count > 0)
+	if (call->info.segment_count > 0)
 		call->server_was_loaded = is_under_load(load->running, load->slots) &&
 					  (is_quick || call->server_reported_loaded);
 	else if (load->running < LOADED_FRACTION * load->slots)
 		call->server_was_loaded = 0;
 }
 
-/* For an engine; counts this request as well, which a failed server no longer reports. */
+/* For an engine; adds this request, which the report of a failed server no longer includes. */
 static int is_under_load(unsigned int running, unsigned int slots)
 {
 	return running + 1 >= LOADED_FRACTION * slots;
@@ -151,7 +151,7 @@
 	call->server_was_idle = server->own_work_ms + server->peers_work_ms <= IDLE_BACKLOG_MAX_MS;
 	call->predicted_ms = call_work_predict_ms(call, server, is_affinity_server, now_ms);
 	call->uncached_tokens = 0;
-	if (call->facts.segment_count == 0)
+	if (call->info.segment_count == 0)
 		return;
 	call->uncached_tokens = uncached_tokens(call, is_affinity_server);
 	call->work_ms = call->uncached_tokens * token_time_ms(call, timing);
@@ -160,11 +160,11 @@
 	cw_pool_begin_work(server, call->work_ms, work->mean_ms, now_ms);
 }
 
-void call_work_head_received(struct cw_call *call, int64_t now_ms)
+void call_work_record_head(struct cw_call *call, int64_t now_ms)
 {
 	double took_ms = (double)(now_ms - call->sent_ms);
 	double ratio = took_ms / (call->predicted_ms + SLOW_MARGIN_MS);
-	int is_plain = call->facts.segment_count == 0;
+	int is_plain = call->info.segment_count == 0;
 	int is_slow = ratio > (is_plain ? PLAIN_SLOW_FACTOR : SLOW_FACTOR);
 
 	if (call->is_head_seen)
@@ -179,7 +179,7 @@
 }
 
 /* The event gap of long streams shows slow servers long before the time to the first event. */
-void call_work_completed(struct cw_call *call, int64_t now_ms)
+void call_work_record_completion(struct cw_call *call, int64_t now_ms)
 {
 	struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 	struct cw_rollout_answer answer = rollout_evidence(call);
@@ -196,7 +196,7 @@
 		timing->event_gap_ms += EVENT_EWMA_GAIN * (gap_ms - timing->event_gap_ms);
 }
 
-void call_work_failed(struct cw_call *call, int64_t now_ms)
+void call_work_record_failure(struct cw_call *call, int64_t now_ms)
 {
 	cw_pool_record_outcome(call->server, 1, 0, now_ms);
 	report_to_rollout(call, 1, 0, now_ms);
@@ -212,7 +212,7 @@
 /* Timing is learned per model for prompts, and per service for plain requests. */
 static const char *timing_key(const struct cw_call *call)
 {
-	return call->facts.segment_count > 0 ? cw_call_model(call) : call->service_name;
+	return call->info.segment_count > 0 ? cw_call_model(call) : call->service_name;
 }
 
 /* Without samples: between the smallest and the largest model's, by the model's position. */
@@ -230,20 +230,20 @@
 
 static double uncached_tokens(const struct cw_call *call, int is_affinity_server)
 {
-	double tokens = call->facts.read_tokens;
+	double tokens = call->info.read_tokens;
 
 	if (is_affinity_server)
-		tokens -= prefix_tokens(&call->facts);
+		tokens -= prefix_tokens(&call->info);
 	return MAX(tokens, 1);
 }
 
 /* Tokens of all prompt segments but the last, which is the request's own. */
-static double prefix_tokens(const struct cw_request_info *facts)
+static double prefix_tokens(const struct cw_request_info *info)
 {
 	double tokens = 0;
 
-	for (size_t i = 0; i + 1 < facts->segment_count; i++)
-		tokens += facts->segments[i].tokens;
+	for (size_t i = 0; i + 1 < info->segment_count; i++)
+		tokens += info->segments[i].tokens;
 	return tokens;
 }
 
@@ -256,7 +256,7 @@
 	struct gate_timing *timing = gate_get_timing(call->gate, timing_key(call));
 	double sample;
 
-	if (call->facts.segment_count == 0) {
+	if (call->info.segment_count == 0) {
 		timing->mean_ms =
 			timing->samples++
 				? timing->mean_ms + PLAIN_EWMA_GAIN * (took_ms - timing->mean_ms)
@@ -274,7 +274,7 @@
 			(sample - timing->ms_per_token);
 }
 
-/* The server runs the version being rolled out; timings are learned from the other version. */
+/* Timings are learned from the old version only, for comparison with the target of a roll-out. */
 static int is_on_target_version(const struct cw_call *call)
 {
 	const char *target = cw_rollouts_target(call->gate->rollouts, call->service_name);
--- a/packages/rollout/src/sessions.c
+++ b/packages/rollout/src/sessions.c
@@ -27,15 +27,17 @@
 }
 
 /*
- * A caller retries a request that was in flight on a machine that lost power. The instance that
- * knew the version of the session may be down. Before the order only the old version existed.
+ * A caller retries a request that was in flight on a machine that lost power, and the instance that
+ * knew the version of the session may be down. A request first sent before the order ran on the old
+ * version, because no other existed.
  */
 void cw_rollouts_record_retry(struct cw_rollouts *rollouts, const char *service, uint64_t session,
-			      int64_t asked_ms, int64_t now_ms)
+			      int64_t waiting_since_ms, int64_t now_ms)
 {
 	const struct rollout *rollout = rollout_find(rollouts, service);
 
-	if (rollout && rollout->state == CW_ROLLOUT_RUNNING && asked_ms < rollout->started_ms)
+	if (rollout && rollout->state == CW_ROLLOUT_RUNNING &&
+	    waiting_since_ms < rollout->started_ms)
 		record_recent(rollouts, service, session, SOFTWARE_UNKNOWN, now_ms);
 }
 
--- a/tests/unit/test_session_version.c
+++ b/tests/unit/test_session_version.c
@@ -74,21 +74,20 @@
 			       int session, int64_t now_ms)
 {
 	cw_call_close(fixture->call, now_ms);
-	snprintf(fixture->facts.session, sizeof(fixture->facts.session), "s%d", session);
-	snprintf(fixture->facts.id, sizeof(fixture->facts.id), "r%d-%ld", session, (long)now_ms);
-	fixture->facts.path = request_kind->path;
-	fixture->facts.segment_count = 1;
-	fixture->facts.segments[0].id = (uint64_t)session;
-	fixture->facts.read_tokens = request_kind->read_tokens;
-	fixture->facts.segments[0].tokens = (unsigned int)request_kind->read_tokens;
-	fixture->facts.max_output_tokens = request_kind->max_output_tokens;
-	fixture->call =
-		cw_call_open(fixture->gate, &fixture->facts, now_ms, now_ms, &fixture->step);
+	snprintf(fixture->info.session, sizeof(fixture->info.session), "s%d", session);
+	snprintf(fixture->info.id, sizeof(fixture->info.id), "r%d-%ld", session, (long)now_ms);
+	fixture->info.path = request_kind->path;
+	fixture->info.segment_count = 1;
+	fixture->info.segments[0].id = (uint64_t)session;
+	fixture->info.read_tokens = request_kind->read_tokens;
+	fixture->info.segments[0].tokens = (unsigned int)request_kind->read_tokens;
+	fixture->info.max_output_tokens = request_kind->max_output_tokens;
+	fixture->call = cw_call_open(fixture->gate, &fixture->info, now_ms, now_ms, &fixture->step);
 	assert_int_equal(fixture->step.kind, CW_STEP_SEND);
 	return fixture->step.server->software;
 }
 
-/* Two instances up to the start of the trial. The second one receives no requests. */
+/* Two instances a second after the start of the trial; the second one received no requests. */
 static void run_until_trial(struct fixture *fixtures)
 {
 	for (int64_t at_ms = 0; at_ms <= TRIAL_MS; at_ms += ANNOUNCE_MS) {
@@ -99,7 +98,7 @@
 	}
 }
 
-/* As above, after a server of the target was full once. */
+/* The same two instances, after a server of the target has answered under load. */
 static void run_until_trial_of_full_server(struct fixture *fixtures)
 {
 	cw_rollouts_record_answer(rollouts(&fixtures[0]), &under_load, FIXTURE_NOW_MS);
