--- a/packages/cascade/include/cw_cascade.h
+++ b/packages/cascade/include/cw_cascade.h
@@ -20,8 +20,8 @@
 
 struct cw_plan {
 	size_t first;	    /* index of the option to ask first */
-	size_t then;	    /* index to escalate to; equal to first: no escalation */
-	int check;	    /* 1: the first answer is rated before the caller gets it */
+	size_t escalate_to; /* index to escalate to; equal to first: no escalation */
+	int is_checked;	    /* 1: the first answer is rated before the caller gets it */
 	int is_exploration; /* not the best known plan, but one that gathers ratings */
 	double expected_cost;
 	double expected_quality;
--- a/packages/cascade/src/cascade.c
+++ b/packages/cascade/src/cascade.c
@@ -58,8 +58,8 @@
 				 const struct cw_cascade_request *in, size_t index,
 				 struct cw_plan *best);
 static void consider_checked_plan(const struct cw_cascade *cascade,
-				  const struct cw_cascade_request *in, size_t first, size_t then,
-				  struct cw_plan *best);
+				  const struct cw_cascade_request *in, size_t first,
+				  size_t escalate_to, struct cw_plan *best);
 static int plan_exploration(const struct cw_cascade *cascade, const struct cw_cascade_request *in,
 			    struct cw_plan *plan);
 
@@ -172,7 +172,7 @@
 	if (plan_exploration(cascade, in, plan))
 		return;
 	plan->first = fallback;
-	plan->then = fallback;
+	plan->escalate_to = fallback;
 	plan->expected_cost = INFINITY;
 	for (size_t i = 0; i < in->count; i++)
 		consider_direct_plan(cascade, in, i, plan);
@@ -187,7 +187,7 @@
 static void plan_costly(const void *data, const struct cw_cascade_request *in, struct cw_plan *plan)
 {
 	plan->first = find_costliest(in);
-	plan->then = plan->first;
+	plan->escalate_to = plan->first;
 }
 
 static void plan_cheap(const void *data, const struct cw_cascade_request *in, struct cw_plan *plan)
@@ -195,7 +195,7 @@
 	for (size_t i = 1; i < in->count; i++)
 		if (in->options[i].cost_per_1k < in->options[plan->first].cost_per_1k)
 			plan->first = i;
-	plan->then = plan->first;
+	plan->escalate_to = plan->first;
 }
 
 /*
@@ -230,8 +230,8 @@
 	if (count == 0 || draw >= share)
 		return 0;
 	plan->first = candidates[in->random % count];
-	plan->then = in->can_check ? top : plan->first;
-	plan->check = in->can_check;
+	plan->escalate_to = in->can_check ? top : plan->first;
+	plan->is_checked = in->can_check;
 	plan->is_exploration = 1;
 	return 1;
 }
@@ -262,18 +262,18 @@
 	if (cost >= best->expected_cost)
 		return;
 	best->first = index;
-	best->then = index;
-	best->check = 0;
+	best->escalate_to = index;
+	best->is_checked = 0;
 	best->expected_cost = cost;
 	best->expected_quality = estimate ? mean(estimate) : 0;
 }
 
 static void consider_checked_plan(const struct cw_cascade *cascade,
-				  const struct cw_cascade_request *in, size_t first, size_t then,
-				  struct cw_plan *best)
+				  const struct cw_cascade_request *in, size_t first,
+				  size_t escalate_to, struct cw_plan *best)
 {
 	const struct estimate *cheap = find_usable_estimate(cascade, in, first);
-	const struct estimate *costly = find_usable_estimate(cascade, in, then);
+	const struct estimate *costly = find_usable_estimate(cascade, in, escalate_to);
 	double passed_mean;
 	double passed;
 	double cost;
@@ -283,15 +283,15 @@
 		return;
 	passed = expected_pass_share(cheap, in->target - PASS_MARGIN, &passed_mean);
 	cost = mean_answer_cost(cheap, in->options[first].cost_per_1k) +
-	       (1 - passed) * mean_answer_cost(costly, in->options[then].cost_per_1k);
+	       (1 - passed) * mean_answer_cost(costly, in->options[escalate_to].cost_per_1k);
 	quality = passed * passed_mean +
 		  (1 - passed) *
 			  (costly && costly->ratings >= RATINGS_MIN ? mean(costly) : in->target);
 	if (quality < in->target || cost >= best->expected_cost)
 		return;
 	best->first = first;
-	best->then = then;
-	best->check = 1;
+	best->escalate_to = escalate_to;
+	best->is_checked = 1;
 	best->expected_cost = cost;
 	best->expected_quality = quality;
 }
--- a/packages/gate/include/cw_facts.h
+++ b/packages/gate/include/cw_facts.h
@@ -28,7 +28,7 @@
 	int64_t allowed_ms;		/* time limit given by the caller; -1: none given */
 	int64_t last_event;		/* last event id that the caller received, or CW_NO_EVENT */
 	char model[CW_NAME_MAX];	/* CW_ANY_MODEL: the gate chooses */
-	double read_tokens;		/* size of the prompt as the caller stated it */
+	double prompt_tokens;		/* size of the prompt as the caller stated it */
 	double max_output_tokens;	/* upper limit of output tokens */
 	double estimated_output_tokens; /* caller's median estimate of output tokens; 0: none */
 	size_t segment_count;
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -408,8 +408,8 @@
 	call_work_end(call);
 	if (!dispatch_attempt(call, now_ms, step))
 		return 0;
-	cw_quarantine_note_finished(call->gate->quarantine, call->fingerprint, previous->id,
-				    previous_run_time_ms, now_ms);
+	cw_quarantine_note_incomplete(call->gate->quarantine, call->fingerprint, previous->id,
+				      previous_run_time_ms, now_ms);
 	cw_pool_record_end(previous, now_ms, -1);
 	return 1;
 }
--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -95,8 +95,9 @@
 		.cold = {.per_s = call->service ? call->service->cold_per_s : 0,
 			 .factor = gate->options.cold_factor,
 			 .slack = gate->options.cold_slack},
-		.route_regions = &call->route->homes,
-		.organisation_regions = call->organisation ? &call->organisation->homes : NULL,
+		.route_regions = &call->route->home_regions,
+		.organisation_regions =
+			call->organisation ? &call->organisation->home_regions : NULL,
 	};
 	call_work_fill_choice(call, choice);
 }
--- a/packages/gate/src/call_held.c
+++ b/packages/gate/src/call_held.c
@@ -44,8 +44,8 @@
 
 void call_record_incomplete(struct cw_call *call, const struct cw_server *server, int64_t now_ms)
 {
-	cw_quarantine_note_finished(call->gate->quarantine, call->fingerprint, server->id,
-				    call_run_time_ms(call, now_ms), now_ms);
+	cw_quarantine_note_incomplete(call->gate->quarantine, call->fingerprint, server->id,
+				      call_run_time_ms(call, now_ms), now_ms);
 }
 
 /* A server that is leaving, or whose version was replaced, stops as planned: not a crash. */
--- a/packages/gate/src/call_work.c
+++ b/packages/gate/src/call_work.c
@@ -49,8 +49,8 @@
 		return;
 	}
 	choice->bytes += STREAM_BYTES;
-	choice->read_tokens = call->info.read_tokens;
-	choice->prefix_tokens = MIN(prefix_tokens(&call->info), call->info.read_tokens);
+	choice->prompt_tokens = call->info.prompt_tokens;
+	choice->prefix_tokens = MIN(prefix_tokens(&call->info), call->info.prompt_tokens);
 	choice->ms_per_token = token_time_ms(call, timing);
 	choice->mean_work_ms = gate_get_timing(call->gate, call->service_name)->mean_ms;
 }
@@ -100,7 +100,7 @@
 
 	if (call->info.segment_count == 0)
 		return 1;
-	ratio = call->info.max_output_tokens / MAX(call->info.read_tokens, 1);
+	ratio = call->info.max_output_tokens / MAX(call->info.prompt_tokens, 1);
 	return gate_update_output_ratio(call->gate, call->route->name, ratio) >=
 	       gate_update_output_ratio(call->gate, call->service_name, ratio);
 }
@@ -109,7 +109,7 @@
 {
 	return call->info.segment_count > 0 && call->model_index == 0 &&
 	       call->route->model_count > 1 &&
-	       call->info.read_tokens * SMALL_MODEL_TOKEN_MS <= LIGHT_PREFILL_MS;
+	       call->info.prompt_tokens * SMALL_MODEL_TOKEN_MS <= LIGHT_PREFILL_MS;
 }
 
 /*
@@ -230,7 +230,7 @@
 
 static double uncached_tokens(const struct cw_call *call, int is_affinity_server)
 {
-	double tokens = call->info.read_tokens;
+	double tokens = call->info.prompt_tokens;
 
 	if (is_affinity_server)
 		tokens -= prefix_tokens(&call->info);
--- a/packages/home/include/cw_home.h
+++ b/packages/home/include/cw_home.h
@@ -17,8 +17,8 @@
 	char regions[CW_HOME_REGIONS_MAX][CW_NAME_MAX];
 };
 
-void cw_home_regions_add(struct cw_home_regions *homes, const char *region);
-int cw_home_regions_allow(const struct cw_home_regions *homes,
+void cw_home_regions_add(struct cw_home_regions *home_regions, const char *region);
+int cw_home_regions_allow(const struct cw_home_regions *home_regions,
 			  const char *region); /* 1: the region may serve; always for NULL */
 
 #endif
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -88,8 +88,8 @@
 void quarantine_note_abandoned(struct cw_node *node, const struct request *request,
 			       const struct cw_server *server)
 {
-	cw_quarantine_note_finished(node->quarantine, request->fingerprint, server->id,
-				    attempt_run_ms(node, request), node->now_ms);
+	cw_quarantine_note_incomplete(node->quarantine, request->fingerprint, server->id,
+				      attempt_run_ms(node, request), node->now_ms);
 }
 
 static struct cw_quarantine_request to_quarantine_request(const struct request *request)
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -57,7 +57,7 @@
 
 	if (!request || request->state != REQUEST_RATING)
 		return;
-	escalation = request->plan.then;
+	escalation = request->plan.escalate_to;
 	/* Without a rating (score < 0) the cheaper answer may be poor, so the request is escalated
 	 * to the costlier version. */
 	if (score >= 0 && !cw_cascade_should_escalate(&request->choice, score)) {
@@ -265,7 +265,7 @@
 	}
 	cw_cascade_add_cost(node->cascade, task, cw_cascade_task_key("", request->in.task),
 			    request->version_id, end->prompt_tokens + end->completion_tokens);
-	if (request->planned && request->plan.check && !request->escalated) {
+	if (request->planned && request->plan.is_checked && !request->escalated) {
 		request->state = REQUEST_RATING;
 		request->wait_until_ms =
 			MIN(node->now_ms + RATING_TIMEOUT_MS, request->deadline_ms);
--- a/packages/pool/include/cw_pool.h
+++ b/packages/pool/include/cw_pool.h
@@ -144,7 +144,7 @@
 	double fill_part;	       /* part of one server's slots to fill first; 0: off */
 	int64_t now_ms;
 	uint64_t random;
-	double read_tokens;	 /* size of the prompt; 0 for a service without models */
+	double prompt_tokens;	 /* size of the prompt; 0 for a service without models */
 	double prefix_tokens;	 /* size of the prompt prefix, which other requests share */
 	double ms_per_token;	 /* predicted prefill time per token */
 	double mean_work_ms;	 /* predicted work of an average queued request */
--- a/packages/pool/src/placement.c
+++ b/packages/pool/src/placement.c
@@ -144,7 +144,7 @@
 		      int is_affinity_server)
 {
 	int64_t now_ms = choice->now_ms;
-	double tokens = choice->read_tokens - (is_affinity_server ? choice->prefix_tokens : 0);
+	double tokens = choice->prompt_tokens - (is_affinity_server ? choice->prefix_tokens : 0);
 	double work_ms = cw_pool_backlog_ms(server, choice->mean_work_ms, now_ms) +
 			 tokens * choice->ms_per_token;
 	const struct cw_policy *policy = server->policy;
--- a/packages/pool/src/pool.c
+++ b/packages/pool/src/pool.c
@@ -280,7 +280,7 @@
 		int is_own = !strcmp(server->failure_domain, failure_domain);
 
 		server->track_score =
-			cw_rendezvous(instance, server->id, is_own ? OWN_DOMAIN_WEIGHT : 1);
+			cw_rendezvous_score(instance, server->id, is_own ? OWN_DOMAIN_WEIGHT : 1);
 		list = g_hash_table_lookup(by_service, server->service);
 		if (!list) {
 			list = g_ptr_array_new();
--- a/packages/quarantine/include/cw_quarantine.h
+++ b/packages/quarantine/include/cw_quarantine.h
@@ -9,7 +9,7 @@
  * Sans-I/O: the caller passes in sends, breaks, answers and peers' announcements, and fetches
  * quarantine changes, announcements for peers and records to write. A request passes
  * cw_quarantine_contains, then for each attempt one of cw_quarantine_note_break,
- * cw_quarantine_note_finished and cw_quarantine_note_answer.
+ * cw_quarantine_note_incomplete and cw_quarantine_note_answer.
  */
 #ifndef CW_QUARANTINE_H
 #define CW_QUARANTINE_H
@@ -96,7 +96,7 @@
 			      int64_t ran_ms, int is_running,
 			      int64_t now_ms); /* the connection broke unexpectedly; is_running:
 						  ran_ms counts from the first byte */
-void cw_quarantine_note_finished(
+void cw_quarantine_note_incomplete(
 	struct cw_quarantine *quarantine, uint64_t fingerprint, uint64_t server, int64_t ran_ms,
 	int64_t now_ms); /* ended without a complete answer: may still crash the server */
 void cw_quarantine_note_answer(struct cw_quarantine *quarantine, uint64_t fingerprint,
--- a/packages/quarantine/src/quarantine.c
+++ b/packages/quarantine/src/quarantine.c
@@ -82,8 +82,8 @@
 		quarantine_judge(quarantine, now_ms);
 }
 
-void cw_quarantine_note_finished(struct cw_quarantine *quarantine, uint64_t fingerprint,
-				 uint64_t server, int64_t ran_ms, int64_t now_ms)
+void cw_quarantine_note_incomplete(struct cw_quarantine *quarantine, uint64_t fingerprint,
+				   uint64_t server, int64_t ran_ms, int64_t now_ms)
 {
 	struct finished finished = {.fingerprint = fingerprint,
 				    .server = server,
@@ -100,7 +100,7 @@
 void cw_quarantine_note_answer(struct cw_quarantine *quarantine, uint64_t fingerprint,
 			       uint64_t server, int64_t ran_ms, int64_t now_ms)
 {
-	cw_quarantine_note_finished(quarantine, fingerprint, server, ran_ms, now_ms);
+	cw_quarantine_note_incomplete(quarantine, fingerprint, server, ran_ms, now_ms);
 	quarantine->finished[(quarantine->finished_next - 1) % FINISHED_KEPT].is_answered = 1;
 }
 
--- a/packages/route/include/cw_route.h
+++ b/packages/route/include/cw_route.h
@@ -41,7 +41,7 @@
 	int max_attempts;     /* backend servers one request may be sent to */
 	int is_public;	      /* no key required */
 	int is_resumable;
-	struct cw_home_regions homes; /* regions that may serve the route; empty: any */
+	struct cw_home_regions home_regions; /* regions that may serve the route; empty: any */
 	size_t share_count;
 	struct cw_service_weight shares[CW_ROUTE_SERVICES];
 	size_t model_count;			   /* 0: the caller names the model */
@@ -69,8 +69,8 @@
 struct cw_organisation {
 	char name[CW_NAME_MAX];
 	int has_priority;
-	int priority;		      /* overrides the route's priority */
-	struct cw_home_regions homes; /* restrict the route's further; empty: any */
+	int priority;			     /* overrides the route's priority */
+	struct cw_home_regions home_regions; /* restrict the route's further; empty: any */
 };
 
 /* Limits on callers' connections and requests. */
--- a/tests/fuzz/users_input.c
+++ b/tests/fuzz/users_input.c
@@ -165,8 +165,8 @@
 						  bytes[i + 2], now_ms);
 			break;
 		case 2:
-			cw_quarantine_note_finished(quarantine, request.fingerprint, end.server,
-						    bytes[i + 2], now_ms);
+			cw_quarantine_note_incomplete(quarantine, request.fingerprint, end.server,
+						      bytes[i + 2], now_ms);
 			break;
 		case 3:
 			end.answered_ms = bytes[i + 1] * 10;
@@ -352,7 +352,7 @@
 	stage->facts.allowed_ms = choice * 20;
 	stage->facts.last_event = CW_NO_EVENT;
 	stage->facts.segment_count = choice % 3;
-	stage->facts.read_tokens = choice * 10;
+	stage->facts.prompt_tokens = choice * 10;
 	account->call = cw_call_open(stage->gate, &stage->facts, stage->now_ms, stage->now_ms,
 				     &stage->step);
 	account->route = cw_call_route(account->call);
--- a/tests/unit/test_gate.c
+++ b/tests/unit/test_gate.c
@@ -304,7 +304,7 @@
 	cw_call_close(fixture->call, now_ms);
 	fixture->info.path = "/chat/x";
 	fixture->info.segment_count = 2;
-	fixture->info.read_tokens = 100;
+	fixture->info.prompt_tokens = 100;
 	fixture->call = cw_call_open(fixture->gate, &fixture->info, now_ms, now_ms, &fixture->step);
 	cw_call_handle_head(fixture->call, &head, now_ms + took_ms, &fixture->step);
 }
--- a/tests/unit/test_gate_drain.c
+++ b/tests/unit/test_gate_drain.c
@@ -159,12 +159,12 @@
 	if (route)
 		cw_home_regions_add(
 			&((struct cw_route *)cw_config_find_route(config, "h.example", "/once/x"))
-				 ->homes,
+				 ->home_regions,
 			route);
 	if (organisation)
 		cw_home_regions_add(
 			&((struct cw_organisation *)cw_config_find_organisation(config, "key"))
-				 ->homes,
+				 ->home_regions,
 			organisation);
 	cw_gate_configure(fixture->gate, config);
 	cw_config_unref(config);
--- a/tests/unit/test_many.c
+++ b/tests/unit/test_many.c
@@ -45,7 +45,7 @@
 				  .prefix = prefix,
 				  .failure_domain = "d1",
 				  .now_ms = NOW,
-				  .read_tokens = 6000,
+				  .prompt_tokens = 6000,
 				  .prefix_tokens = 5000,
 				  .ms_per_token = 0.02,
 				  .bytes = 20000,
--- a/tests/unit/test_overload.c
+++ b/tests/unit/test_overload.c
@@ -57,7 +57,7 @@
 
 	fixture_open(&fixture);
 	fixture.info.segment_count = 1;
-	fixture.info.read_tokens = 1;
+	fixture.info.prompt_tokens = 1;
 	TAILQ_FOREACH(server, cw_pool_servers(cw_gate_pool(fixture.gate)), link) {
 		server->peers_work_ms = backlog_ms;
 		server->peers_ms = FIXTURE_NOW_MS;
@@ -104,7 +104,7 @@
 
 	fixture_open(&fixture);
 	fixture.info.segment_count = 1;
-	fixture.info.read_tokens = 3000; /* 150 ms of an objective of 300 */
+	fixture.info.prompt_tokens = 3000; /* 150 ms of an objective of 300 */
 	fixture_open_call(&fixture, "/chat/x");
 	cw_call_handle_head(fixture.call, &answer, FIXTURE_NOW_MS + 5, &fixture.step);
 	assert_int_equal(fixture.step.kind, CW_STEP_SEND);
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -138,12 +138,12 @@
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 	for (int server = 1; server <= 3; server++) {
-		cw_quarantine_note_finished(quarantine, POISON, server, 5, NOW + server * 500);
+		cw_quarantine_note_incomplete(quarantine, POISON, server, 5, NOW + server * 500);
 		fixture_crash_server(quarantine, HARMLESS + server, server,
 				     NOW + server * 500 + 50);
 	}
 	/* This request had finished long before the crash. */
-	cw_quarantine_note_finished(quarantine, POISON, 9, 5, NOW + 2000);
+	cw_quarantine_note_incomplete(quarantine, POISON, 9, 5, NOW + 2000);
 	fixture_crash_server(quarantine, HARMLESS + 9, 9, NOW + 4000);
 	fixture_run_ticks(quarantine, NOW + 2000, NOW + 2000 + DECISION_MS);
 	assert_true(cw_quarantine_contains(quarantine, POISON));
--- a/tests/unit/test_session_version.c
+++ b/tests/unit/test_session_version.c
@@ -30,15 +30,15 @@
 
 struct request_kind {
 	const char *path;
-	double read_tokens;
+	double prompt_tokens;
 	double max_output_tokens;
 };
 
 /* A short prompt with a short answer, and a request that occupies a slot for long. */
 static const struct request_kind chat = {
-	.path = "/chat/x", .read_tokens = SHORT, .max_output_tokens = 10};
+	.path = "/chat/x", .prompt_tokens = SHORT, .max_output_tokens = 10};
 static const struct request_kind long_report = {
-	.path = "/report/x", .read_tokens = LONG, .max_output_tokens = 2000};
+	.path = "/report/x", .prompt_tokens = LONG, .max_output_tokens = 2000};
 
 static struct cw_rollouts *rollouts(struct fixture *fixture)
 {
@@ -79,8 +79,8 @@
 	fixture->info.path = request_kind->path;
 	fixture->info.segment_count = 1;
 	fixture->info.segments[0].id = (uint64_t)session;
-	fixture->info.read_tokens = request_kind->read_tokens;
-	fixture->info.segments[0].tokens = (unsigned int)request_kind->read_tokens;
+	fixture->info.prompt_tokens = request_kind->prompt_tokens;
+	fixture->info.segments[0].tokens = (unsigned int)request_kind->prompt_tokens;
 	fixture->info.max_output_tokens = request_kind->max_output_tokens;
 	fixture->call = cw_call_open(fixture->gate, &fixture->info, now_ms, now_ms, &fixture->step);
 	assert_int_equal(fixture->step.kind, CW_STEP_SEND);
@@ -151,7 +151,7 @@
 	struct fixture fixtures[2];
 	int moved = 0;
 
-	longer.read_tokens = LONG;
+	longer.prompt_tokens = LONG;
 	open_both(fixtures);
 	run_until_trial_of_full_server(fixtures);
 	for (int i = 0; i < SESSIONS; i++) {
@@ -218,7 +218,7 @@
 static void the_largest_model_is_used_at_once_on_the_target_only(void **state)
 {
 	struct request_kind talk = {
-		.path = "/chat/x", .read_tokens = SHORT, .max_output_tokens = 2000};
+		.path = "/chat/x", .prompt_tokens = SHORT, .max_output_tokens = 2000};
 	struct fixture fixtures[2];
 	int largest = 0;
 
