--- a/tests/fake/controls.c
+++ b/tests/fake/controls.c
@@ -1,4 +1,5 @@
-/* What is done to the world from outside: starts, crashes, cuts, outages; and looking at it. */
+/* Faults that a test injects into the simulation (crashes, network partitions, outages), and
+ * accessors of the simulation's state. */
 #include "world_internal.h"
 
 void world_start(struct world *world, int index)
@@ -33,7 +34,7 @@
 	node->boot++;
 	node->stopped = 0;
 	node->paused = 0;
-	node->stop_asked_ms = -1;
+	node->stop_requested_ms = -1;
 	config.boot = (uint64_t)node->boot * 1000 + (uint64_t)index;
 	config.seed = world->config.seed * 977 + config.boot;
 	node->node = cw_node_create(&config);
@@ -55,13 +56,13 @@
 {
 	struct cw_event event = {.kind = CW_EVENT_STOP};
 
-	if (!world->nodes[index].node || world->nodes[index].stop_asked_ms >= 0)
+	if (!world->nodes[index].node || world->nodes[index].stop_requested_ms >= 0)
 		return;
-	world->nodes[index].stop_asked_ms = world->now_ms;
-	step(world, index, &event);
+	world->nodes[index].stop_requested_ms = world->now_ms;
+	world_step_node(world, index, &event);
 }
 
-void world_pause(struct world *world, int index, int paused)
+void world_set_paused(struct world *world, int index, int paused)
 {
 	if (world->nodes[index].paused && !paused)
 		world->nodes[index].resumed_ms = world->now_ms;
@@ -75,36 +76,36 @@
 
 void world_cut_platform(struct world *world, int node, int cut)
 {
-	world->nodes[node].cut_platform = cut;
+	world->nodes[node].is_store_cut = cut;
 }
 
-void world_outage(struct world *world, int outage)
+void world_set_outage(struct world *world, int outage)
 {
 	world->outage = outage;
 }
 
-void world_lose_appends(struct world *world, int count, int late)
+void world_lose_append_answers(struct world *world, int count, int is_late)
 {
-	world->lose_appends = count;
-	world->lose_late = late;
+	world->lost_answers_left = count;
+	world->is_lost_append_late = is_late;
 }
 
-void world_drop(struct world *world, int per_mille, int twice_per_mille)
+void world_set_message_faults(struct world *world, int drop_per_mille, int duplicate_per_mille)
 {
-	world->drop = per_mille;
-	world->twice = twice_per_mille;
+	world->drop_per_mille = drop_per_mille;
+	world->duplicate_per_mille = duplicate_per_mille;
 }
 
-void world_expire(struct world *world)
+void world_expire_records(struct world *world)
 {
 	for (int stream = 0; world->config.retention_ms && stream < CW_STREAMS; stream++) {
-		while (world->first[stream] <= world->log[stream]->len) {
-			struct world_record *record =
-				g_ptr_array_index(world->log[stream], world->first[stream] - 1);
+		while (world->first_offsets[stream] <= world->log[stream]->len) {
+			struct world_record *record = g_ptr_array_index(
+				world->log[stream], world->first_offsets[stream] - 1);
 
 			if (record->time_ms >= world->now_ms - world->config.retention_ms)
 				break;
-			world->first[stream]++;
+			world->first_offsets[stream]++;
 		}
 	}
 }
@@ -129,7 +130,7 @@
 	return world->requests;
 }
 
-struct cw_node *world_any_node(struct world *world)
+struct cw_node *world_find_running_node(struct world *world)
 {
 	for (int i = 0; i < world->config.nodes; i++)
 		if (world->nodes[i].node)
--- a/tests/fake/servers.c
+++ b/tests/fake/servers.c
@@ -1,5 +1,5 @@
-/* Fake backend servers: slots, a queue, prefix caches, versions that fail, slow down or turn bad.
- */
+/* Simulated backend servers: slots, a queue, a cache of prompt prefixes, and model versions that
+ * fail, slow down or degrade at a given time. */
 #include "world_internal.h"
 
 #include "cw_hash.h"
@@ -7,25 +7,25 @@
 #include <math.h>
 #include <string.h>
 
-#define QUEUE_FACTOR   8   /* a queue longer than so many times the slots refuses */
-#define CACHE_HIT_PART 0.3 /* of the prefill that a cached prefix leaves */
-#define BATCH_COST     0.5 /* how much slower a full batch is than one request */
-#define SERVICE_MS     10
-#define EARLY_FAILURE  0.5 /* of failures that come before anything ran to its end */
+#define QUEUE_FACTOR   8   /* queue limit, as a multiple of the slots; further requests get 429 */
+#define CACHE_HIT_PART 0.3 /* share of the prefill time that is left when the prefix is cached */
+#define BATCH_COST     0.5 /* a full batch takes 1 + this times as long as a single request */
+#define SERVICE_MS     10  /* mean time of a request to a plain service */
+#define EARLY_FAILURE  0.5 /* share of a stream's failures that come before its first chunk */
 
-static void arrive(struct world *world, struct event *event);
-static void start(struct world *world, struct event *run);
+static void accept_attempt(struct world *world, struct event *event);
+static void start_run(struct world *world, struct event *run);
 static void finish_run(struct world *world, struct event *run);
-static void send_end(struct world *world, const struct event *run, enum cw_attempt_result result,
-		     int status);
+static void post_attempt_end(struct world *world, const struct event *run,
+			     enum cw_attempt_result result, int status);
 static double service_time(struct world *world, struct world_server *server,
 			   struct world_request *request, const struct world_profile *profile,
 			   double *first_ms);
-static int cached(struct world_server *server, uint64_t prefix);
-static const struct world_profile *profile_of(const struct world *world, const char *model,
-					      const char *version);
-static double quality_of(const struct world_profile *profile, int bad, const char *task);
-static double normal(struct world *world);
+static int use_cached_prefix(struct world_server *server, uint64_t prefix);
+static const struct world_profile *find_profile(const struct world *world, const char *model,
+						const char *version);
+static double find_quality(const struct world_profile *profile, int bad, const char *task);
+static double draw_normal(struct world *world);
 static int find_server(const struct world *world, const char *name);
 static int is_bad(const struct world *world, const struct world_profile *profile);
 
@@ -77,7 +77,7 @@
 void world_profile(struct world *world, const struct world_profile *profile)
 {
 	struct world_profile *old =
-		(struct world_profile *)profile_of(world, profile->model, profile->version);
+		(struct world_profile *)find_profile(world, profile->model, profile->version);
 
 	if (old)
 		*old = *profile;
@@ -94,7 +94,8 @@
 
 void servers_dispatch(struct world *world, int node, struct cw_effect *effect)
 {
-	struct world_request *request = g_hash_table_lookup(world->by_handle, &effect->handle);
+	struct world_request *request =
+		g_hash_table_lookup(world->requests_by_handle, &effect->handle);
 	struct event *event = event_create(world, EVENT_ARRIVE, node, world->config.latency_ms);
 	struct event *timeout;
 
@@ -107,13 +108,13 @@
 	event->server = find_server(world, effect->dispatch.address);
 	event->effect = g_new0(struct cw_effect, 1);
 	*event->effect = *effect;
-	/* What was sent is on its way, whatever becomes of the sender. */
+	/* A sent request arrives even when its sender crashes meanwhile. */
 	event->boot = world->nodes[node].boot;
 	event->end.handle = effect->handle;
 	event->end.attempt = effect->dispatch.attempt;
 	event_post(world, event);
-	/* The shell gives an attempt up at its timeout; an end that comes later is dropped by the
-	 * node. */
+	/* Plays the I/O layer's part, which ends an attempt at its timeout. The node ignores a
+	 * second end of the same attempt. */
 	timeout = event_create(world, EVENT_ATTEMPT_END, node, effect->dispatch.timeout_ms);
 	timeout->end = event->end;
 	timeout->end.result = CW_ATTEMPT_BROKEN;
@@ -136,7 +137,7 @@
 	event->load.queued = (unsigned int)server->queued;
 	event->load.slots = (unsigned int)server->slots;
 	event->load.age_ms = (unsigned int)world->config.report_lag_ms;
-	/* The lag: what is reported was true a while ago. */
+	/* The report describes the load of report_lag_ms ago. */
 	event->at_ms += world->config.report_lag_ms;
 	event_post(world, event);
 }
@@ -148,7 +149,7 @@
 
 	switch (event->kind) {
 	case EVENT_ARRIVE:
-		arrive(world, event);
+		accept_attempt(world, event);
 		break;
 	case EVENT_RUN:
 		finish_run(world, event);
@@ -156,7 +157,7 @@
 	case EVENT_ATTEMPT_END:
 		out.kind = CW_EVENT_ATTEMPT_END;
 		out.attempt = &event->end;
-		step(world, event->node, &out);
+		world_step_node(world, event->node, &out);
 		break;
 	case EVENT_LOAD: {
 		const GPtrArray *loaded = world->servers[event->server].versions;
@@ -168,7 +169,7 @@
 		out.kind = CW_EVENT_LOAD;
 		out.load.server = event->version;
 		out.load.load = &event->load;
-		step(world, event->node, &out);
+		world_step_node(world, event->node, &out);
 		g_free(versions);
 		break;
 	}
@@ -191,7 +192,7 @@
 	return 1;
 }
 
-static void arrive(struct world *world, struct event *event)
+static void accept_attempt(struct world *world, struct event *event)
 {
 	struct world_server *server = &world->servers[event->server];
 	struct event *run = event_create(world, EVENT_RUN, event->node, 0);
@@ -202,35 +203,36 @@
 	run->effect = g_steal_pointer(&event->effect);
 	run->offset = (uint64_t)world->now_ms;
 	if (server->down) {
-		send_end(world, run, CW_ATTEMPT_UNSENT, 0);
+		post_attempt_end(world, run, CW_ATTEMPT_UNSENT, 0);
 		event_destroy(run);
 	} else if (server->queued >= server->slots * QUEUE_FACTOR) {
-		send_end(world, run, CW_ATTEMPT_BUSY, 429);
+		post_attempt_end(world, run, CW_ATTEMPT_BUSY, 429);
 		event_destroy(run);
 	} else if (server->running >= server->slots) {
 		server->queued++;
 		g_queue_push_tail(server->queue, run);
 	} else {
-		start(world, run);
+		start_run(world, run);
 	}
 }
 
-static void start(struct world *world, struct event *run)
+static void start_run(struct world *world, struct event *run)
 {
 	struct world_server *server = &world->servers[run->server];
-	struct world_request *request = g_hash_table_lookup(world->by_handle, &run->end.handle);
+	struct world_request *request =
+		g_hash_table_lookup(world->requests_by_handle, &run->end.handle);
 	const struct world_profile *profile =
-		profile_of(world, run->effect->dispatch.model, run->effect->dispatch.version);
-	double waited = (double)(world->now_ms - (int64_t)run->offset);
+		find_profile(world, run->effect->dispatch.model, run->effect->dispatch.version);
+	double waited_ms = (double)(world->now_ms - (int64_t)run->offset);
 	double first_ms;
 	double total_ms;
 
 	server->running++;
 	if (run->effect->dispatch.mode != CW_DISPATCH_RESUME)
-		request->ran++;
+		request->runs++;
 	total_ms = service_time(world, server, request, profile, &first_ms);
-	run->end.first_ms = waited + first_ms + (double)(2 * world->config.latency_ms);
-	run->end.total_ms = waited + total_ms + (double)(2 * world->config.latency_ms);
+	run->end.first_ms = waited_ms + first_ms + (double)(2 * world->config.latency_ms);
+	run->end.total_ms = waited_ms + total_ms + (double)(2 * world->config.latency_ms);
 	if (request->first_ms < 0 && request->in.flags & CW_REQUEST_STREAM)
 		request->first_ms = world->now_ms + (int64_t)first_ms + world->config.latency_ms;
 	run->at_ms = world->now_ms + MAX(1, (int64_t)total_ms);
@@ -240,12 +242,13 @@
 static void finish_run(struct world *world, struct event *run)
 {
 	struct world_server *server = &world->servers[run->server];
-	struct world_request *request = g_hash_table_lookup(world->by_handle, &run->end.handle);
+	struct world_request *request =
+		g_hash_table_lookup(world->requests_by_handle, &run->end.handle);
 	const struct world_profile *profile =
-		profile_of(world, run->effect->dispatch.model, run->effect->dispatch.version);
+		find_profile(world, run->effect->dispatch.model, run->effect->dispatch.version);
 	int bad = is_bad(world, profile);
 	double failure = profile ? (bad ? profile->bad_failure : profile->failure) : 0;
-	double quality = quality_of(profile, bad, request->in.task);
+	double quality = find_quality(profile, bad, request->in.task);
 	struct event *next;
 
 	server->running--;
@@ -253,42 +256,47 @@
 	if (next) {
 		server->queued--;
 		next->at_ms = world->now_ms;
-		start(world, next);
+		start_run(world, next);
 	}
 	if (server->down) {
-		send_end(world, run, CW_ATTEMPT_BROKEN, 0);
+		post_attempt_end(world, run, CW_ATTEMPT_BROKEN, 0);
 	} else if (world_random(world) < failure) {
 		if (request->in.flags & CW_REQUEST_STREAM && world_random(world) >= EARLY_FAILURE)
-			request->shown++;
-		send_end(world, run, request->shown ? CW_ATTEMPT_BROKEN : CW_ATTEMPT_FAILED, 500);
+			request->shown_chunks++;
+		post_attempt_end(world, run,
+				 request->shown_chunks ? CW_ATTEMPT_BROKEN : CW_ATTEMPT_FAILED,
+				 500);
 	} else {
-		request->shown += request->in.flags & CW_REQUEST_STREAM ? request->tokens : 0;
-		request->quality = CLAMP(
-			quality + (profile ? profile->quality_sigma * normal(world) : 0), 0, 1);
+		request->shown_chunks +=
+			request->in.flags & CW_REQUEST_STREAM ? request->tokens : 0;
+		request->quality =
+			CLAMP(quality + (profile ? profile->quality_sigma * draw_normal(world) : 0),
+			      0, 1);
 		request->cost += profile ? (request->in.prompt_tokens + request->tokens) *
 						   profile->cost_per_1k / 1000
 					 : 0;
 		if (request->first_ms < 0)
 			request->first_ms = world->now_ms + world->config.latency_ms;
-		send_end(world, run, CW_ATTEMPT_ANSWERED, 200);
+		post_attempt_end(world, run, CW_ATTEMPT_ANSWERED, 200);
 	}
 }
 
-static void send_end(struct world *world, const struct event *run, enum cw_attempt_result result,
-		     int status)
+static void post_attempt_end(struct world *world, const struct event *run,
+			     enum cw_attempt_result result, int status)
 {
 	struct event *event =
 		event_create(world, EVENT_ATTEMPT_END, run->node, world->config.latency_ms);
-	struct world_request *request = g_hash_table_lookup(world->by_handle, &run->end.handle);
+	struct world_request *request =
+		g_hash_table_lookup(world->requests_by_handle, &run->end.handle);
 
-	/* Its sender may be gone by now. */
+	/* Delivered only if the sender has not restarted since. */
 	event->boot = run->boot;
 	event->end = run->end;
 	event->end.result = result;
 	event->end.http_status = status;
 	event->end.prompt_tokens = request->in.prompt_tokens;
 	event->end.completion_tokens = result == CW_ATTEMPT_ANSWERED ? request->tokens : 0;
-	event->end.shown = request->shown;
+	event->end.shown = request->shown_chunks;
 	event->end.answer = "answer";
 	event_post(world, event);
 }
@@ -297,20 +305,21 @@
 			   struct world_request *request, const struct world_profile *profile,
 			   double *first_ms)
 {
-	double crowd = 1 + BATCH_COST * (server->running - 1) / MAX(server->slots - 1, 1);
+	double batch_factor = 1 + BATCH_COST * (server->running - 1) / MAX(server->slots - 1, 1);
 	double slow = profile ? (is_bad(world, profile) ? profile->bad_slow : profile->slow) : 1;
 
 	if (!profile) {
 		*first_ms = SERVICE_MS * (0.5 + world_random(world));
 		return *first_ms;
 	}
-	*first_ms = profile->first_ms * (0.3 + request->in.prompt_tokens / 1000.0) * slow * crowd;
-	if (request->in.prefix && cached(server, request->in.prefix))
+	*first_ms = profile->first_ms * (0.3 + request->in.prompt_tokens / 1000.0) * slow *
+		    batch_factor;
+	if (request->in.prefix && use_cached_prefix(server, request->in.prefix))
 		*first_ms *= CACHE_HIT_PART;
-	return *first_ms + request->tokens * profile->token_ms * slow * crowd;
+	return *first_ms + request->tokens * profile->token_ms * slow * batch_factor;
 }
 
-static int cached(struct world_server *server, uint64_t prefix)
+static int use_cached_prefix(struct world_server *server, uint64_t prefix)
 {
 	size_t last = G_N_ELEMENTS(server->cache) - 1;
 	size_t at = 0;
@@ -323,8 +332,8 @@
 	return (int)at;
 }
 
-static const struct world_profile *profile_of(const struct world *world, const char *model,
-					      const char *version)
+static const struct world_profile *find_profile(const struct world *world, const char *model,
+						const char *version)
 {
 	for (guint i = 0; i < world->profiles->len; i++) {
 		const struct world_profile *profile = g_ptr_array_index(world->profiles, i);
@@ -335,7 +344,7 @@
 	return NULL;
 }
 
-static double quality_of(const struct world_profile *profile, int bad, const char *task)
+static double find_quality(const struct world_profile *profile, int bad, const char *task)
 {
 	if (!profile)
 		return 1;
@@ -347,7 +356,7 @@
 	return profile->quality;
 }
 
-static double normal(struct world *world)
+static double draw_normal(struct world *world)
 {
 	double u = MAX(world_random(world), 1e-12);
 
--- a/tests/fake/world.c
+++ b/tests/fake/world.c
@@ -5,23 +5,24 @@
 #include <stdio.h>
 #include <string.h>
 
-#define LATE_MS	 700 /* a late append takes effect so long after its caller gave up */
+#define LATE_MS	 700 /* a delayed append is stored this long after it was sent */
 #define LIST_MS	 1000
-#define READ_MAX 256
+#define READ_MAX 256 /* records in one answer */
 
 static void deliver(struct world *world, struct event *event);
-static void carry_out(struct world *world, int node, struct cw_effect *effect);
+static void execute_effect(struct world *world, int node, struct cw_effect *effect);
 static void do_read(struct world *world, int node, const struct cw_effect *effect);
-static void answer_read(struct world *world, int node, const struct cw_effect *effect, int waited);
+static void answer_read(struct world *world, int node, const struct cw_effect *effect,
+			int is_wait_over);
 static void wake_readers(struct world *world, enum cw_stream stream);
 static void do_append(struct world *world, int node, struct cw_effect *effect);
 static void do_send(struct world *world, int node, const struct cw_effect *effect);
 static void do_rate(struct world *world, int node, const struct cw_effect *effect);
 static void do_order(struct world *world, int node, const struct cw_effect *effect);
-static void end_request(struct world *world, const struct cw_effect *effect);
-static int is_cut(const struct world *world, int from, int to);
-static int platform_is_out(const struct world *world, int node);
-static gint by_time(gconstpointer a, gconstpointer b, gpointer unused);
+static void record_final_answer(struct world *world, const struct cw_effect *effect);
+static int is_partitioned(const struct world *world, int from, int to);
+static int is_store_unreachable(const struct world *world, int node);
+static gint compare_event_times(gconstpointer a, gconstpointer b, gpointer unused);
 
 struct world *world_create(const struct world_config *config)
 {
@@ -31,17 +32,17 @@
 	world->random = g_rand_new_with_seed((guint32)(config->seed * 2654435761U + 1));
 	world->events = g_sequence_new(NULL);
 	world->requests = g_ptr_array_new();
-	world->by_handle = g_hash_table_new(g_int64_hash, g_int64_equal);
+	world->requests_by_handle = g_hash_table_new(g_int64_hash, g_int64_equal);
 	world->profiles = g_ptr_array_new_with_free_func(g_free);
-	world->readers = g_ptr_array_new();
+	world->waiting_reads = g_ptr_array_new();
 	for (int stream = 0; stream < CW_STREAMS; stream++) {
 		world->log[stream] = g_ptr_array_new();
-		world->first[stream] = 1;
+		world->first_offsets[stream] = 1;
 	}
 	servers_create(world);
 	for (int i = 0; i < config->nodes; i++) {
 		world->nodes[i].domain = i % config->domains;
-		world->nodes[i].stop_asked_ms = -1;
+		world->nodes[i].stop_requested_ms = -1;
 		g_snprintf(world->names[i], CW_NAME_MAX, "e%d", i);
 	}
 	world->now_ms = 1000;
@@ -68,13 +69,13 @@
 	}
 	for (guint i = 0; i < world->requests->len; i++)
 		g_free(g_ptr_array_index(world->requests, i));
-	for (guint i = 0; i < world->readers->len; i++)
-		event_destroy(g_ptr_array_index(world->readers, i));
-	g_ptr_array_unref(world->readers);
+	for (guint i = 0; i < world->waiting_reads->len; i++)
+		event_destroy(g_ptr_array_index(world->waiting_reads, i));
+	g_ptr_array_unref(world->waiting_reads);
 	servers_destroy(world);
 	g_ptr_array_unref(world->requests);
 	g_ptr_array_unref(world->profiles);
-	g_hash_table_destroy(world->by_handle);
+	g_hash_table_destroy(world->requests_by_handle);
 	g_rand_free(world->random);
 	g_free(world);
 }
@@ -108,10 +109,10 @@
 	request->quality = -1;
 	request->tokens = tokens;
 	g_ptr_array_add(world->requests, request);
-	g_hash_table_insert(world->by_handle, &request->in.handle, request);
+	g_hash_table_insert(world->requests_by_handle, &request->in.handle, request);
 	event.request = &request->in;
 	if (world->nodes[node].node)
-		step(world, node, &event);
+		world_step_node(world, node, &event);
 	return request;
 }
 
@@ -149,7 +150,7 @@
 
 void event_post(struct world *world, struct event *event)
 {
-	g_sequence_insert_sorted(world->events, event, by_time, NULL);
+	g_sequence_insert_sorted(world->events, event, compare_event_times, NULL);
 }
 
 void event_destroy(struct event *event)
@@ -160,7 +161,7 @@
 	g_free(event);
 }
 
-void step(struct world *world, int index, struct cw_event *event)
+void world_step_node(struct world *world, int index, struct cw_event *event)
 {
 	struct world_node *node = &world->nodes[index];
 	struct cw_effects effects;
@@ -173,7 +174,7 @@
 	cw_node_step(node->node, event, &effects);
 	while ((effect = cw_effects_pop(&effects))) {
 		if (node->boot == boot)
-			carry_out(world, index, effect);
+			execute_effect(world, index, effect);
 		else
 			cw_effect_destroy(effect);
 	}
@@ -185,8 +186,8 @@
 	struct cw_event out = {0};
 
 	if (node && (!node->node || event->boot != node->boot)) {
-		/* Addressed to an incarnation that is gone; a server's run of it goes on all the
-		 * same. */
+		/* The addressed incarnation has terminated. A backend server still runs the
+		 * request that it was sent. */
 		if (event->kind == EVENT_RUN)
 			servers_deliver(world, event);
 		event_destroy(event);
@@ -202,7 +203,7 @@
 		out.kind = CW_EVENT_TICK;
 		event->at_ms = world->now_ms + world->config.tick_ms;
 		event_post(world, event);
-		step(world, event->node, &out);
+		world_step_node(world, event->node, &out);
 		return;
 	case EVENT_PEER:
 		if (world->config.on_peer)
@@ -211,17 +212,17 @@
 		out.kind = CW_EVENT_PEER;
 		out.peer.data = event->data;
 		out.peer.size = event->size;
-		step(world, event->node, &out);
+		world_step_node(world, event->node, &out);
 		break;
 	case EVENT_READ:
-		answer_read(world, event->node, event->effect, event->waited);
+		answer_read(world, event->node, event->effect, event->is_wait_over);
 		break;
 	case EVENT_APPENDED: {
 		struct cw_appended appended = {event->ticket, event->status, event->offset};
 
 		out.kind = CW_EVENT_APPENDED;
 		out.appended = &appended;
-		step(world, event->node, &out);
+		world_step_node(world, event->node, &out);
 		break;
 	}
 	case EVENT_LATE_APPEND:
@@ -235,13 +236,13 @@
 		out.rated.version = event->version;
 		out.rated.score = event->score;
 		out.rated.tokens = (unsigned int)event->offset;
-		step(world, event->node, &out);
+		world_step_node(world, event->node, &out);
 		break;
 	case EVENT_ORDERED:
 		out.kind = CW_EVENT_ORDERED;
 		out.ordered.ticket = event->ticket;
 		out.ordered.status = event->status;
-		step(world, event->node, &out);
+		world_step_node(world, event->node, &out);
 		break;
 	default:
 		servers_deliver(world, event);
@@ -250,7 +251,7 @@
 	event_destroy(event);
 }
 
-static void carry_out(struct world *world, int index, struct cw_effect *effect)
+static void execute_effect(struct world *world, int index, struct cw_effect *effect)
 {
 	struct world_node *node = &world->nodes[index];
 
@@ -282,7 +283,7 @@
 	case CW_EFFECT_REFUSE:
 	case CW_EFFECT_RELEASE:
 	case CW_EFFECT_REPLAY:
-		end_request(world, effect);
+		record_final_answer(world, effect);
 		break;
 	case CW_EFFECT_STOPPED:
 		node->stopped = 1;
@@ -308,8 +309,10 @@
 	event_post(world, event);
 }
 
-/* A read that may wait goes among the readers until an append or its time wakes it. */
-static void answer_read(struct world *world, int index, const struct cw_effect *effect, int waited)
+/* A long poll without records is answered by the next append to its stream, or empty at its
+ * time-out. */
+static void answer_read(struct world *world, int index, const struct cw_effect *effect,
+			int is_wait_over)
 {
 	enum cw_stream stream = effect->read.stream;
 	GPtrArray *log = world->log[stream];
@@ -317,10 +320,10 @@
 	struct cw_records records = {.stream = stream, .ticket = effect->read.ticket, .list = list};
 	struct cw_event out = {.kind = CW_EVENT_RECORDS, .records = &records};
 
-	records.first = world->first[stream];
-	if (platform_is_out(world, index)) {
+	records.first = world->first_offsets[stream];
+	if (is_store_unreachable(world, index)) {
 		records.status = CW_UNREACHABLE;
-	} else if (effect->read.from < world->first[stream]) {
+	} else if (effect->read.from < world->first_offsets[stream]) {
 		records.status = CW_EXPIRED;
 	} else {
 		for (uint64_t offset = effect->read.from;
@@ -332,38 +335,39 @@
 			list[records.count++].data = record->data;
 			world->nodes[index].read_bytes += strlen(record->data);
 		}
-		if (records.count == 0 && !waited && effect->read.wait_ms > 0) {
-			struct event *reader = event_create(world, EVENT_READ, index, 0);
+		if (records.count == 0 && !is_wait_over && effect->read.wait_ms > 0) {
+			struct event *waiting_read = event_create(world, EVENT_READ, index, 0);
 			struct event *timer =
 				event_create(world, EVENT_READ, index, effect->read.wait_ms);
 
-			reader->effect = g_new0(struct cw_effect, 1);
-			*reader->effect = *effect;
+			waiting_read->effect = g_new0(struct cw_effect, 1);
+			*waiting_read->effect = *effect;
 			timer->effect = g_new0(struct cw_effect, 1);
 			*timer->effect = *effect;
-			timer->waited = 1;
-			g_ptr_array_add(world->readers, reader);
+			timer->is_wait_over = 1;
+			g_ptr_array_add(world->waiting_reads, waiting_read);
 			event_post(world, timer);
 			return;
 		}
 	}
-	step(world, index, &out);
+	world_step_node(world, index, &out);
 }
 
-/* The timer's answer comes too: the node drops what carries an old ticket. */
+/* The time-out of a woken long poll still answers it once more; the node ignores the outdated
+ * ticket. */
 static void wake_readers(struct world *world, enum cw_stream stream)
 {
-	for (guint i = 0; i < world->readers->len;) {
-		struct event *reader = g_ptr_array_index(world->readers, i);
+	for (guint i = 0; i < world->waiting_reads->len;) {
+		struct event *waiting_read = g_ptr_array_index(world->waiting_reads, i);
 
-		if (reader->effect->read.stream != stream) {
+		if (waiting_read->effect->read.stream != stream) {
 			i++;
 			continue;
 		}
-		g_ptr_array_remove_index_fast(world->readers, i);
-		reader->at_ms = world->now_ms + world->config.platform_ms;
-		reader->waited = 1;
-		event_post(world, reader);
+		g_ptr_array_remove_index_fast(world->waiting_reads, i);
+		waiting_read->at_ms = world->now_ms + world->config.platform_ms;
+		waiting_read->is_wait_over = 1;
+		event_post(world, waiting_read);
 	}
 }
 
@@ -373,18 +377,19 @@
 		event_create(world, EVENT_APPENDED, index, 2 * world->config.platform_ms);
 
 	answer->ticket = effect->append.ticket;
-	if (platform_is_out(world, index)) {
+	if (is_store_unreachable(world, index)) {
 		answer->status = CW_REFUSED;
-	} else if (world->lose_appends > 0) {
-		world->lose_appends--;
+	} else if (world->lost_answers_left > 0) {
+		world->lost_answers_left--;
 		answer->status = CW_UNKNOWN;
 		answer->at_ms += 100;
-		if (world->lose_late) {
-			struct event *late = event_create(world, EVENT_LATE_APPEND, -1, LATE_MS);
+		if (world->is_lost_append_late) {
+			struct event *late_append =
+				event_create(world, EVENT_LATE_APPEND, -1, LATE_MS);
 
-			late->ticket = effect->append.stream;
-			late->data = (uint8_t *)g_strdup(effect->append.data);
-			event_post(world, late);
+			late_append->ticket = effect->append.stream;
+			late_append->data = (uint8_t *)g_strdup(effect->append.data);
+			event_post(world, late_append);
 		} else {
 			world_append(world, effect->append.stream, effect->append.data);
 		}
@@ -398,13 +403,15 @@
 static void do_send(struct world *world, int index, const struct cw_effect *effect)
 {
 	int to = (int)g_ascii_strtoll(effect->send.address + 1, NULL, 10);
-	int copies = g_rand_int_range(world->random, 0, 1000) < world->twice ? 2 : 1;
+	int copies = g_rand_int_range(world->random, 0, 1000) < world->duplicate_per_mille ? 2 : 1;
 
-	if (is_cut(world, index, to) || g_rand_int_range(world->random, 0, 1000) < world->drop)
+	if (is_partitioned(world, index, to) ||
+	    g_rand_int_range(world->random, 0, 1000) < world->drop_per_mille)
 		return;
 	for (int i = 0; i < copies; i++) {
-		int64_t jitter =
-			world->drop || world->twice ? g_rand_int_range(world->random, 0, 50) : 0;
+		int64_t jitter = world->drop_per_mille || world->duplicate_per_mille
+					 ? g_rand_int_range(world->random, 0, 50)
+					 : 0;
 		struct event *event =
 			event_create(world, EVENT_PEER, to, world->config.latency_ms + jitter);
 
@@ -418,14 +425,15 @@
 {
 	struct event *event =
 		event_create(world, EVENT_RATED, index, world->config.platform_ms + 20);
-	struct world_request *request = g_hash_table_lookup(world->by_handle, &effect->handle);
+	struct world_request *request =
+		g_hash_table_lookup(world->requests_by_handle, &effect->handle);
 
 	event->ticket = effect->rate.checked ? effect->handle : 0;
 	event->task = effect->rate.task;
 	event->common = effect->rate.common;
 	event->version = effect->rate.version_id;
 	event->offset = effect->rate.tokens;
-	event->score = platform_is_out(world, index) || !request ? -1 : request->quality;
+	event->score = is_store_unreachable(world, index) || !request ? -1 : request->quality;
 	event_post(world, event);
 }
 
@@ -439,12 +447,13 @@
 	event_post(world, event);
 }
 
-static void end_request(struct world *world, const struct cw_effect *effect)
+static void record_final_answer(struct world *world, const struct cw_effect *effect)
 {
-	struct world_request *request = g_hash_table_lookup(world->by_handle, &effect->handle);
+	struct world_request *request =
+		g_hash_table_lookup(world->requests_by_handle, &effect->handle);
 
-	request->finals++;
-	if (request->finals > 1)
+	request->final_answers++;
+	if (request->final_answers > 1)
 		return;
 	request->end = effect->kind;
 	request->ended_ms = world->now_ms;
@@ -457,7 +466,7 @@
 		world->config.on_end(world->config.context, world, request);
 }
 
-static int is_cut(const struct world *world, int from, int to)
+static int is_partitioned(const struct world *world, int from, int to)
 {
 	int a = world->nodes[from].domain;
 	int b = world->nodes[to].domain;
@@ -465,12 +474,12 @@
 	return a != b && (world->cut[a] || world->cut[b]);
 }
 
-static int platform_is_out(const struct world *world, int node)
+static int is_store_unreachable(const struct world *world, int node)
 {
-	return world->outage || world->nodes[node].cut_platform;
+	return world->outage || world->nodes[node].is_store_cut;
 }
 
-static gint by_time(gconstpointer a, gconstpointer b, gpointer unused)
+static gint compare_event_times(gconstpointer a, gconstpointer b, gpointer unused)
 {
 	const struct event *left = a;
 	const struct event *right = b;
--- a/tests/fake/world.h
+++ b/tests/fake/world.h
@@ -1,7 +1,8 @@
 /*
- * Fakes at the node's interfaces, in virtual time from a seed: a log, a list, a rating service,
- * backend servers and the ways between them. They drive the real cw_node of several instances for
- * the fuzzer and the experiments. No network is simulated beyond "arrives, late, twice or never".
+ * Deterministic simulation of a cluster, in virtual time and from a seed: the shared store's log,
+ * the server list, the rating service, backend servers and the network between them. The simulation
+ * drives the real cw_node of several instances, for the fuzzer and the experiments. A message of
+ * the network arrives, arrives late, arrives twice or is lost; nothing else is modelled.
  */
 #ifndef WORLD_H
 #define WORLD_H
@@ -16,45 +17,45 @@
 
 struct world;
 
-struct world_request { /* the caller's side; lives as long as the world */
+struct world_request { /* a caller's view of its request; lives as long as the world */
 	struct cw_request_in in;
-	int node;	   /* where it was sent */
-	unsigned int boot; /* that node's incarnation */
+	int node;	   /* the instance that received the request */
+	unsigned int boot; /* the instance's incarnation at that time */
 	int64_t began_ms;
-	int64_t first_ms;	 /* virtual time of its first chunk, -1 none */
-	int64_t ended_ms;	 /* final answer, -1 none */
+	int64_t first_ms;	 /* virtual time of the first chunk, -1: none */
+	int64_t ended_ms;	 /* virtual time of the final answer, -1: none */
 	enum cw_effect_kind end; /* RELEASE, REFUSE or REPLAY */
 	enum cw_code code;
 	enum cw_run run;
 	int64_t retry_after_ms;
-	unsigned int dispatched;
-	unsigned int ran; /* times a server really ran it */
-	unsigned int finals;
-	char model[CW_NAME_MAX]; /* of the last dispatch */
+	unsigned int dispatched; /* attempts sent to backend servers */
+	unsigned int runs; /* times a backend server began to run it; resumed streams not counted */
+	unsigned int final_answers; /* final answers that the caller got */
+	char model[CW_NAME_MAX];    /* of the last dispatch */
 	char version[CW_NAME_MAX];
 	char session_token[CW_TOKEN_MAX];
-	double quality; /* of the answer shown; -1 none */
+	double quality; /* of the answer that was delivered; -1: none */
 	double cost;
-	unsigned int tokens; /* the true length of its answer */
-	unsigned int shown;  /* chunks */
-	void *user;
+	unsigned int tokens;	   /* length of a complete answer */
+	unsigned int shown_chunks; /* chunks that the caller has got */
+	void *user;		   /* for the test's own use */
 };
 
 enum world_task { TASK_TAG, TASK_ENQUIRY, TASK_REPORT, TASK_CIRCULAR, TASKS };
 
 extern const char *const world_task_names[TASKS];
 
-struct world_profile { /* how one version behaves */
+struct world_profile { /* behaviour of one version of a model */
 	char model[CW_NAME_MAX];
 	char version[CW_NAME_MAX];
 	double quality, quality_sigma;
-	double task_quality[4]; /* by world_task; 0: as quality says */
-	double failure;		/* share of requests that fail */
-	double slow;		/* factor on its times */
+	double task_quality[4]; /* indexed by enum world_task; 0: quality holds */
+	double failure;		/* share of requests that fail, 0 to 1 */
+	double slow;		/* factor on first_ms and token_ms */
 	double cost_per_1k;
-	double first_ms; /* prefill of one request alone */
+	double first_ms; /* prefill of a prompt of 700 tokens on an idle server */
 	double token_ms;
-	int64_t bad_from_ms; /* from then on the three below hold; -1 never */
+	int64_t bad_from_ms; /* the bad_ values replace those above from then on; -1: never */
 	double bad_quality, bad_failure, bad_slow;
 };
 
@@ -66,23 +67,23 @@
 	int down;
 	int64_t fencing;
 	int checks_fencing;
-	uint64_t cache[64]; /* prompt prefixes held, least recently used last */
-	GQueue *queue;	    /* of struct attempt_run */
+	uint64_t cache[64]; /* hashes of cached prompt prefixes, most recently used first */
+	GQueue *queue;	    /* of struct event, the attempts that wait for a slot */
 	GPtrArray *versions;
 };
 
 struct world_config {
 	int nodes, domains, servers, slots, services;
 	uint64_t seed;
-	int64_t latency_ms;    /* between instances, and to servers */
-	int64_t platform_ms;   /* to the platform */
-	int64_t report_lag_ms; /* age of a load report */
+	int64_t latency_ms;    /* one way, between instances and to backend servers */
+	int64_t platform_ms;   /* one way, to the shared store */
+	int64_t report_lag_ms; /* age of a load report when it is read */
 	int64_t tick_ms;
-	int64_t retention_ms;	    /* of the log; 0 for ever */
-	int trace;		    /* print the time line; wants node.events */
+	int64_t retention_ms;	    /* of the log's records; 0: unlimited */
+	int trace;		    /* print the node's events; needs node.events */
 	struct cw_node_config node; /* timings and policies; names and servers are filled in */
-	/* Told of every final answer, and of each dispatch before it is carried out; may be NULL.
-	 */
+	/* Callbacks, any of them may be NULL: after a request's final answer, before an attempt is
+	 * sent, and before a peer's message is delivered. */
 	void (*on_end)(void *context, struct world *world, struct world_request *request);
 	void (*on_dispatch)(void *context, struct world *world, struct world_request *request,
 			    int node, const struct cw_effect *effect);
@@ -91,15 +92,15 @@
 };
 
 struct world_node {
-	struct cw_node *node; /* NULL: crashed */
+	struct cw_node *node; /* NULL: not running */
 	unsigned int boot;
 	int domain;
 	int paused;
 	int64_t resumed_ms;
-	int stopped;	       /* told so itself */
-	int64_t stop_asked_ms; /* -1 never */
-	int cut_platform;
-	uint64_t messages, bytes; /* sent to peers */
+	int stopped;		   /* the node has reported that its graceful stop is complete */
+	int64_t stop_requested_ms; /* of world_stop, -1: never */
+	int is_store_cut;	   /* the shared store is unreachable from here */
+	uint64_t messages, bytes;  /* sent to peers */
 	uint64_t appends, reads, read_bytes;
 };
 
@@ -110,41 +111,41 @@
 
 struct world *world_create(const struct world_config *config);
 void world_destroy(struct world *world);
-void world_start(struct world *world, int node); /* a new incarnation, with an empty memory */
+void world_start(struct world *world, int node); /* a new incarnation, without earlier state */
 void world_crash(struct world *world, int node);
-void world_stop(struct world *world, int node);		     /* SIGTERM */
-void world_pause(struct world *world, int node, int paused); /* SIGSTOP, SIGCONT */
+void world_stop(struct world *world, int node);			  /* SIGTERM */
+void world_set_paused(struct world *world, int node, int paused); /* SIGSTOP, SIGCONT */
 void world_cut(struct world *world, int domain,
-	       int cut); /* a failure domain from all others' instances */
+	       int cut); /* between its instances and those of all other domains */
 void world_cut_platform(struct world *world, int node, int cut);
-void world_outage(struct world *world, int outage);
-void world_lose_appends(struct world *world, int count,
-			int late); /* kept, not answered; late: kept only after a while */
-void world_drop(struct world *world, int per_mille,
-		int twice_per_mille);	/* messages between instances */
-void world_expire(struct world *world); /* records past the retention */
+void world_set_outage(struct world *world, int outage);
+void world_lose_append_answers(struct world *world, int count,
+			       int is_late); /* stored, at once or late; the answer is lost */
+void world_set_message_faults(struct world *world, int drop_per_mille,
+			      int duplicate_per_mille); /* of messages between instances */
+void world_expire_records(struct world *world);		/* removes records past the retention */
 uint64_t world_append(struct world *world, enum cw_stream stream,
-		      const char *data); /* an operator; returns the offset */
+		      const char *data); /* as an operator does; returns the record's offset */
 void world_profile(struct world *world, const struct world_profile *profile);
 void world_load_everywhere(struct world *world, const char *model, const char *version);
 struct world_request *world_send(struct world *world, int node, const struct cw_request_in *in,
 				 unsigned int tokens);
-void world_run(struct world *world, int64_t ms); /* lets virtual time pass */
+void world_run(struct world *world, int64_t ms); /* advances virtual time, delivers events */
 int64_t world_now(const struct world *world);
 struct world_node *world_node(struct world *world, int node);
 struct world_server *world_server(struct world *world, int server);
 const GPtrArray *
 world_log(const struct world *world,
-	  enum cw_stream stream); /* of struct world_record; the first ever is at index 0 */
+	  enum cw_stream stream); /* of struct world_record, expired ones too; index = offset - 1 */
 const GPtrArray *world_requests(const struct world *world);
-struct cw_node *world_any_node(struct world *world);
-double world_random(struct world *world); /* 0 to 1 */
+struct cw_node *world_find_running_node(struct world *world);
+double world_random(struct world *world); /* uniform, 0 to 1 */
 
-/* A table of the users' shape: rows "organisation,model,version,weight,cost,target,state". */
+/* Writes rows of the model table: "organisation,model,version,weight,cost,target,state". */
 void world_publish(struct world *world, const char *const *rows);
 void world_set(struct world *world, const char *organisation, const char *model,
 	       const char *version, const char *column, const char *value);
-void world_key(struct world *world, const char *organisation); /* its key is its name */
+void world_key(struct world *world, const char *organisation); /* the key is the name */
 void world_request_init(struct cw_request_in *in, const char *organisation, const char *target,
 			unsigned int flags);
 
--- a/tests/fake/world_internal.h
+++ b/tests/fake/world_internal.h
@@ -8,11 +8,11 @@
 	EVENT_PEER,
 	EVENT_READ,
 	EVENT_APPENDED,
-	EVENT_LATE_APPEND,
+	EVENT_LATE_APPEND, /* an append is stored after its caller got a failure */
 	EVENT_RATED,
 	EVENT_ORDERED,
-	EVENT_ARRIVE, /* an attempt reaches its server */
-	EVENT_RUN,    /* a slot of a server is free again */
+	EVENT_ARRIVE, /* an attempt reaches its backend server */
+	EVENT_RUN,    /* a backend server has finished running an attempt */
 	EVENT_ATTEMPT_END,
 	EVENT_LOAD,
 };
@@ -20,13 +20,13 @@
 struct event {
 	enum event_kind kind;
 	int64_t at_ms;
-	uint64_t order;
-	int node; /* -1: nobody's */
+	uint64_t order; /* of creation, between events of the same time */
+	int node;	/* the addressed instance, -1: none */
 	unsigned int boot;
 	struct cw_effect *effect;
 	uint8_t *data;
 	size_t size;
-	int waited;
+	int is_wait_over; /* a read that may no longer wait for records */
 	uint64_t ticket;
 	enum cw_status status;
 	uint64_t offset;
@@ -48,20 +48,20 @@
 	struct world_server servers[WORLD_SERVERS_MAX];
 	int server_count;
 	GPtrArray *log[CW_STREAMS];
-	uint64_t first[CW_STREAMS];
-	GPtrArray *readers;
+	uint64_t first_offsets[CW_STREAMS];
+	GPtrArray *waiting_reads;
 	GPtrArray *requests;
-	GHashTable *by_handle;
+	GHashTable *requests_by_handle;
 	GPtrArray *profiles;
 	int cut[WORLD_DOMAINS];
-	int outage, lose_appends, lose_late, drop, twice;
+	int outage, lost_answers_left, is_lost_append_late, drop_per_mille, duplicate_per_mille;
 };
 
 /* world.c */
 struct event *event_create(struct world *world, enum event_kind kind, int node, int64_t delay_ms);
-void event_post(struct world *world, struct event *event); /* takes it */
+void event_post(struct world *world, struct event *event); /* takes ownership of the event */
 void event_destroy(struct event *event);
-void step(struct world *world, int node, struct cw_event *event);
+void world_step_node(struct world *world, int node, struct cw_event *event);
 
 /* servers.c */
 void servers_create(struct world *world);
