--- a/tests/fuzz/fuzz_node.c
+++ b/tests/fuzz/fuzz_node.c
@@ -1,4 +1,5 @@
-/* The fuzz target of several nodes: libFuzzer writes the schedule, the oracle judges it. */
+/* Fuzz target of several cooperating nodes: the input is a schedule of operations and faults, and
+ * the oracle checks every guarantee while the schedule runs. */
 #include "oracle.h"
 
 #include <stdio.h>
@@ -8,10 +9,10 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	const char *broken = schedule_run(data, size);
+	const char *violation = schedule_run(data, size);
 
-	if (broken) {
-		fprintf(stderr, "promise broken: %s\n", broken);
+	if (violation) {
+		fprintf(stderr, "promise broken: %s\n", violation);
 		abort();
 	}
 	return 0;
--- a/tests/fuzz/oracle.c
+++ b/tests/fuzz/oracle.c
@@ -4,20 +4,17 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Well under the retention: a table that nobody could write anew for all of it is lost by design.
- */
-
 struct oracle oracle;
 static uint64_t requests_sent;
 
-static void set_up(uint64_t seed);
-static void tear_down(void);
-static void play(uint8_t op, uint8_t argument);
+static void oracle_set_up(uint64_t seed);
+static void oracle_tear_down(void);
+static void execute_operation(uint8_t op, uint8_t argument);
 static void send_chat(uint8_t argument);
 static void send_order(uint8_t argument);
 static void edit_table(uint8_t argument);
-static void heal(void);
-static void keep_links(void);
+static void recover(void);
+static void track_connectivity(void);
 
 const char *schedule_run(const uint8_t *data, size_t size)
 {
@@ -25,15 +22,15 @@
 
 	if (size < 2)
 		return NULL;
-	set_up(data[0]);
-	for (size_t i = 1; i + 1 < size && ops < OPS_MAX && !oracle.broken; i += 2, ops++)
-		play(data[i], data[i + 1]);
-	if (!oracle.broken) {
-		heal();
-		oracle_check_at_end();
+	oracle_set_up(data[0]);
+	for (size_t i = 1; i + 1 < size && ops < OPS_MAX && !oracle.violation; i += 2, ops++)
+		execute_operation(data[i], data[i + 1]);
+	if (!oracle.violation) {
+		recover();
+		oracle_check_final_state();
 	}
-	tear_down();
-	return oracle.broken;
+	oracle_tear_down();
+	return oracle.violation;
 }
 
 uint64_t schedule_requests(void)
@@ -41,7 +38,7 @@
 	return requests_sent;
 }
 
-static void set_up(uint64_t seed)
+static void oracle_set_up(uint64_t seed)
 {
 	static const char *const rows[] = {"a,m,1,100,1,,allowed", "a,m,2,100,1,,allowed",
 					   "a,m,3,50,1,,allowed", "a,service:orders,,,,,allowed",
@@ -49,7 +46,7 @@
 	struct world_config config = {
 		.nodes = NODES,
 		.domains = 3,
-		.servers = ENGINES,
+		.servers = MODEL_SERVERS,
 		.services = SERVICES,
 		.slots = 4,
 		.seed = seed,
@@ -84,7 +81,7 @@
 	memcpy(oracle.key, config.node.peer_key, CW_KEY_BYTES);
 	oracle.world = world_create(&config);
 	oracle.mirrors = g_array_new(FALSE, FALSE, sizeof(struct mirror));
-	for (int i = 0; i < KEYS; i++)
+	for (int i = 0; i < IDEMPOTENCY_KEYS; i++)
 		oracle.orders[i].requests = g_ptr_array_new();
 	for (int version = 1; version <= VERSIONS; version++) {
 		g_snprintf(profile.version, CW_NAME_MAX, "%d", version);
@@ -99,16 +96,16 @@
 	world_run(oracle.world, 2000);
 }
 
-static void tear_down(void)
+static void oracle_tear_down(void)
 {
 	world_destroy(oracle.world);
 	g_array_unref(oracle.mirrors);
-	for (int i = 0; i < KEYS; i++)
+	for (int i = 0; i < IDEMPOTENCY_KEYS; i++)
 		g_ptr_array_unref(oracle.orders[i].requests);
 }
 
-/* One operation and its argument; between any two some virtual time passes. */
-static void play(uint8_t op, uint8_t argument)
+/* Executes one operation and then lets some virtual time pass. */
+static void execute_operation(uint8_t op, uint8_t argument)
 {
 	struct world *world = oracle.world;
 	int node = argument % NODES;
@@ -128,7 +125,7 @@
 	case 4:
 		edit_table(argument);
 		break;
-	case 5: /* SIGKILL; the next start is one of the following operations, or the heal */
+	case 5: /* SIGKILL; the node is started again by an operation, or after REPLACEMENT_MS */
 		if (state->node) {
 			world_crash(world, node);
 			oracle.crashed_ms[node] = world_now(world);
@@ -143,7 +140,7 @@
 		world_cut(world, node, argument & 0x80);
 		break;
 	case 8:
-		if (argument & 0x80 && !state->cut_platform)
+		if (argument & 0x80 && !state->is_store_cut)
 			oracle.cut_ms[node] = world_now(world);
 		world_cut_platform(world, node, argument & 0x80);
 		break;
@@ -152,52 +149,51 @@
 		    world_now(world) < oracle.outage_ms + OUTAGE_MAX_MS + OUTAGE_GAP_MS &&
 		    oracle.outage_ms)
 			break;
-		if (argument & 0x80 && !oracle.platform_trouble)
+		if (argument & 0x80 && !oracle.is_store_out)
 			oracle.outage_ms = world_now(world);
-		oracle.platform_trouble = argument & 0x80;
-		world_outage(world, argument & 0x80);
+		oracle.is_store_out = argument & 0x80;
+		world_set_outage(world, argument & 0x80);
 		break;
 	case 10:
-		world_lose_appends(world, argument % 4, argument & 0x80);
+		world_lose_append_answers(world, argument % 4, argument & 0x80);
 		break;
 	case 11:
-		world_drop(world, (argument % 8) * 60, (argument / 8 % 8) * 60);
+		world_set_message_faults(world, (argument % 8) * 60, (argument / 8 % 8) * 60);
 		break;
 	case 12:
 		if (state->node)
-			world_pause(world, node, argument & 0x80);
+			world_set_paused(world, node, argument & 0x80);
 		break;
 	case 13:
 		world_stop(world, node);
 		break;
 	case 14:
-		world_server(world, argument % (ENGINES + SERVICES))->down = argument & 0x80;
+		world_server(world, argument % (MODEL_SERVERS + SERVICES))->down = argument & 0x80;
 		break;
 	default:
-		world_expire(world);
+		world_expire_records(world);
 		break;
 	}
-	keep_links();
+	track_connectivity();
 	world_run(world, 10 + (int64_t)argument * (op & 0x40 ? 20 : 1));
 	for (int i = 0; i < NODES; i++)
 		if (!world_node(world, i)->node &&
-		    world_now(world) - oracle.crashed_ms[i] > REPLACED_MS)
+		    world_now(world) - oracle.crashed_ms[i] > REPLACEMENT_MS)
 			world_start(world, i);
 	for (int i = 0; i < NODES; i++)
-		if (world_node(world, i)->cut_platform &&
+		if (world_node(world, i)->is_store_cut &&
 		    world_now(world) - oracle.cut_ms[i] > OUTAGE_MAX_MS)
 			world_cut_platform(world, i, 0);
-	if (oracle.platform_trouble && world_now(world) - oracle.outage_ms > OUTAGE_MAX_MS) {
-		oracle.platform_trouble = 0;
-		world_outage(world, 0);
+	if (oracle.is_store_out && world_now(world) - oracle.outage_ms > OUTAGE_MAX_MS) {
+		oracle.is_store_out = 0;
+		world_set_outage(world, 0);
 	}
-	/* A node that has stopped of itself, and is gone for good, is replaced as a platform would.
-	 */
+	/* A node that has completed its graceful stop is replaced, as an orchestrator would. */
 	for (int i = 0; i < NODES; i++) {
 		if (world_node(world, i)->node && world_node(world, i)->stopped) {
 			if (cw_node_running(world_node(world, i)->node) > 0)
-				oracle_broke("graceful stop",
-					     "e%d stopped with requests in progress", i);
+				oracle_report_violation("graceful stop",
+							"e%d stopped with requests in progress", i);
 			world_crash(world, i);
 			world_start(world, i);
 			oracle.connected_ms[i] = -1;
@@ -228,17 +224,17 @@
 {
 	struct cw_request_in in;
 	int node = argument % NODES;
-	int key = argument / NODES % (KEYS + 1);
+	int key = argument / NODES % (IDEMPOTENCY_KEYS + 1);
 
 	if (!world_node(oracle.world, node)->node)
 		return;
 	world_request_init(&in, "a", "orders", CW_REQUEST_SERVICE);
-	if (key < KEYS)
+	if (key < IDEMPOTENCY_KEYS)
 		g_snprintf(in.idempotency_key, CW_ID_MAX, "k%d", key);
 	in.deadline_ms = world_now(oracle.world) + DEADLINE_MS;
 	requests_sent++;
-	if (key < KEYS) {
-		/* The handle is given by world_send; what ran is summed up at the end. */
+	if (key < IDEMPOTENCY_KEYS) {
+		/* check_orders adds up the runs of all requests with this key. */
 		g_ptr_array_add(oracle.orders[key].requests,
 				world_send(oracle.world, node, &in, 0));
 	} else {
@@ -250,15 +246,15 @@
 {
 	char version[8];
 	struct edit *edit = &oracle.edits[oracle.edit_count];
-	int others = 0;
+	int other_allowed = 0;
 
 	if (oracle.edit_count >= G_N_ELEMENTS(oracle.edits))
 		return;
 	edit->version = 1 + argument % VERSIONS;
 	edit->allowed = argument & 0x80 ? 1 : 0;
 	for (int i = 1; i <= VERSIONS; i++)
-		others += i != edit->version && oracle_allowed_at(i, UINT64_MAX);
-	if (!others)
+		other_allowed += i != edit->version && oracle_allowed_at(i, UINT64_MAX);
+	if (!other_allowed)
 		return;
 	g_snprintf(version, sizeof(version), "%d", edit->version);
 	world_set(oracle.world, "a", "m", version, "state",
@@ -268,39 +264,39 @@
 	oracle.edit_count++;
 }
 
-/* Since when each node has been running, unpaused, and able to read the platform. */
-static void keep_links(void)
+/* Notes since when each node has been running, not paused and able to read the shared store. */
+static void track_connectivity(void)
 {
 	for (int i = 0; i < NODES; i++) {
 		struct world_node *node = world_node(oracle.world, i);
-		int linked = node->node && !node->paused && !node->cut_platform &&
-			     !oracle.platform_trouble;
+		int is_connected =
+			node->node && !node->paused && !node->is_store_cut && !oracle.is_store_out;
 
-		if (!linked)
+		if (!is_connected)
 			oracle.connected_ms[i] = -1;
 		else if (oracle.connected_ms[i] < 0)
 			oracle.connected_ms[i] = world_now(oracle.world);
 	}
 }
 
-static void heal(void)
+static void recover(void)
 {
 	struct world *world = oracle.world;
 
-	world_outage(world, 0);
-	world_lose_appends(world, 0, 0);
-	world_drop(world, 0, 0);
+	world_set_outage(world, 0);
+	world_lose_append_answers(world, 0, 0);
+	world_set_message_faults(world, 0, 0);
 	for (int i = 0; i < NODES; i++) {
 		world_cut(world, i, 0);
 		world_cut_platform(world, i, 0);
 		if (!world_node(world, i)->node)
 			world_start(world, i);
-		world_pause(world, i, 0);
+		world_set_paused(world, i, 0);
 	}
-	for (int i = 0; i < ENGINES + SERVICES; i++)
+	for (int i = 0; i < MODEL_SERVERS + SERVICES; i++)
 		world_server(world, i)->down = 0;
-	for (int64_t healed_ms = 0; healed_ms < HEAL_MS; healed_ms += EXPIRE_STEP_MS) {
-		world_expire(world);
+	for (int64_t recovered_ms = 0; recovered_ms < RECOVERY_MS; recovered_ms += EXPIRE_STEP_MS) {
+		world_expire_records(world);
 		world_run(world, EXPIRE_STEP_MS);
 	}
 }
--- a/tests/fuzz/oracle.h
+++ b/tests/fuzz/oracle.h
@@ -1,6 +1,7 @@
 /*
- * The oracle of the stateful fuzzer: it knows the promises and the fakes, none of the node's code.
- * schedule_run plays one schedule of events and returns the promise that broke, NULL when all held.
+ * Oracle of the stateful fuzzer. It knows the guarantees that the router gives and what the
+ * simulation observed, but nothing of the node's implementation. schedule_run executes one schedule
+ * of operations and returns a text about the first guarantee that was violated, or NULL.
  */
 #ifndef ORACLE_H
 #define ORACLE_H
@@ -8,7 +9,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-const char *schedule_run(const uint8_t *data, size_t size); /* the text lives until the next call */
-uint64_t schedule_requests(void);			    /* sent by all schedules so far */
+const char *schedule_run(const uint8_t *data, size_t size); /* valid until the next call */
+uint64_t schedule_requests(void); /* requests sent in all schedules so far */
 
 #endif
--- a/tests/fuzz/oracle_checks.c
+++ b/tests/fuzz/oracle_checks.c
@@ -1,4 +1,4 @@
-/* The promises, held against what the fakes saw. */
+/* Checks of the router's guarantees against what the simulation observed. */
 #include "oracle_internal.h"
 
 #include "cw_peer.h"
@@ -8,12 +8,12 @@
 
 static void check_tables(void);
 static void check_bills(void);
-static int bill_is_due(const struct world_request *request);
+static int is_bill_due(const struct world_request *request);
 static void check_requests(void);
 static void check_orders(void);
-static int withdrawn_between(int version, uint64_t from, uint64_t to);
+static int was_withdrawn_between(int version, uint64_t from, uint64_t to);
 
-void oracle_check_at_end(void)
+void oracle_check_final_state(void)
 {
 	check_requests();
 	check_orders();
@@ -24,14 +24,14 @@
 static void check_tables(void)
 {
 	const GPtrArray *log = world_log(oracle.world, CW_STREAM_TABLE);
-	guint due = log->len;
-
-	/* What was appended a moment ago may still be on its way. */
-	while (due > 0 &&
-	       world_now(oracle.world) -
-			       ((struct world_record *)g_ptr_array_index(log, due - 1))->time_ms <
-		       IN_FORCE_MS)
-		due--;
+	guint visible = log->len;
+
+	/* Records appended within the last PROPAGATION_MAX_MS may still be in transit. */
+	while (visible > 0 && world_now(oracle.world) - ((struct world_record *)g_ptr_array_index(
+								 log, visible - 1))
+								->time_ms <
+				      PROPAGATION_MAX_MS)
+		visible--;
 	for (int i = 0; i < NODES; i++) {
 		struct world_node *node = world_node(oracle.world, i);
 		const struct cw_table *table;
@@ -39,22 +39,24 @@
 		if (!node->node || node->stopped)
 			continue;
 		table = cw_node_table(node->node);
-		if (cw_table_offset(table) < due)
-			oracle_broke("convergence", "e%d is at table offset %lu of %u", i,
-				     (unsigned long)cw_table_offset(table), due);
+		if (cw_table_offset(table) < visible)
+			oracle_report_violation("convergence", "e%d is at table offset %lu of %u",
+						i, (unsigned long)cw_table_offset(table), visible);
 		for (int version = 1; version <= VERSIONS; version++) {
 			char name[8];
 
 			g_snprintf(name, sizeof(name), "%d", version);
 			if (cw_table_is_allowed(cw_table_find_row(table, "a", "m", name)) !=
 			    oracle_allowed_at(version, UINT64_MAX))
-				oracle_broke("convergence", "e%d has version %d the wrong way", i,
-					     version);
+				oracle_report_violation(
+					"convergence",
+					"e%d and the log disagree on whether version %d is allowed",
+					i, version);
 		}
 	}
 }
 
-/* Every answer that was given is billed once, and nothing else is. */
+/* Every released answer must have a bill; a rejected or replayed request must have none. */
 static void check_bills(void)
 {
 	const GPtrArray *log = world_log(oracle.world, CW_STREAM_BILLS);
@@ -75,30 +77,33 @@
 		int is_billed = g_hash_table_contains(billed, request->in.request_id);
 
 		if (!is_billed && request->end == CW_EFFECT_RELEASE && request->ended_ms >= 0 &&
-		    bill_is_due(request))
-			oracle_broke("billed once", "%s was answered and has no bill",
-				     request->in.request_id);
+		    is_bill_due(request))
+			oracle_report_violation("billed once", "%s was answered but has no bill",
+						request->in.request_id);
 		if (is_billed && request->ended_ms >= 0 && request->end == CW_EFFECT_REFUSE)
-			oracle_broke("billed once", "%s was refused and has a bill",
-				     request->in.request_id);
+			oracle_report_violation("billed once", "%s was rejected but has a bill",
+						request->in.request_id);
 		if (is_billed && request->ended_ms >= 0 && request->end == CW_EFFECT_REPLAY)
-			oracle_broke("billed once", "%s was replayed and has a bill of its own",
-				     request->in.request_id);
+			oracle_report_violation("billed once",
+						"%s was replayed but has a bill of its own",
+						request->in.request_id);
 	}
 	g_hash_table_destroy(billed);
 	for (int i = 0; i < NODES; i++) {
 		struct world_node *node = world_node(oracle.world, i);
 
-		/* A mirror that never learns that its bill stands would bill again when its origin
-		 * dies. */
+		/* A mirror that never learns that a bill is in the log would bill the request a
+		 * second time when the instance of origin crashes. */
 		if (node->node && !node->stopped && cw_node_bills_held(node->node) > 0)
-			oracle_broke("billed once", "e%d still holds %zu bills", i,
-				     cw_node_bills_held(node->node));
+			oracle_report_violation(
+				"billed once",
+				"e%d still has %zu bills that it has not seen in the log", i,
+				cw_node_bills_held(node->node));
 	}
 }
 
-/* The origin lives on, or a peer that holds the bill does. */
-static int bill_is_due(const struct world_request *request)
+/* A bill must be written while the instance of origin, or a peer with a copy, has not crashed. */
+static int is_bill_due(const struct world_request *request)
 {
 	const struct world_node *origin = world_node(oracle.world, request->node);
 
@@ -122,43 +127,47 @@
 		const struct world_request *request = g_ptr_array_index(requests, i);
 		int alive = world_node(oracle.world, request->node)->boot == request->boot;
 
-		if (request->finals > 1)
-			oracle_broke("one whole answer", "%s got %u final answers",
-				     request->in.request_id, request->finals);
-		if (alive && request->finals == 0)
-			oracle_broke("one whole answer", "%s never got a final answer",
-				     request->in.request_id);
-		if (request->finals == 1 && request->end == CW_EFFECT_REFUSE &&
-		    request->run == CW_RUN_NOT && request->ran > 0)
-			oracle_broke("not run", "%s was refused as not run and ran %u times",
-				     request->in.request_id, request->ran);
-		if (request->finals == 1 && request->end == CW_EFFECT_RELEASE && request->ran == 0)
-			oracle_broke("one whole answer", "%s was answered and never ran",
-				     request->in.request_id);
-		if (request->in.flags & CW_REQUEST_SERVICE && request->ran > 1)
-			oracle_broke("at most once", "%s ran %u times", request->in.request_id,
-				     request->ran);
+		if (request->final_answers > 1)
+			oracle_report_violation("one whole answer", "%s got %u final answers",
+						request->in.request_id, request->final_answers);
+		if (alive && request->final_answers == 0)
+			oracle_report_violation("one whole answer", "%s never got a final answer",
+						request->in.request_id);
+		if (request->final_answers == 1 && request->end == CW_EFFECT_REFUSE &&
+		    request->run == CW_RUN_NOT && request->runs > 0)
+			oracle_report_violation("not run",
+						"%s was rejected as not run but ran %u times",
+						request->in.request_id, request->runs);
+		if (request->final_answers == 1 && request->end == CW_EFFECT_RELEASE &&
+		    request->runs == 0)
+			oracle_report_violation("one whole answer", "%s was answered but never ran",
+						request->in.request_id);
+		if (request->in.flags & CW_REQUEST_SERVICE && request->runs > 1)
+			oracle_report_violation("at most once", "%s ran %u times",
+						request->in.request_id, request->runs);
 	}
 }
 
 static void check_orders(void)
 {
-	for (int key = 0; key < KEYS; key++) {
-		unsigned int ran = 0;
+	for (int key = 0; key < IDEMPOTENCY_KEYS; key++) {
+		unsigned int runs = 0;
 		int answered = 0;
 
 		for (guint i = 0; i < oracle.orders[key].requests->len; i++) {
 			const struct world_request *request =
 				g_ptr_array_index(oracle.orders[key].requests, i);
 
-			ran += request->ran;
+			runs += request->runs;
 			answered |= request->ended_ms >= 0 && request->end != CW_EFFECT_REFUSE;
 		}
-		if (ran > 1)
-			oracle_broke("at most once", "orders with key k%d ran %u times", key, ran);
-		if (answered && ran == 0)
-			oracle_broke("one whole answer",
-				     "an order with key k%d was answered and none ran", key);
+		if (runs > 1)
+			oracle_report_violation("at most once", "orders with key k%d ran %u times",
+						key, runs);
+		if (answered && runs == 0)
+			oracle_report_violation("one whole answer",
+						"an order with key k%d was answered but none ran",
+						key);
 	}
 }
 
@@ -172,7 +181,7 @@
 	return allowed;
 }
 
-static int withdrawn_between(int version, uint64_t from, uint64_t to)
+static int was_withdrawn_between(int version, uint64_t from, uint64_t to)
 {
 	for (size_t i = 0; i < oracle.edit_count; i++)
 		if (oracle.edits[i].version == version && !oracle.edits[i].allowed &&
@@ -189,33 +198,42 @@
 	int version = (int)g_ascii_strtoll(effect->dispatch.version, NULL, 10);
 	struct session *session;
 
-	if (node->stop_asked_ms >= 0 && request->began_ms > node->stop_asked_ms + GRACE_MS + 100)
-		oracle_broke("leaving", "e%d dispatched %s that came after its grace", index,
-			     request->in.request_id);
+	if (node->stop_requested_ms >= 0 &&
+	    request->began_ms > node->stop_requested_ms + GRACE_MS + 100)
+		oracle_report_violation(
+			"leaving",
+			"e%d dispatched %s, which arrived after the grace period of its stop",
+			index, request->in.request_id);
 	if (request->in.flags & CW_REQUEST_SERVICE)
 		return;
 	if (!oracle_allowed_at(version, offset))
-		oracle_broke("allowed only", "%s went to version %d, not allowed at offset %lu",
-			     request->in.request_id, version, (unsigned long)offset);
-	/* Whoever could read the log for so long must know of a withdrawal. */
+		oracle_report_violation(
+			"allowed only",
+			"%s was sent to version %d, which is not allowed at table offset %lu",
+			request->in.request_id, version, (unsigned long)offset);
+	/* An instance that could read the log for PROPAGATION_MAX_MS must have applied the edit. */
 	for (size_t i = 0; i < oracle.edit_count; i++) {
 		const struct edit *edit = &oracle.edits[i];
 
 		if (edit->offset > offset && oracle.connected_ms[index] >= 0 &&
-		    world_now(world) - MAX(edit->at_ms, oracle.connected_ms[index]) > IN_FORCE_MS)
-			oracle_broke("withdrawn", "e%d does not know of edit %lu after %d ms",
-				     index, (unsigned long)edit->offset, IN_FORCE_MS);
+		    world_now(world) - MAX(edit->at_ms, oracle.connected_ms[index]) >
+			    PROPAGATION_MAX_MS)
+			oracle_report_violation(
+				"withdrawn",
+				"e%d has not applied the edit at offset %lu after %d ms", index,
+				(unsigned long)edit->offset, PROPAGATION_MAX_MS);
 	}
 	if (!*request->in.session_id)
 		return;
 	session = &oracle.sessions[request->in.session_id[1] - '0'];
-	/* Only a request that carried the session's newest token is held to it. */
+	/* Only a request with the session's newest token is bound to the session's version. */
 	if (*session->token && !strcmp(session->token, request->in.session_token) &&
 	    strcmp(session->version, effect->dispatch.version) != 0 &&
-	    !withdrawn_between((int)g_ascii_strtoll(session->version, NULL, 10), session->since,
-			       offset))
-		oracle_broke("session", "session %s moved from version %s to %s",
-			     request->in.session_id, session->version, effect->dispatch.version);
+	    !was_withdrawn_between((int)g_ascii_strtoll(session->version, NULL, 10), session->since,
+				   offset))
+		oracle_report_violation("session", "session %s moved from version %s to %s",
+					request->in.session_id, session->version,
+					effect->dispatch.version);
 	if (!*session->token || strcmp(session->version, effect->dispatch.version) != 0)
 		session->since = offset;
 	g_strlcpy(session->version, effect->dispatch.version, CW_NAME_MAX);
@@ -224,17 +242,19 @@
 
 void oracle_on_end(void *context, struct world *world, struct world_request *request)
 {
-	int64_t due_ms =
+	int64_t latest_ms =
 		MAX(request->in.deadline_ms, world_node(world, request->node)->resumed_ms) +
-		HANG_MS;
-
-	if (request->ended_ms > due_ms)
-		oracle_broke("one whole answer", "%s ended %ld ms behind its deadline",
-			     request->in.request_id,
-			     (long)(request->ended_ms - request->in.deadline_ms));
-	if (request->end == CW_EFFECT_REFUSE && request->run == CW_RUN_NOT && request->ran > 0)
-		oracle_broke("not run", "%s was refused as not run and had run %u times",
-			     request->in.request_id, request->ran);
+		ANSWER_SLACK_MS;
+
+	if (request->ended_ms > latest_ms)
+		oracle_report_violation("one whole answer",
+					"%s got its final answer %ld ms after its deadline",
+					request->in.request_id,
+					(long)(request->ended_ms - request->in.deadline_ms));
+	if (request->end == CW_EFFECT_REFUSE && request->run == CW_RUN_NOT && request->runs > 0)
+		oracle_report_violation("not run",
+					"%s was rejected as not run but had run %u times",
+					request->in.request_id, request->runs);
 }
 
 void oracle_on_peer(void *context, struct world *world, int to, const void *data, size_t size)
@@ -255,16 +275,16 @@
 	cw_peer_release(&message);
 }
 
-void oracle_broke(const char *promise, const char *format, ...)
+void oracle_report_violation(const char *guarantee, const char *format, ...)
 {
 	char detail[200];
 	va_list args;
 
-	if (oracle.broken)
+	if (oracle.violation)
 		return;
 	va_start(args, format);
 	vsnprintf(detail, sizeof(detail), format, args);
 	va_end(args);
-	snprintf(oracle.text, sizeof(oracle.text), "%s: %s", promise, detail);
-	oracle.broken = oracle.text;
+	snprintf(oracle.text, sizeof(oracle.text), "%s: %s", guarantee, detail);
+	oracle.violation = oracle.text;
 }
--- a/tests/fuzz/test_schedules.c
+++ b/tests/fuzz/test_schedules.c
@@ -1,7 +1,9 @@
 /*
- * test_schedules: the saved corpus, then schedules from a fixed seed, through the same oracle as
- * the fuzzer. With arguments: SEED COUNT, for longer runs and for trials on broken code; or one
- * file. SAVE=FILE keeps the schedule that broke a promise; TRACE=1 prints what happens.
+ * test_schedules [SEED COUNT | FILE]: checks schedules with the oracle of the fuzzer. Without
+ * arguments the saved corpus runs, then random schedules from a fixed seed. SEED COUNT is for
+ * longer runs and for checking that the oracle detects a defect put into the code; FILE runs a
+ * single schedule. With SAVE=FILE in the environment a schedule that violates a guarantee is
+ * written to that file; TRACE=1 prints the operations and events.
  */
 #include "oracle.h"
 
@@ -9,9 +11,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#define SIZE_MAX_BYTES 121
+#define SCHEDULE_BYTES 121
 
-static int run_corpus(const char *folder);
+static int run_corpus(const char *corpus);
 static int run_file(const char *path);
 static int run_random(guint32 seed, unsigned int count);
 
@@ -27,14 +29,14 @@
 	return 0;
 }
 
-static int run_corpus(const char *folder)
+static int run_corpus(const char *corpus)
 {
-	GDir *dir = g_dir_open(folder, 0, NULL);
+	GDir *dir = g_dir_open(corpus, 0, NULL);
 	const char *name;
 	int failed = 0;
 
 	while (dir && !failed && (name = g_dir_read_name(dir))) {
-		char *path = g_build_filename(folder, name, NULL);
+		char *path = g_build_filename(corpus, name, NULL);
 
 		failed = run_file(path);
 		g_free(path);
@@ -46,17 +48,17 @@
 
 static int run_file(const char *path)
 {
-	const char *broken;
+	const char *violation;
 	char *data;
 	gsize size;
 
 	if (!g_file_get_contents(path, &data, &size, NULL))
 		return 1;
-	broken = schedule_run((const uint8_t *)data, size);
-	if (broken)
-		printf("%s: %s\n", path, broken);
+	violation = schedule_run((const uint8_t *)data, size);
+	if (violation)
+		printf("%s: %s\n", path, violation);
 	g_free(data);
-	return broken != NULL;
+	return violation != NULL;
 }
 
 static int run_random(guint32 seed, unsigned int count)
@@ -65,15 +67,15 @@
 	int failed = 0;
 
 	for (unsigned int i = 0; i < count && !failed; i++) {
-		uint8_t data[SIZE_MAX_BYTES];
-		const char *broken;
+		uint8_t data[SCHEDULE_BYTES];
+		const char *violation;
 
 		for (size_t j = 0; j < sizeof(data); j++)
 			data[j] = (uint8_t)g_rand_int_range(random, 0, 256);
-		broken = schedule_run(data, sizeof(data));
-		if (!broken)
+		violation = schedule_run(data, sizeof(data));
+		if (!violation)
 			continue;
-		printf("schedule %u of seed %u: %s\n", i + 1, seed, broken);
+		printf("schedule %u of seed %u: %s\n", i + 1, seed, violation);
 		if (g_getenv("SAVE"))
 			g_file_set_contents(g_getenv("SAVE"), (const char *)data, sizeof(data),
 					    NULL);
--- a/tests/fuzz/test_users.c
+++ b/tests/fuzz/test_users.c
@@ -1,4 +1,5 @@
-/* The same inputs without libFuzzer: a fixed seed, a fixed number; for make check. */
+/* Random inputs for the fuzz target of the routing decisions and decoders, without libFuzzer: a
+ * fixed number from a fixed seed, so that make check can run them. Arguments: SEED COUNT. */
 #include "users_input.h"
 
 #include <glib.h>
@@ -20,7 +21,7 @@
 
 		for (int j = 0; j < size; j++)
 			bytes[j] = (uint8_t)g_rand_int_range(random, 0, 256);
-		users_input(bytes, (size_t)size);
+		users_run_input(bytes, (size_t)size);
 	}
 	g_rand_free(random);
 	printf("%ld inputs kept every promise\n", count);
--- a/tests/fuzz/users_input.c
+++ b/tests/fuzz/users_input.c
@@ -8,58 +8,59 @@
 #include <stdio.h>
 #include <string.h>
 
-#define SERVERS 4
-#define START	100000
+#define SERVERS	 4
+#define START_MS 100000
 
-/* The oracle's own account of one call; it knows only what callers and servers are promised. */
-struct account {
+/* What the oracle knows of one call: only what callers and backend servers can observe. */
+struct call_state {
 	struct cw_call *call;
 	const struct cw_route *route;
-	int is_showing; /* a head was let through; else a send waits for one */
-	int may_ran;	/* a server may have run it */
-	int sends;	/* that reached a server */
-	int is_shown;	/* the caller saw a part */
-	int is_over;
+	int is_head_forwarded;	 /* the head was forwarded; else the attempt waits for one */
+	int may_have_run;	 /* a backend server may have run the request */
+	int sends;		 /* attempts that reached a backend server */
+	int is_partly_delivered; /* the caller got a part of the answer */
+	int is_over;		 /* the caller got a final answer or a broken connection */
 };
 
-struct stage {
+struct harness {
 	const uint8_t *at;
 	const uint8_t *end;
 	struct cw_gate *gate;
 	struct cw_config *config;
-	struct account account;
-	struct cw_request_info facts;
+	struct call_state call_state;
+	struct cw_request_info info;
 	struct cw_step step;
 	int64_t now_ms;
 };
 
-static void decode(const uint8_t *bytes, size_t size);
-static void decode_entry(const uint8_t *bytes, size_t size);
-static void hear_ends(const uint8_t *bytes, size_t size);
-static void play(const uint8_t *bytes, size_t size);
-static int next(struct stage *stage);
-static void open_stage(struct stage *stage);
+static void fuzz_decoders(const uint8_t *bytes, size_t size);
+static void fuzz_server_entry(const uint8_t *bytes, size_t size);
+static void fuzz_quarantine(const uint8_t *bytes, size_t size);
+static void fuzz_calls(const uint8_t *bytes, size_t size);
+static int next_byte(struct harness *harness);
+static void harness_init(struct harness *harness);
 static void add_route(struct cw_config *config, const char *prefix,
 		      enum cw_retry_policy retry_policy, int attempts);
-static void change_server(struct stage *stage);
-static void act(struct stage *stage);
-static void open_call(struct stage *stage);
-static void end_call(struct stage *stage);
-static void take_step(struct stage *stage);
-static void check(int holds, const char *promise);
+static void change_server(struct harness *harness);
+static void execute_event(struct harness *harness);
+static void open_call(struct harness *harness);
+static void end_call(struct harness *harness);
+static void check_step(struct harness *harness);
+static void check(int is_kept, const char *guarantee);
 
-void users_input(const uint8_t *bytes, size_t size)
+void users_run_input(const uint8_t *bytes, size_t size)
 {
 	if (size < 2)
 		return;
 	if (bytes[0] % 2)
-		decode(bytes + 1, size - 1);
+		fuzz_decoders(bytes + 1, size - 1);
 	else
-		play(bytes + 1, size - 1);
+		fuzz_calls(bytes + 1, size - 1);
 }
 
-/* Whatever the store, a peer or the operator sends: understood or refused, never more. */
-static void decode(const uint8_t *bytes, size_t size)
+/* Decoders of data from the shared store, peers and the operator accept or reject any bytes,
+ * without memory errors. */
+static void fuzz_decoders(const uint8_t *bytes, size_t size)
 {
 	const char *text = (const char *)bytes + 1;
 	size_t length = size - 1;
@@ -85,10 +86,10 @@
 		cw_gossip_decode(text, length, gossip);
 		break;
 	case 4:
-		decode_entry(bytes + 1, length);
+		fuzz_server_entry(bytes + 1, length);
 		break;
 	case 5:
-		hear_ends(bytes + 1, length);
+		fuzz_quarantine(bytes + 1, length);
 		break;
 	default:
 		if (cw_gossip_list_decode(text, length, &list) == CW_OK)
@@ -98,8 +99,8 @@
 	g_string_free(body, TRUE);
 }
 
-/* A server's own entry, with some bytes changed: it names a server whole, or none. */
-static void decode_entry(const uint8_t *bytes, size_t size)
+/* A backend server's entry with a few bytes changed: either complete, or rejected with a reason. */
+static void fuzz_server_entry(const uint8_t *bytes, size_t size)
 {
 	static const char record[] = "\x02s1{\"service\":\"llm\",\"address\":\"10.0.0.1:80\","
 				     "\"zone\":\"z1\",\"version\":\"v1\","
@@ -118,31 +119,31 @@
 	g_string_append_len(body, changed, sizeof(record) - 1);
 	check(cw_up_parse_log_read(CW_UP_TOPIC_SERVERS, 200, body, 7, &page, &error) == CW_OK &&
 		      page.count == 1,
-	      "a page with an entry was not read");
+	      "a valid page with an entry was rejected");
 	entry = &page.log_record[0].server;
 	if (page.log_record[0].kind == CW_UP_RECORD_SERVER)
 		check(*entry->service && *entry->address && *entry->failure_domain &&
 			      *entry->software && entry->process_start_ms >= 0 &&
 			      entry->slots <= 65536,
-		      "half an entry names a server");
+		      "an incomplete entry was accepted as a server");
 	else
 		check(page.log_record[0].kind == CW_UP_RECORD_OTHER ||
 			      page.log_record[0].error.status != CW_OK,
-		      "an entry was dropped without a reason");
+		      "an entry was rejected without a reason");
 	cw_up_page_clear(&page);
 	g_string_free(body, TRUE);
 }
 
 /*
- * Ends of servers, answers and peers' lists in any order, of few requests and servers: the list
- * stays bounded, and what was answered last of all is not on it.
+ * Server crashes, answers and peers' lists in any order, for few requests and servers: the list of
+ * quarantined requests stays bounded, and a request that was answered most recently is not on it.
  */
-static void hear_ends(const uint8_t *bytes, size_t size)
+static void fuzz_quarantine(const uint8_t *bytes, size_t size)
 {
 	struct cw_quarantine *quarantine = cw_quarantine_create();
 	struct cw_quarantine_record records[CW_QUARANTINE_MAX + 1];
 	struct cw_quarantine_change change;
-	int64_t now_ms = START;
+	int64_t now_ms = START_MS;
 
 	for (size_t i = 0; i + 2 < size; i += 3) {
 		struct cw_quarantine_request request = {
@@ -178,40 +179,43 @@
 		}
 		cw_quarantine_tick(quarantine, now_ms);
 		while (cw_quarantine_next_change(quarantine, &change))
-			check(change.record.fingerprint < 32, "a change of an unknown request");
+			check(change.record.fingerprint < 32,
+			      "the quarantine list changed for a request that was never reported");
 		check(cw_quarantine_list(quarantine, now_ms, records, CW_QUARANTINE_MAX + 1) <=
 			      CW_QUARANTINE_MAX,
-		      "more requests are held than may be");
+		      "more requests are quarantined than the list may have");
 	}
 	cw_quarantine_note_answer(quarantine, 1, 99, 0, now_ms + 1);
 	cw_quarantine_tick(quarantine, now_ms + 2000);
-	check(!cw_quarantine_contains(quarantine, 1), "a request is held that was answered");
+	check(!cw_quarantine_contains(quarantine, 1),
+	      "a request is quarantined though it was answered");
 	cw_quarantine_destroy(quarantine);
 }
 
-static void play(const uint8_t *bytes, size_t size)
+static void fuzz_calls(const uint8_t *bytes, size_t size)
 {
-	struct stage stage = {.at = bytes, .end = bytes + size, .now_ms = START};
+	struct harness harness = {.at = bytes, .end = bytes + size, .now_ms = START_MS};
 	const struct cw_server *server;
 
-	open_stage(&stage);
-	while (stage.at < stage.end)
-		act(&stage);
-	end_call(&stage);
-	TAILQ_FOREACH(server, cw_pool_servers(cw_gate_pool(stage.gate)), link) {
-		check(server->own_running == 0, "a request is counted after its end");
-		check(server->own_work_ms < 0.001, "work is counted after its end");
+	harness_init(&harness);
+	while (harness.at < harness.end)
+		execute_event(&harness);
+	end_call(&harness);
+	TAILQ_FOREACH(server, cw_pool_servers(cw_gate_pool(harness.gate)), link) {
+		check(server->own_running == 0, "a request is counted as running after its end");
+		check(server->own_work_ms < 0.001,
+		      "work is counted as pending after its request's end");
 	}
-	cw_gate_destroy(stage.gate);
-	cw_config_unref(stage.config);
+	cw_gate_destroy(harness.gate);
+	cw_config_unref(harness.config);
 }
 
-static int next(struct stage *stage)
+static int next_byte(struct harness *harness)
 {
-	return stage->at < stage->end ? *stage->at++ : 0;
+	return harness->at < harness->end ? *harness->at++ : 0;
 }
 
-static void open_stage(struct stage *stage)
+static void harness_init(struct harness *harness)
 {
 	struct cw_gate_options options = {
 		.failure_domain = "d0",
@@ -222,16 +226,16 @@
 		.rollouts = {.session_ms = 5000, .exposed_share = 0.15, .exposed_slack = 30},
 	};
 
-	stage->gate = cw_gate_create(&options);
-	cw_gate_set_instances(stage->gate, 1);
-	stage->config = cw_config_create(1);
-	add_route(stage->config, "/once/", CW_RETRY_NEVER, 3);
-	add_route(stage->config, "/any/", CW_RETRY_ANY, 2);
-	add_route(stage->config, "/stream/", CW_RETRY_STREAM, 3);
-	cw_config_build_index(stage->config);
-	cw_gate_configure(stage->gate, stage->config);
+	harness->gate = cw_gate_create(&options);
+	cw_gate_set_instances(harness->gate, 1);
+	harness->config = cw_config_create(1);
+	add_route(harness->config, "/once/", CW_RETRY_NEVER, 3);
+	add_route(harness->config, "/any/", CW_RETRY_ANY, 2);
+	add_route(harness->config, "/stream/", CW_RETRY_STREAM, 3);
+	cw_config_build_index(harness->config);
+	cw_gate_configure(harness->gate, harness->config);
 	for (int i = 0; i < SERVERS; i++)
-		change_server(stage);
+		change_server(harness);
 }
 
 static void add_route(struct cw_config *config, const char *prefix,
@@ -256,9 +260,9 @@
 	g_strlcpy(route->models[1], "large", CW_NAME_MAX);
 }
 
-static void change_server(struct stage *stage)
+static void change_server(struct harness *harness)
 {
-	int choice = next(stage);
+	int choice = next_byte(harness);
 	struct cw_server_entry entry = {
 		.slots = 4,
 		.leaving = choice / SERVERS % 4 == 3,
@@ -270,25 +274,25 @@
 	g_strlcpy(entry.service, "s", sizeof(entry.service));
 	g_strlcpy(entry.software, choice & 64 ? "v2" : "v1", sizeof(entry.software));
 	g_strlcpy(entry.address, "10.0.0.1:80", sizeof(entry.address));
-	cw_pool_apply_entry(cw_gate_pool(stage->gate), &entry, stage->now_ms);
+	cw_pool_apply_entry(cw_gate_pool(harness->gate), &entry, harness->now_ms);
 }
 
-static void act(struct stage *stage)
+static void execute_event(struct harness *harness)
 {
-	struct account *account = &stage->account;
+	struct call_state *call_state = &harness->call_state;
 	struct cw_response_head answer = {.confidence = -1};
-	int choice = next(stage);
+	int choice = next_byte(harness);
 
-	stage->now_ms += choice / 8;
-	if (!account->call || account->is_over) {
-		end_call(stage);
+	harness->now_ms += choice / 8;
+	if (!call_state->call || call_state->is_over) {
+		end_call(harness);
 		if (choice % 4 == 0)
-			change_server(stage);
-		open_call(stage);
+			change_server(harness);
+		open_call(harness);
 		return;
 	}
-	/* Nothing but events, an end or a failure follows a head that was let through. */
-	if (account->is_showing ? choice % 8 < 4 : choice % 8 == 5 || choice % 8 == 7)
+	/* Only events, the end or a failure follow a forwarded head; no event comes before one. */
+	if (call_state->is_head_forwarded ? choice % 8 < 4 : choice % 8 == 5 || choice % 8 == 7)
 		return;
 	switch (choice % 8) {
 	case 0:
@@ -298,115 +302,120 @@
 		answer.confidence = choice;
 		answer.has_load = choice & 1;
 		answer.running = (unsigned int)choice;
-		account->may_ran = 1;
-		cw_call_handle_head(account->call, &answer, stage->now_ms, &stage->step);
+		call_state->may_have_run = 1;
+		cw_call_handle_head(call_state->call, &answer, harness->now_ms, &harness->step);
 		break;
 	case 2:
 		answer.status = 503;
 		answer.is_not_run = 1;
-		cw_call_handle_head(account->call, &answer, stage->now_ms, &stage->step);
+		cw_call_handle_head(call_state->call, &answer, harness->now_ms, &harness->step);
 		break;
 	case 3:
-		account->sends--;
-		cw_call_handle_failure(account->call,
+		call_state->sends--;
+		cw_call_handle_failure(call_state->call,
 				       choice & 8 ? CW_ATTEMPT_NO_CONNECTION
 						  : CW_ATTEMPT_CONNECTION_REFUSED,
-				       stage->now_ms, &stage->step);
+				       harness->now_ms, &harness->step);
 		break;
 	case 4:
-		account->may_ran = 1;
-		cw_call_handle_failure(account->call,
+		call_state->may_have_run = 1;
+		cw_call_handle_failure(call_state->call,
 				       choice & 8 ? CW_ATTEMPT_CONNECTION_LOST
 						  : CW_ATTEMPT_TIMED_OUT,
-				       stage->now_ms, &stage->step);
+				       harness->now_ms, &harness->step);
 		break;
 	case 5:
-		if (account->route->retry_policy != CW_RETRY_STREAM)
+		if (call_state->route->retry_policy != CW_RETRY_STREAM)
 			return;
-		account->is_shown = 1;
-		cw_call_add_event(account->call, choice, stage->now_ms);
+		call_state->is_partly_delivered = 1;
+		cw_call_add_event(call_state->call, choice, harness->now_ms);
 		return;
 	case 6:
-		account->may_ran = 1;
-		cw_call_expire(account->call, stage->now_ms, &stage->step);
+		call_state->may_have_run = 1;
+		cw_call_expire(call_state->call, harness->now_ms, &harness->step);
 		break;
 	default:
-		account->is_over = 1;
-		cw_call_complete(account->call, stage->now_ms);
+		call_state->is_over = 1;
+		cw_call_complete(call_state->call, harness->now_ms);
 		return;
 	}
-	take_step(stage);
+	check_step(harness);
 }
 
-static void open_call(struct stage *stage)
+static void open_call(struct harness *harness)
 {
 	static const char *const paths[] = {"/once/x", "/any/x", "/stream/x", "/none/x"};
-	int choice = next(stage);
-	struct account *account = &stage->account;
+	int choice = next_byte(harness);
+	struct call_state *call_state = &harness->call_state;
 
-	memset(&stage->facts, 0, sizeof(stage->facts));
-	g_strlcpy(stage->facts.id, "r", sizeof(stage->facts.id));
-	g_strlcpy(stage->facts.host, "h", sizeof(stage->facts.host));
-	g_strlcpy(stage->facts.model, CW_ANY_MODEL, sizeof(stage->facts.model));
-	stage->facts.path = paths[choice % 4];
-	stage->facts.allowed_ms = choice * 20;
-	stage->facts.last_event = CW_NO_EVENT;
-	stage->facts.segment_count = choice % 3;
-	stage->facts.read_tokens = choice * 10;
-	account->call = cw_call_open(stage->gate, &stage->facts, stage->now_ms, stage->now_ms,
-				     &stage->step);
-	account->route = cw_call_route(account->call);
-	take_step(stage);
+	memset(&harness->info, 0, sizeof(harness->info));
+	g_strlcpy(harness->info.id, "r", sizeof(harness->info.id));
+	g_strlcpy(harness->info.host, "h", sizeof(harness->info.host));
+	g_strlcpy(harness->info.model, CW_ANY_MODEL, sizeof(harness->info.model));
+	harness->info.path = paths[choice % 4];
+	harness->info.allowed_ms = choice * 20;
+	harness->info.last_event = CW_NO_EVENT;
+	harness->info.segment_count = choice % 3;
+	harness->info.read_tokens = choice * 10;
+	call_state->call = cw_call_open(harness->gate, &harness->info, harness->now_ms,
+					harness->now_ms, &harness->step);
+	call_state->route = cw_call_route(call_state->call);
+	check_step(harness);
 }
 
-static void end_call(struct stage *stage)
+static void end_call(struct harness *harness)
 {
-	cw_call_close(stage->account.call, stage->now_ms);
-	memset(&stage->account, 0, sizeof(stage->account));
+	cw_call_close(harness->call_state.call, harness->now_ms);
+	memset(&harness->call_state, 0, sizeof(harness->call_state));
 }
 
-static void take_step(struct stage *stage)
+static void check_step(struct harness *harness)
 {
-	struct account *account = &stage->account;
-	const struct cw_step *step = &stage->step;
+	struct call_state *call_state = &harness->call_state;
+	const struct cw_step *step = &harness->step;
 
 	switch (step->kind) {
 	case CW_STEP_SEND:
-		account->sends++;
-		account->is_showing = 0;
+		call_state->sends++;
+		call_state->is_head_forwarded = 0;
 		check(!step->server->leaving, "a leaving server got a request");
-		check(!step->server->is_superseded, "an earlier start of a server got a request");
-		check(account->route->retry_policy != CW_RETRY_NEVER || !account->may_ran,
-		      "sent again though it may have run, and may run once");
-		check(account->sends <= account->route->max_attempts,
-		      "sent to more servers than the route allows");
-		check(account->route->retry_policy != CW_RETRY_ANY || !account->is_shown,
-		      "sent again after a part was shown");
-		check(step->dispatch.allowed_ms <= MAX(stage->facts.allowed_ms, 1),
-		      "a server got more time than the caller gave");
+		check(!step->server->is_superseded,
+		      "a superseded incarnation of a server got a request");
+		check(call_state->route->retry_policy != CW_RETRY_NEVER ||
+			      !call_state->may_have_run,
+		      "a request that must run at most once was retried though it may have run");
+		check(call_state->sends <= call_state->route->max_attempts,
+		      "a request was sent more often than the route allows");
+		check(call_state->route->retry_policy != CW_RETRY_ANY ||
+			      !call_state->is_partly_delivered,
+		      "a request was retried after the caller got a part of its answer");
+		check(step->dispatch.allowed_ms <= MAX(harness->info.allowed_ms, 1),
+		      "a server got a longer time limit than the caller gave");
 		break;
 	case CW_STEP_REJECT:
-		account->is_over = 1;
-		check(!account->is_shown, "refused after a part was shown");
-		check((step->status != 503 && step->status != 429) || !account->may_ran,
-		      "called not run, and it may have run");
-		check(step->run != CW_RUN_NOT || !account->may_ran,
-		      "said to have not run, and it may have");
+		call_state->is_over = 1;
+		check(!call_state->is_partly_delivered,
+		      "a request was rejected after the caller got a part of its answer");
+		check((step->status != 503 && step->status != 429) || !call_state->may_have_run,
+		      "a request was rejected with status 503 or 429 though it may have run");
+		check(step->run != CW_RUN_NOT || !call_state->may_have_run,
+		      "a request was reported as not run though it may have run");
 		break;
 	case CW_STEP_ABORT:
-		account->is_over = 1;
-		check(account->is_shown, "cut off without a final answer");
+		call_state->is_over = 1;
+		check(call_state->is_partly_delivered,
+		      "the connection was aborted though no part of the answer was delivered");
 		break;
 	case CW_STEP_FORWARD:
-		account->is_showing = 1;
+		call_state->is_head_forwarded = 1;
 		break;
 	}
 }
 
-static void check(int holds, const char *promise)
+static void check(int is_kept, const char *guarantee)
 {
-	if (holds)
+	if (is_kept)
 		return;
-	fprintf(stderr, "broken: %s\n", promise);
+	fprintf(stderr, "broken: %s\n", guarantee);
 	abort();
 }
