--- a/tests/standins/backend.c
+++ b/tests/standins/backend.c
@@ -1,9 +1,25 @@
 /*
- * standin-backend: a model engine that streams, or a plain service. Every run is remembered for
- * GET /runs. POST /control takes {"fault":NAME,"after":CHUNKS,"count":REQUESTS,"token_ms":N,
- * "first_ms":N,"version":"M/V"}, where NAME is none, error, busy, rubbish, cut, freeze, foreign,
- * huge or hang; end: it ends now. With --fatal TEXT a request whose body holds that text ends the
- * server once it has run for some ms: all connections break, and none is taken until it is back.
+ * standin-backend: a model engine that streams, or a plain service. GET /runs lists every request
+ * that began to run, GET /orders_taken every order. POST /control takes a JSON object with any of
+ *   fault     NAME, see below
+ *   after     chunks before the fault, for cut and freeze
+ *   count     requests that meet the fault, 1000000 if absent
+ *   version   "M/V": the fault is limited to requests for that version
+ *   token_ms  ms between two tokens
+ *   first_ms  ms before the first token, or before a service's answer
+ * The faults are
+ *   none     no fault
+ *   error    500
+ *   busy     429 with Retry-After; the request does not run
+ *   rubbish  200 with a body that is no answer
+ *   cut      the stream breaks
+ *   freeze   the stream stops until the fault is changed
+ *   foreign  the answer carries another request's id
+ *   huge     200 with a body of 16 MiB
+ *   hang     no answer until the fault is changed, at most 120 s
+ *   end      the server crashes at once
+ * With --fatal TEXT a request whose body contains TEXT crashes the server after --fatal-ms: all
+ * connections break, and new ones are refused for --down-ms.
  */
 #include "standin.h"
 #include "ending.h"
@@ -36,22 +52,22 @@
 static const char *const fault_names[] = {"none",   "error",   "busy", "rubbish", "cut",
 					  "freeze", "foreign", "huge", "hang"};
 
-struct generation { /* one request's tokens; goes on without a reader, so that it can be resumed */
+struct generation { /* a request's answer; goes on without a reader, to be resumed */
 	struct backend *backend;
 	char id[128];
-	GPtrArray *chunks; /* "data: ..." texts */
+	GPtrArray *chunks; /* JSON texts of the data: lines */
 	int done;
 	int cancelled;
-	int first_token; /* of a continuation */
+	int first_token; /* tokens that a continued answer already has */
 	int tokens;
 	enum fault fault;
-	int after;
+	int after; /* chunks before the fault, for FAULT_CUT and FAULT_FREEZE */
 	int holders;
 };
 
 struct reader {
 	struct generation *generation;
-	size_t next; /* chunk, counted from 1 */
+	size_t next; /* the next chunk, counted from 1 */
 	char pending[CHUNK_MAX];
 	size_t length, taken;
 };
@@ -70,10 +86,10 @@
 	struct json_object *runs;
 	struct json_object *orders;
 	enum fault fault;
-	int after, count;
-	char fault_version[128]; /* only its requests fail; empty: all */
+	int after, count;	 /* chunks before the fault; requests that still meet the fault */
+	char fault_version[128]; /* the fault is limited to its requests; empty: all requests */
 	int64_t orders_made;
-	struct ending ending;
+	struct crash crash;
 };
 
 static void handle(void *context, const struct cw_http_in *in, struct cw_http_out *out);
@@ -90,39 +106,45 @@
 			   struct cw_http_out *out);
 static void handle_control(struct backend *backend, const struct cw_http_in *in,
 			   struct cw_http_out *out);
-static int fail_at_once(struct backend *backend, enum fault fault, struct cw_http_out *out);
-static enum fault take_fault(struct backend *backend, const char *model);
-static void hang(struct backend *backend);
-static void note_run(struct backend *backend, const struct cw_http_in *in, const char *model);
-static struct generation *generate(struct backend *backend, const char *id, int first, int tokens,
-				   enum fault fault);
+static int answer_with_fault(struct backend *backend, enum fault fault, struct cw_http_out *out);
+static enum fault consume_fault(struct backend *backend, const char *model);
+static void wait_while_hanging(struct backend *backend);
+static void record_run(struct backend *backend, const struct cw_http_in *in, const char *model);
+static struct generation *start_generation(struct backend *backend, const char *id, int first,
+					   int tokens, enum fault fault);
 static void *run_generation(void *data);
-static void nap(struct backend *backend, int ms);
+static void sleep_unlocked(struct backend *backend, int ms);
 static void answer_stream(struct generation *generation, size_t next, const char *id,
 			  struct cw_http_out *out);
-static ssize_t pull(void *context, char *buffer, size_t max);
-static void end_reader(void *context);
-static int tokens_said(struct json_object *body);
-static const char *header(const struct cw_http_in *in, const char *name);
+static ssize_t pull_stream(void *context, char *buffer, size_t max);
+static void free_reader(void *context);
+static int count_continued_tokens(struct json_object *body);
+static const char *get_header(const struct cw_http_in *in, const char *name);
 
 int main(int argc, char **argv)
 {
 	struct arg_int *port =
-		arg_int0(NULL, "port", "N", "listen there; 0 lets the kernel choose");
+		arg_int0(NULL, "port", "N", "port to listen on; 0: the kernel chooses");
 	struct arg_str *kind = arg_str0(NULL, "kind", "KIND", "engine (default) or service");
-	struct arg_str *name = arg_str0(NULL, "name", "NAME", "its name in answers");
-	struct arg_str *versions = arg_str0(NULL, "versions", "M/V,...", "versions loaded");
-	struct arg_int *slots = arg_int0(NULL, "slots", "N", "requests at a time (8)");
-	struct arg_int *token_ms = arg_int0(NULL, "token-ms", "N", "between two tokens (1)");
-	struct arg_int *first_ms = arg_int0(NULL, "first-ms", "N",
-					    "before the first token, or a service's answer (1)");
-	struct arg_int *tokens =
-		arg_int0(NULL, "tokens", "N", "of an answer without max_tokens (20)");
+	struct arg_str *name = arg_str0(NULL, "name", "NAME", "server name in answers");
+	struct arg_str *versions =
+		arg_str0(NULL, "versions", "M/V,...", "versions loaded at the start");
+	struct arg_int *slots =
+		arg_int0(NULL, "slots", "N", "requests that run at the same time (8)");
+	struct arg_int *token_ms = arg_int0(NULL, "token-ms", "N", "ms between two tokens (1)");
+	struct arg_int *first_ms =
+		arg_int0(NULL, "first-ms", "N",
+			 "ms before the first token, or before a service's answer (1)");
+	struct arg_int *tokens = arg_int0(
+		NULL, "tokens", "N", "tokens of an answer if the request has no max_tokens (20)");
 	struct arg_lit *fencing =
-		arg_lit0(NULL, "checks-fencing", "refuse orders with an old fencing number");
-	struct arg_str *fatal = arg_str0(NULL, "fatal", "TEXT", "of bodies that end the server");
-	struct arg_int *fatal_ms = arg_int0(NULL, "fatal-ms", "N", "that such a request runs (40)");
-	struct arg_int *down_ms = arg_int0(NULL, "down-ms", "N", "until it is back (2000)");
+		arg_lit0(NULL, "checks-fencing", "reject orders with an outdated fencing number");
+	struct arg_str *fatal = arg_str0(NULL, "fatal", "TEXT",
+					 "requests whose body contains TEXT crash the server");
+	struct arg_int *fatal_ms = arg_int0(
+		NULL, "fatal-ms", "N", "ms from the start of such a request to the crash (40)");
+	struct arg_int *down_ms = arg_int0(NULL, "down-ms", "N",
+					   "ms from a crash until the server listens again (2000)");
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help and exit");
 	struct arg_end *end = arg_end(20);
 	void *table[] = {port,	 kind,	  name,	 versions, slots,   token_ms, first_ms,
@@ -131,7 +153,7 @@
 				  .changed = PTHREAD_COND_INITIALIZER};
 	struct cw_http_server *server;
 
-	ending_stay_down();
+	crash_wait_downtime();
 	port->ival[0] = 0;
 	fatal_ms->ival[0] = 40;
 	down_ms->ival[0] = 2000;
@@ -157,12 +179,12 @@
 	backend.generations = g_hash_table_new(g_str_hash, g_str_equal);
 	backend.runs = json_object_new_array();
 	backend.orders = json_object_new_array();
-	backend.ending.text = fatal->count ? fatal->sval[0] : NULL;
-	backend.ending.after_ms = fatal_ms->ival[0];
-	backend.ending.down_ms = down_ms->ival[0];
-	backend.ending.arguments = argv;
-	server = standin_listen(ending_port(port->ival[0]), handle, &backend);
-	backend.ending.port = cw_http_server_port(server);
+	backend.crash.text = fatal->count ? fatal->sval[0] : NULL;
+	backend.crash.after_ms = fatal_ms->ival[0];
+	backend.crash.down_ms = down_ms->ival[0];
+	backend.crash.arguments = argv;
+	server = standin_listen(crash_restored_port(port->ival[0]), handle, &backend);
+	backend.crash.port = cw_http_server_port(server);
 	standin_wait();
 	cw_http_server_destroy(server);
 	return 0;
@@ -203,9 +225,9 @@
 {
 	struct json_object *body = standin_parse(in);
 	const char *model = standin_text(body, "model", "");
-	const char *id = header(in, "X-Request-Id");
+	const char *id = get_header(in, "X-Request-Id");
 	int tokens = (int)standin_number(body, "max_tokens", backend->tokens);
-	int said = tokens_said(body);
+	int continued_tokens = count_continued_tokens(body);
 	struct generation *generation;
 	enum fault fault;
 
@@ -215,18 +237,18 @@
 		json_object_put(body);
 		return;
 	}
-	fault = take_fault(backend, model);
+	fault = consume_fault(backend, model);
 	if (fault == FAULT_BUSY) {
-		fail_at_once(backend, fault, out);
+		answer_with_fault(backend, fault, out);
 		json_object_put(body);
 		return;
 	}
-	note_run(backend, in, model);
-	if (fail_at_once(backend, fault, out)) {
+	record_run(backend, in, model);
+	if (answer_with_fault(backend, fault, out)) {
 		json_object_put(body);
 		return;
 	}
-	generation = generate(backend, id, said, MIN(tokens, 100000), fault);
+	generation = start_generation(backend, id, continued_tokens, MIN(tokens, 100000), fault);
 	if (standin_number(body, "stream", 0)) {
 		answer_stream(generation, 1, fault == FAULT_FOREIGN ? "somebody-elses" : id, out);
 	} else {
@@ -235,7 +257,7 @@
 
 		while (!generation->done)
 			pthread_cond_wait(&backend->changed, &backend->mutex);
-		for (int i = said + 1; i <= tokens; i++)
+		for (int i = continued_tokens + 1; i <= tokens; i++)
 			g_string_append_printf(text, "%s.%d ", id, i);
 		answer = json_tokener_parse("{\"object\":\"chat.completion\",\"choices\":[{"
 					    "\"index\":0,\"message\":{}}],\"usage\":{}}");
@@ -249,7 +271,7 @@
 		json_object_object_add(json_object_object_get(answer, "usage"), "prompt_tokens",
 				       json_object_new_int((int)in->body_size / 4));
 		json_object_object_add(json_object_object_get(answer, "usage"), "completion_tokens",
-				       json_object_new_int(tokens - said));
+				       json_object_new_int(tokens - continued_tokens));
 		standin_reply(out, 200, answer);
 		cw_http_out_header(out, "X-Request-Id",
 				   fault == FAULT_FOREIGN ? "somebody-elses" : id);
@@ -264,7 +286,7 @@
 	char *id = g_strndup(in->path + strlen("/v1/requests/"),
 			     strcspn(in->path + strlen("/v1/requests/"), "/"));
 	struct generation *generation = g_hash_table_lookup(backend->generations, id);
-	const char *last = header(in, "Last-Event-ID");
+	const char *last = get_header(in, "Last-Event-ID");
 
 	if (generation && !generation->cancelled) {
 		generation->fault = FAULT_NONE;
@@ -336,24 +358,26 @@
 static void handle_service(struct backend *backend, const struct cw_http_in *in,
 			   struct cw_http_out *out)
 {
-	enum fault fault = take_fault(backend, "");
+	enum fault fault = consume_fault(backend, "");
 	struct json_object *body;
 
 	if (fault == FAULT_BUSY) {
-		fail_at_once(backend, fault, out);
+		answer_with_fault(backend, fault, out);
 		return;
 	}
-	note_run(backend, in, "");
-	nap(backend, backend->first_ms);
-	if (fail_at_once(backend, fault, out))
+	record_run(backend, in, "");
+	sleep_unlocked(backend, backend->first_ms);
+	if (answer_with_fault(backend, fault, out))
 		return;
 	body = json_object_new_object();
 	json_object_object_add(body, "order", json_object_new_int64(++backend->orders_made));
 	json_object_object_add(body, "by", json_object_new_string(backend->name));
-	json_object_object_add(body, "key", json_object_new_string(header(in, "Idempotency-Key")));
-	json_object_object_add(body, "request", json_object_new_string(header(in, "X-Request-Id")));
+	json_object_object_add(body, "key",
+			       json_object_new_string(get_header(in, "Idempotency-Key")));
+	json_object_object_add(body, "request",
+			       json_object_new_string(get_header(in, "X-Request-Id")));
 	standin_reply(out, strcmp(in->method, "POST") ? 200 : 201, body);
-	cw_http_out_header(out, "X-Request-Id", header(in, "X-Request-Id"));
+	cw_http_out_header(out, "X-Request-Id", get_header(in, "X-Request-Id"));
 }
 
 static void handle_control(struct backend *backend, const struct cw_http_in *in,
@@ -363,7 +387,7 @@
 	const char *fault = standin_text(body, "fault", fault_names[backend->fault]);
 
 	if (!strcmp(fault, "end"))
-		ending_now(&backend->ending);
+		crash_now(&backend->crash);
 
 	for (int i = 0; i <= FAULT_HANG; i++)
 		if (!strcmp(fault, fault_names[i]))
@@ -379,7 +403,7 @@
 	cw_http_out_json(out, 200, g_strdup("{}"));
 }
 
-static int fail_at_once(struct backend *backend, enum fault fault, struct cw_http_out *out)
+static int answer_with_fault(struct backend *backend, enum fault fault, struct cw_http_out *out)
 {
 	switch (fault) {
 	case FAULT_ERROR:
@@ -397,7 +421,7 @@
 		cw_http_out_json(out, 200, g_strnfill(HUGE_BYTES, 'x'));
 		return 1;
 	case FAULT_HANG:
-		hang(backend);
+		wait_while_hanging(backend);
 		cw_http_out_json(out, 500, g_strdup("{}"));
 		return 1;
 	default:
@@ -405,7 +429,7 @@
 	}
 }
 
-static enum fault take_fault(struct backend *backend, const char *model)
+static enum fault consume_fault(struct backend *backend, const char *model)
 {
 	if (backend->fault == FAULT_NONE || backend->count <= 0 ||
 	    (*backend->fault_version && strcmp(backend->fault_version, model) != 0))
@@ -414,28 +438,30 @@
 	return backend->fault;
 }
 
-static void hang(struct backend *backend)
+static void wait_while_hanging(struct backend *backend)
 {
 	for (int i = 0; i < HANG_LIMIT_S * 10 && backend->fault == FAULT_HANG; i++)
-		nap(backend, 100);
+		sleep_unlocked(backend, 100);
 }
 
-static void note_run(struct backend *backend, const struct cw_http_in *in, const char *model)
+static void record_run(struct backend *backend, const struct cw_http_in *in, const char *model)
 {
 	struct json_object *run = json_object_new_object();
 
-	ending_run(&backend->ending, in->body, in->body_size);
-	json_object_object_add(run, "request", json_object_new_string(header(in, "X-Request-Id")));
-	json_object_object_add(run, "attempt", json_object_new_string(header(in, "X-Attempt")));
-	json_object_object_add(run, "key", json_object_new_string(header(in, "Idempotency-Key")));
+	crash_check_request(&backend->crash, in->body, in->body_size);
+	json_object_object_add(run, "request",
+			       json_object_new_string(get_header(in, "X-Request-Id")));
+	json_object_object_add(run, "attempt", json_object_new_string(get_header(in, "X-Attempt")));
+	json_object_object_add(run, "key",
+			       json_object_new_string(get_header(in, "Idempotency-Key")));
 	json_object_object_add(run, "model", json_object_new_string(model));
 	json_object_object_add(run, "path", json_object_new_string(in->path));
 	json_object_object_add(run, "time_ms", json_object_new_int64(standin_now_ms()));
 	json_object_array_add(backend->runs, run);
 }
 
-static struct generation *generate(struct backend *backend, const char *id, int first, int tokens,
-				   enum fault fault)
+static struct generation *start_generation(struct backend *backend, const char *id, int first,
+					   int tokens, enum fault fault)
 {
 	struct generation *generation = g_new0(struct generation, 1);
 	pthread_attr_t attr;
@@ -468,11 +494,11 @@
 		pthread_cond_wait(&backend->changed, &backend->mutex);
 	backend->queued--;
 	backend->running++;
-	nap(backend, backend->first_ms);
+	sleep_unlocked(backend, backend->first_ms);
 	for (int i = generation->first_token + 1; i <= generation->tokens && !generation->cancelled;
 	     i++) {
 		if (i > generation->first_token + 1)
-			nap(backend, backend->token_ms);
+			sleep_unlocked(backend, backend->token_ms);
 		g_ptr_array_add(
 			generation->chunks,
 			g_strdup_printf("{\"object\":\"chat.completion.chunk\",\"choices\":[{"
@@ -492,7 +518,7 @@
 	return NULL;
 }
 
-static void nap(struct backend *backend, int ms)
+static void sleep_unlocked(struct backend *backend, int ms)
 {
 	pthread_mutex_unlock(&backend->mutex);
 	usleep((useconds_t)ms * 1000);
@@ -509,12 +535,12 @@
 	out->status = 200;
 	g_strlcpy(out->content_type, "text/event-stream", sizeof(out->content_type));
 	cw_http_out_header(out, "X-Request-Id", id);
-	out->pull = pull;
-	out->on_end = end_reader;
+	out->pull = pull_stream;
+	out->on_end = free_reader;
 	out->context = reader;
 }
 
-static ssize_t pull(void *context, char *buffer, size_t max)
+static ssize_t pull_stream(void *context, char *buffer, size_t max)
 {
 	struct reader *reader = context;
 	struct generation *generation = reader->generation;
@@ -531,7 +557,7 @@
 		}
 		while (generation->fault == FAULT_FREEZE &&
 		       reader->next > (size_t)generation->after && backend->fault == FAULT_FREEZE)
-			nap(backend, FREEZE_US / 1000);
+			sleep_unlocked(backend, FREEZE_US / 1000);
 		if (reader->next > generation->chunks->len + 1) {
 			pthread_mutex_unlock(&backend->mutex);
 			return CW_PULL_END;
@@ -553,12 +579,12 @@
 	return (ssize_t)part;
 }
 
-static void end_reader(void *context)
+static void free_reader(void *context)
 {
 	g_free(context);
 }
 
-static int tokens_said(struct json_object *body)
+static int count_continued_tokens(struct json_object *body)
 {
 	struct json_object *messages;
 	struct json_object *last;
@@ -574,7 +600,7 @@
 	return count;
 }
 
-static const char *header(const struct cw_http_in *in, const char *name)
+static const char *get_header(const struct cw_http_in *in, const char *name)
 {
 	const char *value = cw_http_header(in, name);
 
--- a/tests/standins/ending.c
+++ b/tests/standins/ending.c
@@ -12,10 +12,10 @@
 #define DOWN "STANDIN_DOWN_MS"
 #define PORT "STANDIN_PORT"
 
-static void *end_later(void *context);
-static void tell(const char *what);
+static void *crash_later(void *context);
+static void print_event(const char *what);
 
-void ending_stay_down(void)
+void crash_wait_downtime(void)
 {
 	const char *down = getenv(DOWN);
 	long ms = down ? strtol(down, NULL, 10) : 0;
@@ -24,56 +24,56 @@
 	unsetenv(DOWN);
 }
 
-int ending_port(int port)
+int crash_restored_port(int port)
 {
 	const char *before = getenv(PORT);
 
 	return before ? (int)strtol(before, NULL, 10) : port;
 }
 
-void ending_now(const struct ending *ending)
+void crash_now(const struct crash *crash)
 {
 	char text[16];
 
-	tell("ended");
-	snprintf(text, sizeof(text), "%d", ending->down_ms);
+	print_event("ended");
+	snprintf(text, sizeof(text), "%d", crash->down_ms);
 	setenv(DOWN, text, 1);
-	if (ending->port) {
-		snprintf(text, sizeof(text), "%d", ending->port);
+	if (crash->port) {
+		snprintf(text, sizeof(text), "%d", crash->port);
 		setenv(PORT, text, 1);
 	}
-	/* Closed by execv: other threads may still use them. */
+	/* Marked close-on-exec instead of closed: other threads may still use the descriptors. */
 	close_range(STDERR_FILENO + 1, ~0U, CLOSE_RANGE_CLOEXEC);
-	execv("/proc/self/exe", ending->arguments);
+	execv("/proc/self/exe", crash->arguments);
 	abort();
 }
 
-/* Nothing can stop it any more, not even that its caller leaves. */
-void ending_run(const struct ending *ending, const char *body, size_t size)
+/* Once such a request runs, the crash comes even if its caller disconnects. */
+void crash_check_request(const struct crash *crash, const char *body, size_t size)
 {
 	static atomic_flag is_due = ATOMIC_FLAG_INIT;
 	pthread_t thread;
 
-	if (!ending->text || !body || !memmem(body, size, ending->text, strlen(ending->text)))
+	if (!crash->text || !body || !memmem(body, size, crash->text, strlen(crash->text)))
 		return;
-	tell("fatal");
+	print_event("fatal");
 	if (atomic_flag_test_and_set(&is_due))
 		return;
-	if (pthread_create(&thread, NULL, end_later, (void *)ending) != 0)
+	if (pthread_create(&thread, NULL, crash_later, (void *)crash) != 0)
 		abort();
 	pthread_detach(thread);
 }
 
-static void *end_later(void *context)
+static void *crash_later(void *context)
 {
-	const struct ending *ending = context;
+	const struct crash *crash = context;
 
-	usleep((useconds_t)ending->after_ms * 1000);
-	ending_now(ending);
+	usleep((useconds_t)crash->after_ms * 1000);
+	crash_now(crash);
 }
 
-/* One line, so that a run can tell when: monotonic ms. */
-static void tell(const char *what)
+/* Prints one line with the monotonic time in ms, which scripts read. */
+static void print_event(const char *what)
 {
 	struct timespec now;
 
--- a/tests/standins/no_leak_check.c
+++ b/tests/standins/no_leak_check.c
@@ -1,4 +1,5 @@
-/* Stand-ins and tools end with their process; only the product is held to freeing what it takes. */
+/* Turns off leak detection for stand-ins and tools, which leave their memory to the end of the
+ * process. Only the router itself must free everything. */
 const char *__asan_default_options(void);
 
 const char *__asan_default_options(void)
--- a/tests/standins/platform.c
+++ b/tests/standins/platform.c
@@ -1,7 +1,13 @@
 /*
- * standin-platform: the platform's log, list and rating service, in memory. POST /control takes
- * {"outage":true,"slow_ms":N,"lose_answers":N,"refuse":N,"expire":{"STREAM":FIRST},
- *  "members":[...],"scores":{"MODEL/VERSION":S}}.
+ * standin-platform: the shared store's log, the server list and the rating service, in memory.
+ * POST /control takes a JSON object with any of
+ *   outage        true: every other call is answered with 503
+ *   slow_ms       delay of every other call
+ *   lose_answers  the next N appends are stored but answered with 500
+ *   refuse        the next N appends are answered with 429 and not stored
+ *   expire        {"STREAM":FIRST}: removes the stream's records before offset FIRST
+ *   members       the server list
+ *   scores        {"MODEL/VERSION":S}: the rating service's scores
  */
 #include "standin.h"
 
@@ -19,8 +25,8 @@
 };
 
 struct stream {
-	GPtrArray *records; /* of struct record; the first has offset `first` */
-	uint64_t first;
+	GPtrArray *records; /* of struct record, not expired */
+	uint64_t first;	    /* offset of records[0] */
 };
 
 struct platform {
@@ -30,8 +36,8 @@
 	int retention_ms;
 	int outage;
 	int slow_ms;
-	int lose_answers;
-	int refuse;
+	int lost_answers_left;
+	int refusals_left;
 	struct json_object *members;
 	struct json_object *scores;
 	uint64_t appends;
@@ -47,19 +53,19 @@
 			  struct cw_http_out *out);
 static void handle_control(struct platform *platform, const struct cw_http_in *in,
 			   struct cw_http_out *out);
-static struct stream *stream_of(struct platform *platform, const char *name);
+static struct stream *get_stream(struct platform *platform, const char *name);
 static void expire(struct platform *platform, struct stream *stream);
-static void drop_before(struct stream *stream, uint64_t first);
+static void remove_before(struct stream *stream, uint64_t first);
 static void wait_for_append(struct platform *platform, struct stream *stream, uint64_t from,
 			    int wait_ms);
-static void error_reply(struct cw_http_out *out, int status);
+static void reply_error(struct cw_http_out *out, int status);
 
 int main(int argc, char **argv)
 {
 	struct arg_int *port =
-		arg_int0(NULL, "port", "N", "listen there; 0 lets the kernel choose");
+		arg_int0(NULL, "port", "N", "port to listen on; 0: the kernel chooses");
 	struct arg_int *retention =
-		arg_int0(NULL, "retention-ms", "N", "records are kept this long; 0 for ever");
+		arg_int0(NULL, "retention-ms", "N", "remove records after N ms; 0: never");
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help and exit");
 	struct arg_end *end = arg_end(20);
 	void *table[] = {port, retention, help, end};
@@ -102,7 +108,7 @@
 		pthread_mutex_lock(&platform->mutex);
 	}
 	if (platform->outage) {
-		error_reply(out, 503);
+		reply_error(out, 503);
 	} else if (sscanf(in->path, "/log/%63[a-z]", name) == 1) {
 		if (!strcmp(in->method, "POST"))
 			handle_append(platform, name, in, out);
@@ -116,7 +122,7 @@
 	} else if (!strcmp(in->path, "/ratings")) {
 		handle_rating(platform, in, out);
 	} else {
-		error_reply(out, 404);
+		reply_error(out, 404);
 	}
 	pthread_mutex_unlock(&platform->mutex);
 }
@@ -124,19 +130,19 @@
 static void handle_append(struct platform *platform, const char *name, const struct cw_http_in *in,
 			  struct cw_http_out *out)
 {
-	struct stream *stream = stream_of(platform, name);
+	struct stream *stream = get_stream(platform, name);
 	struct json_object *parsed = standin_parse(in);
 	struct json_object *body;
 	struct record *record;
 
 	if (!parsed) {
-		error_reply(out, 400);
+		reply_error(out, 400);
 		return;
 	}
 	json_object_put(parsed);
-	if (platform->refuse > 0) {
-		platform->refuse--;
-		error_reply(out, 429);
+	if (platform->refusals_left > 0) {
+		platform->refusals_left--;
+		reply_error(out, 429);
 		return;
 	}
 	record = g_new0(struct record, 1);
@@ -145,9 +151,9 @@
 	g_ptr_array_add(stream->records, record);
 	platform->appends++;
 	pthread_cond_broadcast(&platform->appended);
-	if (platform->lose_answers > 0) {
-		platform->lose_answers--;
-		error_reply(out, 500);
+	if (platform->lost_answers_left > 0) {
+		platform->lost_answers_left--;
+		reply_error(out, 500);
 		return;
 	}
 	body = json_object_new_object();
@@ -160,7 +166,7 @@
 static void handle_read(struct platform *platform, const char *name, const struct cw_http_in *in,
 			struct cw_http_out *out)
 {
-	struct stream *stream = stream_of(platform, name);
+	struct stream *stream = get_stream(platform, name);
 	char text[32];
 	uint64_t from =
 		g_ascii_strtoull(standin_query(in->path, "from", text, sizeof(text)), NULL, 10);
@@ -225,9 +231,9 @@
 	pthread_mutex_lock(&platform->mutex);
 	platform->outage = (int)standin_number(parsed, "outage", platform->outage);
 	platform->slow_ms = (int)standin_number(parsed, "slow_ms", platform->slow_ms);
-	platform->lose_answers =
-		(int)standin_number(parsed, "lose_answers", platform->lose_answers);
-	platform->refuse = (int)standin_number(parsed, "refuse", platform->refuse);
+	platform->lost_answers_left =
+		(int)standin_number(parsed, "lose_answers", platform->lost_answers_left);
+	platform->refusals_left = (int)standin_number(parsed, "refuse", platform->refusals_left);
 	if (json_object_object_get_ex(parsed, "members", &value)) {
 		json_object_put(platform->members);
 		platform->members = json_object_get(value);
@@ -239,8 +245,8 @@
 	if (json_object_object_get_ex(parsed, "expire", &value)) {
 		json_object_object_foreach(value, name, first)
 		{
-			drop_before(stream_of(platform, name),
-				    (uint64_t)json_object_get_int64(first));
+			remove_before(get_stream(platform, name),
+				      (uint64_t)json_object_get_int64(first));
 		}
 	}
 	json_object_object_add(body, "appends", json_object_new_int64((int64_t)platform->appends));
@@ -251,7 +257,7 @@
 	json_object_put(parsed);
 }
 
-static struct stream *stream_of(struct platform *platform, const char *name)
+static struct stream *get_stream(struct platform *platform, const char *name)
 {
 	struct stream *stream = g_hash_table_lookup(platform->streams, name);
 
@@ -273,11 +279,11 @@
 
 		if (record->time_ms >= before_ms)
 			break;
-		drop_before(stream, stream->first + 1);
+		remove_before(stream, stream->first + 1);
 	}
 }
 
-static void drop_before(struct stream *stream, uint64_t first)
+static void remove_before(struct stream *stream, uint64_t first)
 {
 	while (stream->first < first && stream->records->len > 0) {
 		struct record *record = g_ptr_array_index(stream->records, 0);
@@ -306,7 +312,7 @@
 			break;
 }
 
-static void error_reply(struct cw_http_out *out, int status)
+static void reply_error(struct cw_http_out *out, int status)
 {
 	cw_http_out_header(out, "Retry-After", "1");
 	cw_http_out_json(out, status, g_strdup("{\"error\":\"stand-in\"}"));
--- a/tests/standins/standin.c
+++ b/tests/standins/standin.c
@@ -9,7 +9,7 @@
 
 #define MAX_BODY (64 * 1024 * 1024)
 
-/* Any thread may be the one that takes the signal. */
+/* Atomic, since the signal handler may run on any thread. */
 static int stop_asked;
 
 static void on_signal(int number)
--- a/tests/standins/standin.h
+++ b/tests/standins/standin.h
@@ -1,4 +1,4 @@
-/* What the stand-ins share: their command line, their listener, their end. */
+/* Shared by the stand-ins and tools: HTTP listener, replies, JSON access and shutdown. */
 #ifndef STANDIN_H
 #define STANDIN_H
 
@@ -10,10 +10,11 @@
 				      void (*handle)(void *context, const struct cw_http_in *in,
 						     struct cw_http_out *out),
 				      void *context); /* prints "listening IP:PORT" */
-void standin_wait(void);			      /* until SIGTERM or SIGINT */
+void standin_wait(void);			      /* blocks until SIGTERM or SIGINT */
 const char *standin_query(const char *path, const char *name, char *value,
-			  size_t size); /* "" when missing */
-void standin_reply(struct cw_http_out *out, int status, struct json_object *body); /* takes body */
+			  size_t size); /* copies into value; "" if absent */
+void standin_reply(struct cw_http_out *out, int status,
+		   struct json_object *body);			/* takes ownership of body */
 struct json_object *standin_parse(const struct cw_http_in *in); /* NULL: not JSON */
 const char *standin_text(struct json_object *object, const char *key, const char *fallback);
 int64_t standin_number(struct json_object *object, const char *key, int64_t fallback);
--- a/tests/standins/users_runner.c
+++ b/tests/standins/users_runner.c
@@ -1,13 +1,22 @@
 /*
- * Stand-in for a backend server of the users' platform: an engine that streams events, or a plain
- * service. The last segment of the path is the number of events; an engine makes one every --gap
- * ms. POST /admin/mode?m=NAME  how requests are met: ok, notrun, error, hang, garble, unframed (no
- * length), short (reset midway), cut (a stream breaks after two events), extra;
- * end: it ends now GET /admin/runs a
- * line for each run: request, model, organisation, first event
+ * standin-users-runner: a backend server of the users' platform, which streams events or answers as
+ * a plain service. The last segment of a request's path is the number of events; one comes every
+ * --gap ms.
  *
- * With --fatal TEXT a request whose body holds that text ends the server once it has run for some
- * ms: all connections break, and none is taken until it is back.
+ * POST /admin/mode?m=NAME sets how requests are answered from then on:
+ *   ok      normally
+ *   notrun  503 with Not-Executed; the request does not run
+ *   error   500, unless the request asks for a stream
+ *   hang    no answer, and no further events of running streams
+ *   garble  a head with a line that is no header field
+ *   short   the connection breaks within the body, unless the request asks for a stream
+ *   cut     a stream breaks within an event after two events
+ *   end     the server crashes at once
+ * Any other name acts as ok, also unframed (meant for a body without a length) and extra.
+ * GET /admin/runs lists the requests that began to run: id, model, organisation, last event before.
+ *
+ * With --fatal TEXT a request whose body contains TEXT crashes the server after --fatal-ms: all
+ * connections break, and new ones are refused for --down-ms.
  */
 #include "cw_flow.h"
 #include "ending.h"
@@ -19,15 +28,15 @@
 #include <string.h>
 #include <sys/queue.h>
 
-#define CUT_AFTER 2
+#define CUT_AFTER 2 /* events */
 
 struct run {
 	TAILQ_ENTRY(run) link;
 	struct cw_caller *caller;
 	uv_timer_t timer;
-	long next;
-	long last;
-	long made;
+	long next; /* id of the next event */
+	long last; /* id of the last event */
+	long made; /* events sent */
 };
 
 static uv_loop_t loop;
@@ -38,7 +47,7 @@
 static const char *confidence;
 static long gap_ms;
 static unsigned int running;
-static struct ending ending;
+static struct crash crash;
 
 static void on_timer_closed(uv_handle_t *handle)
 {
@@ -52,12 +61,12 @@
 	uv_close((uv_handle_t *)&run->timer, on_timer_closed);
 }
 
-static void on_gone(void *context)
+static void on_disconnect(void *context)
 {
 	end_run(context);
 }
 
-static void on_room(void *context)
+static void on_writable(void *context)
 {
 }
 
@@ -71,7 +80,7 @@
 	if (!strcmp(mode, "cut") && run->made == CUT_AFTER) {
 		struct cw_caller *caller = run->caller;
 
-		/* In the middle of an event. */
+		/* The connection breaks within an event. */
 		cw_caller_data(caller, "id: 9", 5);
 		cw_caller_attach(caller, NULL);
 		end_run(run);
@@ -92,8 +101,8 @@
 	}
 }
 
-static void head(struct cw_caller *caller, const struct cw_message *request, unsigned int status,
-		 const char *more, int64_t length)
+static void send_head(struct cw_caller *caller, const struct cw_message *request,
+		      unsigned int status, const char *more, int64_t length)
 {
 	GString *fields = g_string_new(NULL);
 	const char *id = cw_message_find(request, "Attempt-Id");
@@ -107,7 +116,7 @@
 	g_string_free(fields, TRUE);
 }
 
-static void stream(struct cw_caller *caller, const struct cw_message *request, long events)
+static void start_stream(struct cw_caller *caller, const struct cw_message *request, long events)
 {
 	struct run *run = g_new0(struct run, 1);
 	const char *last = cw_message_find(request, "Last-Event-Id");
@@ -120,11 +129,11 @@
 	TAILQ_INSERT_TAIL(&runs, run, link);
 	running++;
 	cw_caller_attach(caller, run);
-	head(caller, request, 200, "Content-Type: text/event-stream\r\n", CW_FLOW_CHUNKED);
+	send_head(caller, request, 200, "Content-Type: text/event-stream\r\n", CW_FLOW_CHUNKED);
 	uv_timer_start(&run->timer, on_event, 5, (uint64_t)gap_ms);
 }
 
-static void note_run(const struct cw_message *request)
+static void record_run(const struct cw_message *request)
 {
 	const char *model = cw_message_find(request, "Model");
 	const char *organisation = cw_message_find(request, "Tenant");
@@ -135,7 +144,7 @@
 			       cw_message_find(request, "Attempt-Id"), model ? model : "-",
 			       organisation ? organisation : "-", last ? last : "-",
 			       secret ? " SECRET" : "");
-	ending_run(&ending, request->body->str, request->body->len);
+	crash_check_request(&crash, request->body->str, request->body->len);
 	printf("run %s %s%s\n", request->target->str, cw_message_find(request, "Attempt-Id"),
 	       secret ? " SECRET" : "");
 	fflush(stdout);
@@ -146,7 +155,7 @@
 	const char *m = strstr(request->target->str, "?m=");
 
 	if (m && !strcmp(m + 3, "end"))
-		ending_now(&ending);
+		crash_now(&crash);
 	if (m)
 		g_strlcpy(mode, m + 3, sizeof(mode));
 	cw_caller_head(caller, 200, "", (int64_t)journal->len);
@@ -163,34 +172,34 @@
 	if (g_str_has_prefix(request->target->str, "/admin/")) {
 		on_admin(caller, request);
 	} else if (expected && strcmp(expected, name) != 0) {
-		head(caller, request, 421, "Instance-Id: other\r\n", 0);
+		send_head(caller, request, 421, "Instance-Id: other\r\n", 0);
 		cw_caller_end(caller);
 	} else if (!strcmp(mode, "notrun")) {
-		head(caller, request, 503, "Not-Executed: 1\r\n", 0);
+		send_head(caller, request, 503, "Not-Executed: 1\r\n", 0);
 		cw_caller_end(caller);
 	} else if (!strcmp(mode, "garble")) {
-		note_run(request);
+		record_run(request);
 		cw_caller_head(caller, 200, "\x01\x02 no field at all\r\n", 0);
 		cw_caller_end(caller);
 	} else if (accept && !strcmp(accept, "text/event-stream")) {
-		note_run(request);
-		stream(caller, request, events ? strtol(events + 1, NULL, 10) : 1);
+		record_run(request);
+		start_stream(caller, request, events ? strtol(events + 1, NULL, 10) : 1);
 	} else if (!strcmp(mode, "hang")) {
-		note_run(request);
+		record_run(request);
 	} else if (!strcmp(mode, "short")) {
-		note_run(request);
-		head(caller, request, 200, "", 100);
+		record_run(request);
+		send_head(caller, request, 200, "", 100);
 		cw_caller_data(caller, "half", 4);
 		cw_caller_abort(caller);
 	} else {
-		note_run(request);
-		head(caller, request, strcmp(mode, "error") ? 200 : 500, "", 5);
+		record_run(request);
+		send_head(caller, request, strcmp(mode, "error") ? 200 : 500, "", 5);
 		cw_caller_data(caller, "whole", 5);
 		cw_caller_end(caller);
 	}
 }
 
-static const struct cw_listener_ops ops = {on_request, on_gone, on_room, NULL};
+static const struct cw_listener_ops ops = {on_request, on_disconnect, on_writable, NULL};
 
 static void on_signal(uv_signal_t *signal, int number)
 {
@@ -199,32 +208,36 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_str *listen = arg_str1(NULL, "listen", "IP:PORT", "where it listens");
-	struct arg_str *id = arg_str1(NULL, "name", "NAME", "of this incarnation");
-	struct arg_str *trust = arg_str0(NULL, "confidence", "N", "an engine's, 0 to 100");
-	struct arg_int *gap = arg_int0(NULL, "gap", "MS", "between two events, 20");
-	struct arg_str *text = arg_str0(NULL, "fatal", "TEXT", "of bodies that end the server");
-	struct arg_int *after = arg_int0(NULL, "fatal-ms", "MS", "that such a request runs, 40");
-	struct arg_int *down = arg_int0(NULL, "down-ms", "MS", "until it is back, 1500");
+	struct arg_str *listen = arg_str1(NULL, "listen", "IP:PORT", "address to listen on");
+	struct arg_str *id = arg_str1(NULL, "name", "NAME", "name of this server incarnation");
+	struct arg_str *confidence_option = arg_str0(
+		NULL, "confidence", "N", "confidence to report with each answer, 0 to 100");
+	struct arg_int *gap = arg_int0(NULL, "gap", "MS", "ms between two events (20)");
+	struct arg_str *text = arg_str0(NULL, "fatal", "TEXT",
+					"requests whose body contains TEXT crash the server");
+	struct arg_int *after = arg_int0(NULL, "fatal-ms", "MS",
+					 "ms from the start of such a request to the crash (40)");
+	struct arg_int *down = arg_int0(NULL, "down-ms", "MS",
+					"ms from a crash until the server listens again (1500)");
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help and exit");
 	struct arg_end *end = arg_end(4);
-	void *table[] = {listen, id, trust, gap, text, after, down, help, end};
+	void *table[] = {listen, id, confidence_option, gap, text, after, down, help, end};
 	struct cw_error error = {0};
 	uv_signal_t term;
 
-	ending_stay_down();
+	crash_wait_downtime();
 	if (arg_parse(argc, argv, table) || help->count) {
 		printf("usage: standin-users-runner");
 		arg_print_syntax(stdout, table, "\n");
 		return help->count ? 0 : 2;
 	}
 	name = id->sval[0];
-	confidence = trust->count ? trust->sval[0] : NULL;
+	confidence = confidence_option->count ? confidence_option->sval[0] : NULL;
 	gap_ms = gap->count ? gap->ival[0] : 20;
-	ending.text = text->count ? text->sval[0] : NULL;
-	ending.after_ms = after->count ? after->ival[0] : 40;
-	ending.down_ms = down->count ? down->ival[0] : 1500;
-	ending.arguments = argv;
+	crash.text = text->count ? text->sval[0] : NULL;
+	crash.after_ms = after->count ? after->ival[0] : 40;
+	crash.down_ms = down->count ? down->ival[0] : 1500;
+	crash.arguments = argv;
 	journal = g_string_new(NULL);
 	uv_loop_init(&loop);
 	if (!cw_listener_create(&loop, listen->sval[0], &ops, NULL, &error)) {
--- a/tests/standins/users_store.c
+++ b/tests/standins/users_store.c
@@ -1,13 +1,15 @@
 /*
- * Stand-in for the store of the users' platform: four keyed topics in memory, read by long polls.
- *   POST /admin/put?topic=T&key=K   the body becomes the newest record of K ("" drops K)
- *   POST /admin/mode?m=NAME         how other calls are met from now on: ok, busy, many, silent,
- *                                   reset, slow, lost (appends are kept and not answered)
- *   POST /admin/expire?topic=T      the records kept so far can no longer be read one by one
- *   POST /admin/deaf?topic=T        the reads that wait on T now are never answered
- *   POST /admin/miss?topic=T        the reads that wait on T now see no record before their time is
- * up GET /admin/calls                how many other calls came GET /admin/newest?topic=T&key=K the
- * value
+ * standin-users-store: the shared store of the users' platform, with four keyed topics in memory
+ * that are read by long polls.
+ *   POST /admin/put?topic=T&key=K    appends the body as the newest record of K; empty: removes K
+ *   POST /admin/mode?m=NAME          sets how other calls are answered from then on: ok, busy
+ *                                    (503), many (429), silent (never), reset (connection reset),
+ *                                    slow (reads 400 ms late), lost (appends stored, unanswered)
+ *   POST /admin/expire?topic=T       the records of T so far can be read only by log-newest
+ *   POST /admin/deaf?topic=T         the reads that now wait on T are never answered
+ *   POST /admin/miss?topic=T         the reads that now wait on T are answered at their time-out
+ *   GET /admin/calls                 prints the number of other calls so far
+ *   GET /admin/newest?topic=T&key=K  prints the newest value of K
  */
 #include "cw_flow.h"
 
@@ -18,28 +20,28 @@
 #include <string.h>
 #include <sys/queue.h>
 
-#define TICK_MS 20
-#define SLOW_MS 400
+#define TICK_MS 20  /* between two checks of the waiting reads */
+#define SLOW_MS 400 /* delay of reads in mode slow */
 
 struct record {
 	char *key;
-	GString *value; /* empty: dropped */
+	GString *value; /* empty: the key was removed */
 };
 
 struct topic {
 	const char *name;
 	GPtrArray *records; /* index = offset */
-	size_t first;
+	size_t first;	    /* lowest offset that can still be read */
 };
 
-struct waiting {
-	TAILQ_ENTRY(waiting) link;
+struct waiting_read {
+	TAILQ_ENTRY(waiting_read) link;
 	struct cw_caller *caller;
 	struct topic *topic;
 	size_t from;
-	uint64_t until_ms;
+	uint64_t until_ms; /* time-out of the long poll */
 	uint64_t not_before_ms;
-	int is_lost; /* never answered */
+	int is_never_answered;
 };
 
 static uv_loop_t loop;
@@ -47,11 +49,11 @@
 				{"keyed.servers", NULL, 0},
 				{"keyed.status", NULL, 0},
 				{"keyed.quarantine", NULL, 0}};
-static TAILQ_HEAD(, waiting) waitings = TAILQ_HEAD_INITIALIZER(waitings);
+static TAILQ_HEAD(, waiting_read) waiting_reads = TAILQ_HEAD_INITIALIZER(waiting_reads);
 static char mode[16] = "ok";
 static unsigned long calls;
 
-static void query(const char *target, const char *name, char *value, size_t size)
+static void get_query(const char *target, const char *name, char *value, size_t size)
 {
 	const char *at = strchr(target, '?');
 	size_t length = strlen(name);
@@ -76,7 +78,7 @@
 {
 	char name[32];
 
-	query(target, "topic", name, sizeof(name));
+	get_query(target, "topic", name, sizeof(name));
 	for (size_t i = 0; i < G_N_ELEMENTS(topics); i++)
 		if (!strcmp(topics[i].name, name))
 			return &topics[i];
@@ -158,7 +160,7 @@
 	const char *body = request->body->str;
 	size_t length = (unsigned char)body[4];
 
-	query(request->target->str, "at", at, sizeof(at));
+	get_query(request->target->str, "at", at, sizeof(at));
 	if (*at && strtoul(at, NULL, 10) != topic->records->len) {
 		reply(caller, 412, "{}", 2);
 		return;
@@ -170,48 +172,49 @@
 		reply(caller, 200, "{}", 2);
 }
 
-static void hold(struct cw_caller *caller, struct topic *topic, size_t from, long wait_ms,
-		 int is_lost)
+static void add_waiting_read(struct cw_caller *caller, struct topic *topic, size_t from,
+			     long wait_ms, int is_never_answered)
 {
-	struct waiting *waiting = g_new0(struct waiting, 1);
-
-	waiting->caller = caller;
-	waiting->topic = topic;
-	waiting->from = from;
-	waiting->until_ms = uv_now(&loop) + (uint64_t)wait_ms;
-	waiting->not_before_ms = strcmp(mode, "slow") ? 0 : uv_now(&loop) + SLOW_MS;
-	waiting->is_lost = is_lost;
-	TAILQ_INSERT_TAIL(&waitings, waiting, link);
-	cw_caller_attach(caller, waiting);
+	struct waiting_read *waiting_read = g_new0(struct waiting_read, 1);
+
+	waiting_read->caller = caller;
+	waiting_read->topic = topic;
+	waiting_read->from = from;
+	waiting_read->until_ms = uv_now(&loop) + (uint64_t)wait_ms;
+	waiting_read->not_before_ms = strcmp(mode, "slow") ? 0 : uv_now(&loop) + SLOW_MS;
+	waiting_read->is_never_answered = is_never_answered;
+	TAILQ_INSERT_TAIL(&waiting_reads, waiting_read, link);
+	cw_caller_attach(caller, waiting_read);
 }
 
 static void on_tick(uv_timer_t *timer)
 {
-	struct waiting *waiting = TAILQ_FIRST(&waitings);
+	struct waiting_read *waiting_read = TAILQ_FIRST(&waiting_reads);
 
-	while (waiting) {
-		struct waiting *next = TAILQ_NEXT(waiting, link);
+	while (waiting_read) {
+		struct waiting_read *next = TAILQ_NEXT(waiting_read, link);
 		uint64_t now_ms = uv_now(&loop);
 
-		if (!waiting->is_lost && now_ms >= waiting->not_before_ms &&
-		    (waiting->topic->records->len > waiting->from || now_ms >= waiting->until_ms)) {
-			TAILQ_REMOVE(&waitings, waiting, link);
-			answer_read(waiting->caller, waiting->topic, waiting->from);
-			g_free(waiting);
+		if (!waiting_read->is_never_answered && now_ms >= waiting_read->not_before_ms &&
+		    (waiting_read->topic->records->len > waiting_read->from ||
+		     now_ms >= waiting_read->until_ms)) {
+			TAILQ_REMOVE(&waiting_reads, waiting_read, link);
+			answer_read(waiting_read->caller, waiting_read->topic, waiting_read->from);
+			g_free(waiting_read);
 		}
-		waiting = next;
+		waiting_read = next;
 	}
 }
 
-static void on_gone(void *context)
+static void on_disconnect(void *context)
 {
-	struct waiting *waiting = context;
+	struct waiting_read *waiting_read = context;
 
-	TAILQ_REMOVE(&waitings, waiting, link);
-	g_free(waiting);
+	TAILQ_REMOVE(&waiting_reads, waiting_read, link);
+	g_free(waiting_read);
 }
 
-static void on_room(void *context)
+static void on_writable(void *context)
 {
 }
 
@@ -219,24 +222,24 @@
 {
 	const char *target = request->target->str;
 	struct topic *topic = find_topic(target);
-	struct waiting *waiting;
+	struct waiting_read *waiting_read;
 	char key[256];
 	char text[32];
 
-	query(target, "key", key, sizeof(key));
+	get_query(target, "key", key, sizeof(key));
 	if (g_str_has_prefix(target, "/admin/mode")) {
-		query(target, "m", mode, sizeof(mode));
+		get_query(target, "m", mode, sizeof(mode));
 	} else if (g_str_has_prefix(target, "/admin/put")) {
 		append(topic, key, request->body->str, request->body->len);
 	} else if (g_str_has_prefix(target, "/admin/expire")) {
 		topic->first = topic->records->len;
 	} else if (g_str_has_prefix(target, "/admin/deaf")) {
-		TAILQ_FOREACH(waiting, &waitings, link)
-			waiting->is_lost |= waiting->topic == topic;
+		TAILQ_FOREACH(waiting_read, &waiting_reads, link)
+			waiting_read->is_never_answered |= waiting_read->topic == topic;
 	} else if (g_str_has_prefix(target, "/admin/miss")) {
-		TAILQ_FOREACH(waiting, &waitings, link)
-			if (waiting->topic == topic)
-				waiting->not_before_ms = waiting->until_ms;
+		TAILQ_FOREACH(waiting_read, &waiting_reads, link)
+			if (waiting_read->topic == topic)
+				waiting_read->not_before_ms = waiting_read->until_ms;
 	} else if (g_str_has_prefix(target, "/admin/calls")) {
 		snprintf(text, sizeof(text), "%lu\n", calls);
 		reply(caller, 200, text, strlen(text));
@@ -268,7 +271,7 @@
 	}
 	calls++;
 	if (!strcmp(mode, "silent") || !topic) {
-		hold(caller, &topics[0], 0, 0, 1);
+		add_waiting_read(caller, &topics[0], 0, 0, 1);
 	} else if (!strcmp(mode, "busy") || !strcmp(mode, "many")) {
 		reply(caller, *mode == 'b' ? 503 : 429, "", 0);
 	} else if (!strcmp(mode, "reset")) {
@@ -278,18 +281,19 @@
 	} else if (g_str_has_prefix(target, "/v1/log-append")) {
 		answer_append(caller, topic, request);
 	} else {
-		query(target, "from", from, sizeof(from));
-		query(target, "wait_ms", wait_ms, sizeof(wait_ms));
+		get_query(target, "from", from, sizeof(from));
+		get_query(target, "wait_ms", wait_ms, sizeof(wait_ms));
 		if (strtoul(from, NULL, 10) < topic->first) {
 			snprintf(from, sizeof(from), "{\"first_offset\":%zu}", topic->first);
 			reply(caller, 410, from, strlen(from));
 			return;
 		}
-		hold(caller, topic, strtoul(from, NULL, 10), strtol(wait_ms, NULL, 10), 0);
+		add_waiting_read(caller, topic, strtoul(from, NULL, 10), strtol(wait_ms, NULL, 10),
+				 0);
 	}
 }
 
-static const struct cw_listener_ops ops = {on_request, on_gone, on_room, NULL};
+static const struct cw_listener_ops ops = {on_request, on_disconnect, on_writable, NULL};
 
 static void on_signal(uv_signal_t *signal, int number)
 {
@@ -298,7 +302,7 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_str *listen = arg_str1(NULL, "listen", "IP:PORT", "where it listens");
+	struct arg_str *listen = arg_str1(NULL, "listen", "IP:PORT", "address to listen on");
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help and exit");
 	struct arg_end *end = arg_end(4);
 	void *table[] = {listen, help, end};
