--- a/tests/tools/faultproxy.c
+++ b/tests/tools/faultproxy.c
@@ -1,13 +1,17 @@
 /*
- * faultproxy: stands between any two processes and breaks their connections on command. POST
- * /control on its second port takes {"mode":NAME,"delay_ms":N,"after":BYTES,"count":N}, NAME being
- *   pass         bytes go both ways
- *   refuse       connections there are cut, new ones closed at once
- *   freeze       connections stay open, nothing goes either way
- *   block_up     what the caller sends goes nowhere; block_down: what the server sends
- *   drop_answer  the request passes; the connection is cut when its answer comes
- *   cut          the connection is cut after so many bytes of its answer
- * count: how many connections drop_answer or cut breaks before passing again (all, when left out).
+ * faultproxy: a TCP proxy between two processes that injects connection faults on command.
+ * POST /control on its second port takes {"mode":NAME,"delay_ms":N,"after":BYTES,"count":N}, with
+ * NAME one of
+ *   pass         forward both ways
+ *   refuse       close existing connections, reset new ones
+ *   freeze       keep connections open, forward nothing
+ *   block_up     forward nothing from the caller to the server
+ *   block_down   forward nothing from the server to the caller
+ *   drop_answer  forward the request, close the connection when its answer begins
+ *   cut          close the connection after BYTES bytes from the server
+ * delay_ms is the delay of every piece of data that is forwarded. count is the number of
+ * connections that drop_answer or cut closes before the proxy passes everything again (no limit if
+ * absent).
  */
 #include "standin.h"
 
@@ -24,9 +28,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define LOOK_MS	    20 /* how soon a changed mode is seen */
-#define BUFFER	    65536
-#define STACK_BYTES (256 * 1024)
+#define POLL_MS	     20 /* poll time-out: a new mode takes effect within that time */
+#define BUFFER_BYTES 65536
+#define STACK_BYTES  (256 * 1024)
 
 enum mode {
 	MODE_PASS,
@@ -54,16 +58,16 @@
 	struct proxy *proxy;
 	int caller;
 	int server;
-	int64_t answered; /* bytes */
+	int64_t answered; /* bytes forwarded from the server */
 };
 
 static void handle(void *context, const struct cw_http_in *in, struct cw_http_out *out);
 static void *accept_loop(void *data);
 static void *serve(void *data);
 static int forward(struct connection *connection, int from, int to, int is_answer, enum mode mode);
-static int breaks_answer(struct connection *connection, enum mode mode, ssize_t size,
-			 int64_t *left);
-static enum mode mode_of(struct proxy *proxy, int *delay_ms);
+static int consume_answer_fault(struct connection *connection, enum mode mode, ssize_t size,
+				int64_t *bytes_left);
+static enum mode get_mode(struct proxy *proxy, int *delay_ms);
 static int connect_to(const struct sockaddr_in *target);
 static int listen_at(const char *host, int *port);
 
@@ -71,9 +75,9 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_str *to = arg_str1(NULL, "to", "IP:PORT", "the server behind");
+	struct arg_str *to = arg_str1(NULL, "to", "IP:PORT", "server to forward to");
 	struct arg_int *port =
-		arg_int0(NULL, "port", "N", "listen there; 0 lets the kernel choose");
+		arg_int0(NULL, "port", "N", "port to listen on; 0: the kernel chooses");
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help and exit");
 	struct arg_end *end = arg_end(20);
 	void *table[] = {to, port, help, end};
@@ -140,7 +144,7 @@
 
 		if (caller < 0)
 			continue;
-		if (mode_of(proxy, NULL) == MODE_REFUSE) {
+		if (get_mode(proxy, NULL) == MODE_REFUSE) {
 			struct linger reset = {1, 0};
 
 			setsockopt(caller, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
@@ -167,17 +171,17 @@
 	int open = 1;
 
 	while (open && connection->server < 0) {
-		enum mode mode = mode_of(connection->proxy, NULL);
+		enum mode mode = get_mode(connection->proxy, NULL);
 
 		if (mode == MODE_REFUSE)
 			open = 0;
 		else if (mode == MODE_FREEZE)
-			usleep(LOOK_MS * 1000);
+			usleep(POLL_MS * 1000);
 		else if ((connection->server = connect_to(&connection->proxy->target)) < 0)
 			open = 0;
 	}
 	while (open) {
-		enum mode mode = mode_of(connection->proxy, NULL);
+		enum mode mode = get_mode(connection->proxy, NULL);
 		int up = mode != MODE_FREEZE && mode != MODE_BLOCK_UP;
 		int down = mode != MODE_FREEZE && mode != MODE_BLOCK_DOWN;
 		struct pollfd set[2] = {{connection->caller, up ? POLLIN : 0, 0},
@@ -185,18 +189,19 @@
 
 		if (mode == MODE_REFUSE)
 			break;
-		poll(set, 2, LOOK_MS);
-		/* The mode may have changed while poll waited: what came since belongs to the new
-		 * one. */
-		if (mode_of(connection->proxy, NULL) != mode)
+		poll(set, 2, POLL_MS);
+		/* If the mode changed during poll, the data that arrived is handled under the new
+		 * mode. */
+		if (get_mode(connection->proxy, NULL) != mode)
 			continue;
 		if (up && set[0].revents)
 			open = forward(connection, connection->caller, connection->server, 0, mode);
 		if (open && down && set[1].revents)
 			open = forward(connection, connection->server, connection->caller, 1, mode);
-		/* A peer that went away while frozen would make poll return at once, for ever. */
+		/* poll reports a closed connection at once; without the sleep, a blocked direction
+		 * whose end has closed would make the loop spin. */
 		if ((!up && set[0].revents) || (!down && set[1].revents))
-			usleep(LOOK_MS * 1000);
+			usleep(POLL_MS * 1000);
 	}
 	if (connection->server >= 0)
 		close(connection->server);
@@ -207,19 +212,19 @@
 
 static int forward(struct connection *connection, int from, int to, int is_answer, enum mode mode)
 {
-	char buffer[BUFFER];
+	char buffer[BUFFER_BYTES];
 	int delay_ms;
-	int64_t left = 0;
+	int64_t bytes_left = 0;
 	ssize_t size = recv(from, buffer, sizeof(buffer), 0);
 
 	if (size <= 0)
 		return 0;
-	mode_of(connection->proxy, &delay_ms);
+	get_mode(connection->proxy, &delay_ms);
 	if (delay_ms > 0)
 		usleep((useconds_t)delay_ms * 1000);
-	if (is_answer && breaks_answer(connection, mode, size, &left)) {
-		if (left > 0)
-			send(to, buffer, (size_t)left, MSG_NOSIGNAL);
+	if (is_answer && consume_answer_fault(connection, mode, size, &bytes_left)) {
+		if (bytes_left > 0)
+			send(to, buffer, (size_t)bytes_left, MSG_NOSIGNAL);
 		return 0;
 	}
 	if (is_answer)
@@ -234,23 +239,24 @@
 	return 1;
 }
 
-static int breaks_answer(struct connection *connection, enum mode mode, ssize_t size, int64_t *left)
+static int consume_answer_fault(struct connection *connection, enum mode mode, ssize_t size,
+				int64_t *bytes_left)
 {
 	struct proxy *proxy = connection->proxy;
-	int breaks;
+	int is_broken;
 
 	if (mode != MODE_DROP_ANSWER && mode != MODE_CUT)
 		return 0;
 	pthread_mutex_lock(&proxy->mutex);
-	breaks = proxy->count > 0 &&
-		 (mode == MODE_DROP_ANSWER || connection->answered + size > proxy->after);
-	proxy->count -= breaks;
-	*left = mode == MODE_CUT ? proxy->after - connection->answered : 0;
+	is_broken = proxy->count > 0 &&
+		    (mode == MODE_DROP_ANSWER || connection->answered + size > proxy->after);
+	proxy->count -= is_broken;
+	*bytes_left = mode == MODE_CUT ? proxy->after - connection->answered : 0;
 	pthread_mutex_unlock(&proxy->mutex);
-	return breaks;
+	return is_broken;
 }
 
-static enum mode mode_of(struct proxy *proxy, int *delay_ms)
+static enum mode get_mode(struct proxy *proxy, int *delay_ms)
 {
 	enum mode mode;
 
--- a/tests/tools/free_ports.c
+++ b/tests/tools/free_ports.c
@@ -1,7 +1,7 @@
 /*
- * free-ports N: prints N TCP ports of the loopback address, chosen by the kernel. Each is left in
- * TIME_WAIT: the kernel hands it to nobody else for a minute, and a listener with SO_REUSEADDR may
- * still take it.
+ * free-ports N: prints N free TCP ports of the loopback address, chosen by the kernel. Each port is
+ * left in TIME_WAIT: for a minute the kernel gives it to no other process that asks for any port,
+ * but a listener with SO_REUSEADDR can still bind it.
  */
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -26,7 +26,7 @@
 	    connect(client, (struct sockaddr *)&address, sizeof(address)))
 		return -1;
 	accepted = accept(listener, NULL, NULL);
-	close(accepted); /* the listener's side closes first, so TIME_WAIT holds its port */
+	close(accepted); /* the side that closes first is in TIME_WAIT, with the listener's port */
 	close(client);
 	close(listener);
 	return ntohs(address.sin_port);
--- a/tests/tools/loadgen.c
+++ b/tests/tools/loadgen.c
@@ -1,6 +1,8 @@
 /*
- * loadgen: a bounded load of chat requests, each answer checked for being whole and the caller's
- * own. Prints one line of counts and times. With --direct it calls a backend server itself.
+ * loadgen: sends a limited number of chat requests and checks that each answer is complete and
+ * belongs to its request. Prints one line with counts and latency percentiles. The exit status is 1
+ * if an answer was invalid or another request's. --direct is accepted for calls
+ * to a backend server itself, without a router, and has no effect.
  */
 #include "cw_hash.h"
 #include "cw_http_client.h"
@@ -13,7 +15,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TOTAL_MS 120000
+#define TIMEOUT_MS 120000
 
 struct load {
 	char **addresses;
@@ -21,21 +23,23 @@
 	const char *model;
 	const char *name;
 	int stream, tokens, requests, concurrency, direct, retries;
-	int64_t until_us; /* 0: by count */
+	int64_t end_us; /* monotonic; 0: limited by the number of requests only */
 	int next;
 	pthread_mutex_t mutex;
 	GArray *first_ms;
 	GArray *total_ms;
-	GArray *refused_ms;
-	GHashTable *refusals;
-	int whole, cut, foreign, refused, unreachable;
+	GArray *rejected_ms;
+	GHashTable *rejections_by_code; /* error code -> number of rejections */
+	/* Results: complete answers, invalid ones, those of another request, rejections, and
+	 * requests that reached no instance. */
+	int whole, cut, foreign, rejected, unreachable;
 };
 
-struct one {
+struct exchange {
 	const char *id;
 	GString *text;
-	GString *pending;
-	int ended;
+	GString *pending; /* received, not parsed yet */
+	int is_ended;	  /* the stream's end marker was received */
 	int status;
 	int error_event;
 	double first_ms;
@@ -43,29 +47,34 @@
 };
 
 static void *worker(void *data);
-static void one_request(struct load *load, int number);
-static int attempt(struct load *load, int number, int try);
+static void send_request(struct load *load, int number);
+static int send_attempt(struct load *load, int number, int attempt);
 static int on_head(void *context, int status, const char *request_id, const char *content_type);
 static int on_data(void *context, const char *data, size_t size);
-static int is_whole(const struct load *load, const struct one *one);
-static void take_content(struct one *one, const char *line);
+static int is_whole(const struct load *load, const struct exchange *exchange);
+static void append_content(struct exchange *exchange, const char *line);
 static double percentile(GArray *values, double share);
-static gint compare(gconstpointer a, gconstpointer b);
+static gint compare_doubles(gconstpointer a, gconstpointer b);
 
 int main(int argc, char **argv)
 {
-	struct arg_str *to = arg_str1(NULL, "to", "IP:PORT,...", "instances, used in turns");
-	struct arg_str *key = arg_str0(NULL, "key", "KEY", "the organisation's key");
-	struct arg_str *model = arg_str0(NULL, "model", "MODEL", "or auto");
-	struct arg_str *name = arg_str0(NULL, "name", "NAME", "request ids begin so");
-	struct arg_int *requests = arg_int0(NULL, "requests", "N", "how many (100)");
-	struct arg_int *seconds = arg_int0(NULL, "seconds", "N", "stop after that long");
-	struct arg_int *concurrency = arg_int0(NULL, "concurrency", "N", "at a time (1)");
-	struct arg_int *tokens = arg_int0(NULL, "tokens", "N", "of each answer (8)");
+	struct arg_str *to = arg_str1(NULL, "to", "IP:PORT,...", "instances, used in turn");
+	struct arg_str *key = arg_str0(NULL, "key", "KEY", "key of the organisation");
+	struct arg_str *model =
+		arg_str0(NULL, "model", "MODEL", "model to ask for, or auto (reporter)");
+	struct arg_str *name = arg_str0(NULL, "name", "NAME", "prefix of the request ids (load)");
+	struct arg_int *requests = arg_int0(NULL, "requests", "N", "number of requests (100)");
+	struct arg_int *seconds =
+		arg_int0(NULL, "seconds", "N", "send no request after N s; 0: no limit (0)");
+	struct arg_int *concurrency =
+		arg_int0(NULL, "concurrency", "N", "requests in progress at the same time (1)");
+	struct arg_int *tokens = arg_int0(NULL, "tokens", "N", "tokens of each answer (8)");
 	struct arg_int *retries =
-		arg_int0(NULL, "retries", "N", "after a refusal that says not_run (0)");
-	struct arg_lit *stream = arg_lit0(NULL, "stream", "streamed answers");
-	struct arg_lit *direct = arg_lit0(NULL, "direct", "call a backend server itself");
+		arg_int0(NULL, "retries", "N",
+			 "retries of a request that was not run or found no instance (0)");
+	struct arg_lit *stream = arg_lit0(NULL, "stream", "ask for streamed answers");
+	struct arg_lit *direct = arg_lit0(
+		NULL, "direct", "accepted for calls to a backend server itself; has no effect");
 	struct arg_lit *help = arg_lit0(NULL, "help", "print this help and exit");
 	struct arg_end *end = arg_end(20);
 	void *table[] = {to,	 key,	  model,  name,	  requests, seconds, concurrency,
@@ -99,31 +108,31 @@
 	load.requests = requests->ival[0];
 	load.retries = retries->ival[0];
 	load.concurrency = concurrency->ival[0];
-	load.until_us =
+	load.end_us =
 		seconds->ival[0] ? g_get_monotonic_time() + seconds->ival[0] * G_USEC_PER_SEC : 0;
 	load.first_ms = g_array_new(FALSE, FALSE, sizeof(double));
 	load.total_ms = g_array_new(FALSE, FALSE, sizeof(double));
-	load.refused_ms = g_array_new(FALSE, FALSE, sizeof(double));
-	load.refusals = g_hash_table_new(g_str_hash, g_str_equal);
+	load.rejected_ms = g_array_new(FALSE, FALSE, sizeof(double));
+	load.rejections_by_code = g_hash_table_new(g_str_hash, g_str_equal);
 	threads = g_new(pthread_t, (gsize)load.concurrency);
 	for (int i = 0; i < load.concurrency; i++)
 		pthread_create(&threads[i], NULL, worker, &load);
 	for (int i = 0; i < load.concurrency; i++)
 		pthread_join(threads[i], NULL);
 	g_free(threads);
-	g_array_sort(load.first_ms, compare);
-	g_array_sort(load.total_ms, compare);
-	g_array_sort(load.refused_ms, compare);
+	g_array_sort(load.first_ms, compare_doubles);
+	g_array_sort(load.total_ms, compare_doubles);
+	g_array_sort(load.rejected_ms, compare_doubles);
 	printf("requests=%d whole=%d cut=%d foreign=%d refused=%d unreachable=%d", load.next,
-	       load.whole, load.cut, load.foreign, load.refused, load.unreachable);
-	g_hash_table_iter_init(&iter, load.refusals);
+	       load.whole, load.cut, load.foreign, load.rejected, load.unreachable);
+	g_hash_table_iter_init(&iter, load.rejections_by_code);
 	while (g_hash_table_iter_next(&iter, &code, &count))
 		printf(" %s=%d", (char *)code, GPOINTER_TO_INT(count));
 	printf(" first_ms_50=%.3f first_ms_95=%.3f first_ms_99=%.3f total_ms_50=%.3f "
 	       "total_ms_99=%.3f refused_ms_99=%.3f\n",
 	       percentile(load.first_ms, 0.5), percentile(load.first_ms, 0.95),
 	       percentile(load.first_ms, 0.99), percentile(load.total_ms, 0.5),
-	       percentile(load.total_ms, 0.99), percentile(load.refused_ms, 0.99));
+	       percentile(load.total_ms, 0.99), percentile(load.rejected_ms, 0.99));
 	cw_http_close();
 	return load.cut + load.foreign > 0;
 }
@@ -136,25 +145,26 @@
 		int number;
 
 		pthread_mutex_lock(&load->mutex);
-		number = load->next < load->requests && (!load->until_us ||
-							 g_get_monotonic_time() < load->until_us)
+		number = load->next < load->requests &&
+					 (!load->end_us || g_get_monotonic_time() < load->end_us)
 				 ? load->next++
 				 : -1;
 		pthread_mutex_unlock(&load->mutex);
 		if (number < 0)
 			return NULL;
-		one_request(load, number);
+		send_request(load, number);
 	}
 }
 
-static void one_request(struct load *load, int number)
+static void send_request(struct load *load, int number)
 {
-	for (int try = 0; attempt(load, number, try) && try < load->retries; try++)
+	for (int attempt = 0; send_attempt(load, number, attempt) && attempt < load->retries;
+	     attempt++)
 		g_usleep(100000);
 }
 
-/* Returns 1 when the caller may come again: it was refused, "not run", or never connected. */
-static int attempt(struct load *load, int number, int try)
+/* Returns 1 when the request may be retried: rejected as not run, or no connection was made. */
+static int send_attempt(struct load *load, int number, int attempt)
 {
 	char *id = g_strdup_printf("%s-%d", load->name, number);
 	char *body =
@@ -164,118 +174,124 @@
 	char *authorization = g_strdup_printf("Authorization: Bearer %s", load->key);
 	char *request_id = g_strdup_printf("X-Request-Id: %s", id);
 	const char *headers[] = {"Content-Type: application/json", request_id, authorization, NULL};
-	struct one one = {.id = id,
-			  .text = g_string_new(NULL),
-			  .pending = g_string_new(NULL),
-			  .first_ms = -1};
+	struct exchange exchange = {.id = id,
+				    .text = g_string_new(NULL),
+				    .pending = g_string_new(NULL),
+				    .first_ms = -1};
 	struct cw_http_call call = {
 		.method = "POST",
-		.address = load->addresses[(unsigned int)(number + try) %
+		.address = load->addresses[(unsigned int)(number + attempt) %
 					   g_strv_length(load->addresses)],
 		.path = "/v1/chat/completions",
 		.headers = headers,
 		.body = body,
 		.body_size = strlen(body),
 		.connect_ms = 2000,
-		.total_ms = TOTAL_MS,
+		.total_ms = TIMEOUT_MS,
 		.once = 0,
 		.on_head = on_head,
 		.on_data = on_data,
-		.context = &one,
+		.context = &exchange,
 	};
 	struct cw_http_answer answer;
 	enum cw_status status;
 	char code[64] = "";
-	int again = 0;
+	int may_retry = 0;
 
-	one.start_us = g_get_monotonic_time();
+	exchange.start_us = g_get_monotonic_time();
 	status = cw_http_perform(&call, &answer, NULL);
-	sscanf(strstr(one.pending->str, "\"code\":\"") ? strstr(one.pending->str, "\"code\":\"")
-						       : "",
+	sscanf(strstr(exchange.pending->str, "\"code\":\"")
+		       ? strstr(exchange.pending->str, "\"code\":\"")
+		       : "",
 	       "\"code\":\"%63[a-z_]", code);
 	pthread_mutex_lock(&load->mutex);
 	if (status == CW_UNREACHABLE) {
-		again = try < load->retries;
-		load->unreachable += !again;
-	} else if (one.status == 200 && status == CW_OK && is_whole(load, &one)) {
+		may_retry = attempt < load->retries;
+		load->unreachable += !may_retry;
+	} else if (exchange.status == 200 && status == CW_OK && is_whole(load, &exchange)) {
 		load->whole++;
-		g_array_append_val(load->first_ms, one.first_ms);
+		g_array_append_val(load->first_ms, exchange.first_ms);
 		g_array_append_val(load->total_ms, answer.total_ms);
-	} else if (one.status >= 400 && *code && strstr(one.pending->str, "\"run\":\"not_run\"")) {
-		again = try < load->retries;
-		g_array_append_val(load->refused_ms, answer.total_ms);
-		if (!again) {
-			load->refused++;
-			g_hash_table_insert(load->refusals, g_strdup(code),
-					    GINT_TO_POINTER(GPOINTER_TO_INT(g_hash_table_lookup(
-								    load->refusals, code)) +
-							    1));
+	} else if (exchange.status >= 400 && *code &&
+		   strstr(exchange.pending->str, "\"run\":\"not_run\"")) {
+		may_retry = attempt < load->retries;
+		g_array_append_val(load->rejected_ms, answer.total_ms);
+		if (!may_retry) {
+			load->rejected++;
+			g_hash_table_insert(
+				load->rejections_by_code, g_strdup(code),
+				GINT_TO_POINTER(GPOINTER_TO_INT(g_hash_table_lookup(
+							load->rejections_by_code, code)) +
+						1));
 		}
-	} else if (one.status == 200 && *one.text->str && !g_str_has_prefix(one.text->str, id)) {
+	} else if (exchange.status == 200 && *exchange.text->str &&
+		   !g_str_has_prefix(exchange.text->str, id)) {
 		load->foreign++;
 	} else {
-		fprintf(stderr, "%s: status %d (%s), %zu bytes of text, ended %d, %s\n", id,
-			one.status, cw_status_name(status), one.text->len, one.ended,
-			one.pending->str);
+		fprintf(stderr,
+			"%s: invalid answer: status %d (%s), %zu bytes of text, end marker %d, "
+			"pending: %s\n",
+			id, exchange.status, cw_status_name(status), exchange.text->len,
+			exchange.is_ended, exchange.pending->str);
 		load->cut++;
 	}
 	pthread_mutex_unlock(&load->mutex);
 	cw_http_answer_clear(&answer);
-	g_string_free(one.text, TRUE);
-	g_string_free(one.pending, TRUE);
+	g_string_free(exchange.text, TRUE);
+	g_string_free(exchange.pending, TRUE);
 	g_free(request_id);
 	g_free(authorization);
 	g_free(body);
 	g_free(id);
-	return again;
+	return may_retry;
 }
 
 static int on_head(void *context, int status, const char *request_id, const char *content_type)
 {
-	struct one *one = context;
+	struct exchange *exchange = context;
 
-	one->status = status;
+	exchange->status = status;
 	return 0;
 }
 
 static int on_data(void *context, const char *data, size_t size)
 {
-	struct one *one = context;
+	struct exchange *exchange = context;
 	char *end;
 
-	if (one->first_ms < 0)
-		one->first_ms = (double)(g_get_monotonic_time() - one->start_us) / 1000;
-	g_string_append_len(one->pending, data, (gssize)size);
-	while (one->status == 200 && (end = strstr(one->pending->str, "\n\n"))) {
+	if (exchange->first_ms < 0)
+		exchange->first_ms = (double)(g_get_monotonic_time() - exchange->start_us) / 1000;
+	g_string_append_len(exchange->pending, data, (gssize)size);
+	while (exchange->status == 200 && (end = strstr(exchange->pending->str, "\n\n"))) {
 		*end = '\0';
-		take_content(one, one->pending->str);
-		g_string_erase(one->pending, 0, end + 2 - one->pending->str);
+		append_content(exchange, exchange->pending->str);
+		g_string_erase(exchange->pending, 0, end + 2 - exchange->pending->str);
 	}
 	return 0;
 }
 
-static void take_content(struct one *one, const char *event)
+static void append_content(struct exchange *exchange, const char *event)
 {
 	const char *content = strstr(event, "\"content\":\"");
 
-	one->ended |= strstr(event, "[DONE]") != NULL;
+	exchange->is_ended |= strstr(event, "[DONE]") != NULL;
 	if (!content)
 		return;
 	content += strlen("\"content\":\"");
-	g_string_append_len(one->text, content, (gssize)strcspn(content, "\""));
+	g_string_append_len(exchange->text, content, (gssize)strcspn(content, "\""));
 }
 
-static int is_whole(const struct load *load, const struct one *one)
+static int is_whole(const struct load *load, const struct exchange *exchange)
 {
 	GString *expected = g_string_new(NULL);
 	int whole;
 
 	for (int i = 1; i <= load->tokens; i++)
-		g_string_append_printf(expected, "%s.%d ", one->id, i);
+		g_string_append_printf(expected, "%s.%d ", exchange->id, i);
 	if (load->stream)
-		whole = one->ended && !strcmp(expected->str, one->text->str);
+		whole = exchange->is_ended && !strcmp(expected->str, exchange->text->str);
 	else
-		whole = strstr(one->pending->str, expected->str) != NULL;
+		whole = strstr(exchange->pending->str, expected->str) != NULL;
 	g_string_free(expected, TRUE);
 	return whole;
 }
@@ -287,7 +303,7 @@
 	return g_array_index(values, double, MIN((guint)(share * values->len), values->len - 1));
 }
 
-static gint compare(gconstpointer a, gconstpointer b)
+static gint compare_doubles(gconstpointer a, gconstpointer b)
 {
 	double left = *(const double *)a;
 	double right = *(const double *)b;
--- a/tests/unit/unit.h
+++ b/tests/unit/unit.h
@@ -1,4 +1,4 @@
-/* What the unit tests share. */
+/* Shared by the unit tests: cmocka, and the text of table edits. */
 #ifndef UNIT_H
 #define UNIT_H
 
