--- a/tests/soak/soak_callers.c
+++ b/tests/soak/soak_callers.c
@@ -1,8 +1,10 @@
 /*
- * Callers of the soak: threads that keep their connections until a process is gone, and hold every
- * answer against what callers are promised. A line a request: ID KIND ENTRY STATUS RESULT AT_MS
- * TOOK_MS, RESULT being ok, refused, failed, broken (the connection ended), silent, or BAD:WHAT for
- * a promise that was broken.
+ * soak-callers: threads that send requests to the entry instances, keep their connections as long
+ * as possible, and check each answer against the guarantees given to callers. Prints a line a
+ * request: ID KIND ENTRY STATUS RESULT AT_MS TOOK_MS, with RESULT one of ok        a complete
+ * answer refused   429 or 503 failed    another error status broken    the connection was closed
+ * before the end of the answer silent    no complete answer within ANSWER_TIMEOUT_MS BAD:WHAT  a
+ * violated guarantee
  */
 #include <argtable2.h>
 #include <arpa/inet.h>
@@ -16,21 +18,21 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define DEADLINE_MS 4000
-#define PATIENCE_MS 5500 /* the deadline, and what a loaded machine may need to tell */
-#define EVENTS_MAX  12
-#define PAUSE_US    20000
+#define DEADLINE_MS	  4000
+#define ANSWER_TIMEOUT_MS 5500 /* the deadline, and 1.5 s for an answer on a loaded machine */
+#define EVENTS_MAX	  12
+#define PAUSE_US	  20000 /* between two requests of a caller */
 
 enum kind { KIND_STREAM, KIND_ORDER, KIND_READ, KIND_BAD_KEY };
 
-static const char *const kinds[] = {"stream", "order", "read", "badkey"};
+static const char *const kind_names[] = {"stream", "order", "read", "badkey"};
 
 struct answer {
-	int complete;
-	int sealed;
-	int keep;
+	int is_complete;
+	int is_signed;
+	int keeps_connection;
 	unsigned int status;
-	int in_seal;
+	int is_signature_field;
 	GString *body;
 };
 
@@ -52,8 +54,8 @@
 {
 	struct answer *answer = parser->data;
 
-	answer->in_seal = size == 11 && !strncasecmp(data, "Server-Seal", size);
-	answer->sealed |= answer->in_seal;
+	answer->is_signature_field = size == 11 && !strncasecmp(data, "Server-Seal", size);
+	answer->is_signed |= answer->is_signature_field;
 	return 0;
 }
 
@@ -69,9 +71,9 @@
 {
 	struct answer *answer = parser->data;
 
-	answer->complete = 1;
+	answer->is_complete = 1;
 	answer->status = parser->status_code;
-	answer->keep = http_should_keep_alive(parser);
+	answer->keeps_connection = http_should_keep_alive(parser);
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -91,25 +93,25 @@
 	return -1;
 }
 
-/* A whole stream has the events 1 to count, each once and in order, and nothing else. */
+/* A complete stream has the events 1 to count, each once and in order, and nothing else. */
 static int is_whole_stream(const char *body, int count)
 {
-	GString *wanted = g_string_new(NULL);
+	GString *expected = g_string_new(NULL);
 	int is_whole;
 
 	for (int i = 1; i <= count; i++)
-		g_string_append_printf(wanted, "id: %d\ndata: part %d\n\n", i, i);
-	is_whole = !strcmp(body, wanted->str);
-	g_string_free(wanted, TRUE);
+		g_string_append_printf(expected, "id: %d\ndata: part %d\n\n", i, i);
+	is_whole = !strcmp(body, expected->str);
+	g_string_free(expected, TRUE);
 	return is_whole;
 }
 
-static const char *judge(const struct answer *answer, enum kind kind, int events)
+static const char *classify_answer(const struct answer *answer, enum kind kind, int events)
 {
 	if (answer->status >= 200 && answer->status < 300) {
 		if (kind == KIND_BAD_KEY)
 			return "BAD:served_without_key";
-		if (!answer->sealed)
+		if (!answer->is_signed)
 			return "BAD:success_without_seal";
 		if (kind == KIND_STREAM)
 			return is_whole_stream(answer->body->str, events) ? "ok" : "BAD:not_whole";
@@ -127,7 +129,7 @@
 
 	http_parser_init(&parser, HTTP_RESPONSE);
 	parser.data = answer;
-	while (!answer->complete) {
+	while (!answer->is_complete) {
 		struct pollfd waiting = {.fd = caller->fd, .events = POLLIN};
 		gint64 left_ms = (until_us - g_get_monotonic_time()) / 1000;
 		ssize_t size;
@@ -138,13 +140,13 @@
 		if (size <= 0)
 			return "broken";
 		http_parser_execute(&parser, &settings, bytes, (size_t)size);
-		if (!answer->complete && HTTP_PARSER_ERRNO(&parser) != HPE_OK)
+		if (!answer->is_complete && HTTP_PARSER_ERRNO(&parser) != HPE_OK)
 			return "BAD:no_answer";
 	}
 	return NULL;
 }
 
-static void ask(struct caller *caller, unsigned int number)
+static void send_request(struct caller *caller, unsigned int number)
 {
 	enum kind kind = (enum kind)g_rand_int_range(caller->random, 0, 4);
 	int events = g_rand_int_range(caller->random, 1, EVENTS_MAX);
@@ -154,7 +156,7 @@
 	char request[512];
 	char id[32];
 
-	snprintf(id, sizeof(id), "%c%u-%u", kinds[kind][0], caller->number, number);
+	snprintf(id, sizeof(id), "%c%u-%u", kind_names[kind][0], caller->number, number);
 	snprintf(request, sizeof(request),
 		 "%s /%s/%d HTTP/1.1\r\nHost: h\r\nAttempt-Id: %s\r\nDeadline-Ms: %d\r\n"
 		 "Authorization: Token %s\r\n%s%s\r\n",
@@ -170,16 +172,16 @@
 	if (send(caller->fd, request, strlen(request), MSG_NOSIGNAL) != (ssize_t)strlen(request))
 		result = "broken";
 	else
-		result = read_answer(caller, &answer, began_us + PATIENCE_MS * 1000);
+		result = read_answer(caller, &answer, began_us + ANSWER_TIMEOUT_MS * 1000);
 	if (!result)
-		result = judge(&answer, kind, events);
+		result = classify_answer(&answer, kind, events);
 	pthread_mutex_lock(&output);
-	printf("%s %s %s %u %s %" G_GINT64_FORMAT " %" G_GINT64_FORMAT "\n", id, kinds[kind],
+	printf("%s %s %s %u %s %" G_GINT64_FORMAT " %" G_GINT64_FORMAT "\n", id, kind_names[kind],
 	       caller->entry, answer.status, result, began_us / 1000,
 	       (g_get_monotonic_time() - began_us) / 1000);
 	fflush(stdout);
 	pthread_mutex_unlock(&output);
-	if (!answer.complete || !answer.keep) {
+	if (!answer.is_complete || !answer.keeps_connection) {
 		close(caller->fd);
 		caller->fd = -1;
 	}
@@ -196,7 +198,7 @@
 			caller->fd = open_connection(caller->entry);
 		}
 		if (caller->fd >= 0)
-			ask(caller, number);
+			send_request(caller, number);
 		g_usleep(PAUSE_US);
 	}
 	if (caller->fd >= 0)
@@ -206,11 +208,12 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_str *hosts = arg_strn(NULL, "entry", "IP", 1, 64, "an entry instance's address");
-	struct arg_int *to = arg_int1(NULL, "port", "N", "of all of them");
-	struct arg_int *seed = arg_int1(NULL, "seed", "N", "the callers' choices follow from it");
-	struct arg_int *seconds = arg_int1(NULL, "seconds", "N", "how long");
-	struct arg_int *count = arg_int1(NULL, "callers", "N", "at a time");
+	struct arg_str *hosts =
+		arg_strn(NULL, "entry", "IP", 1, 64, "address of an entry instance");
+	struct arg_int *to = arg_int1(NULL, "port", "N", "port of all entry instances");
+	struct arg_int *seed = arg_int1(NULL, "seed", "N", "seed of the callers' random choices");
+	struct arg_int *seconds = arg_int1(NULL, "seconds", "N", "time to send requests for");
+	struct arg_int *count = arg_int1(NULL, "callers", "N", "number of concurrent callers");
 	struct arg_end *end = arg_end(4);
 	void *table[] = {hosts, to, seed, seconds, count, end};
 	struct caller *callers;
