--- a/tests/fake/servers.c
+++ b/tests/fake/servers.c
@@ -1,5 +1,5 @@
 /* Simulated backend servers: slots, a queue, a cache of prompt prefixes, and model versions that
- * fail, slow down or degrade at a given time. */
+ * fail, take longer or degrade from a given time on. */
 #include "world_internal.h"
 
 #include "cw_hash.h"
--- a/tests/soak/soak_callers.c
+++ b/tests/soak/soak_callers.c
@@ -1,10 +1,13 @@
 /*
  * soak-callers: threads that send requests to the entry instances, keep their connections as long
- * as possible, and check each answer against the guarantees given to callers. Prints a line a
- * request: ID KIND ENTRY STATUS RESULT AT_MS TOOK_MS, with RESULT one of ok        a complete
- * answer refused   429 or 503 failed    another error status broken    the connection was closed
- * before the end of the answer silent    no complete answer within ANSWER_TIMEOUT_MS BAD:WHAT  a
- * violated guarantee
+ * as possible, and check each answer against the guarantees given to callers. Prints a line for
+ * each request: ID KIND ENTRY STATUS RESULT AT_MS TOOK_MS, with RESULT one of
+ *   ok        a complete answer
+ *   refused   429 or 503
+ *   failed    another error status
+ *   broken    the connection was closed before the end of the answer
+ *   silent    no complete answer within ANSWER_TIMEOUT_MS
+ *   BAD:WHAT  a violated guarantee
  */
 #include <argtable2.h>
 #include <arpa/inet.h>
@@ -212,7 +215,7 @@
 		arg_strn(NULL, "entry", "IP", 1, 64, "address of an entry instance");
 	struct arg_int *to = arg_int1(NULL, "port", "N", "port of all entry instances");
 	struct arg_int *seed = arg_int1(NULL, "seed", "N", "seed of the callers' random choices");
-	struct arg_int *seconds = arg_int1(NULL, "seconds", "N", "time to send requests for");
+	struct arg_int *seconds = arg_int1(NULL, "seconds", "N", "seconds to send requests for");
 	struct arg_int *count = arg_int1(NULL, "callers", "N", "number of concurrent callers");
 	struct arg_end *end = arg_end(4);
 	void *table[] = {hosts, to, seed, seconds, count, end};
