--- a/tests/fake/servers.c
+++ b/tests/fake/servers.c
@@ -24,10 +24,10 @@
 static int use_cached_prefix(struct world_server *server, uint64_t prefix);
 static const struct world_profile *find_profile(const struct world *world, const char *model,
 						const char *version);
-static double find_quality(const struct world_profile *profile, int bad, const char *task);
+static double find_quality(const struct world_profile *profile, int is_degraded, const char *task);
 static double draw_normal(struct world *world);
 static int find_server(const struct world *world, const char *name);
-static int is_bad(const struct world *world, const struct world_profile *profile);
+static int is_degraded_now(const struct world *world, const struct world_profile *profile);
 
 const char *const world_task_names[TASKS] = {"tag", "enquiry", "report", "circular"};
 
@@ -246,9 +246,9 @@
 		g_hash_table_lookup(world->requests_by_handle, &run->end.handle);
 	const struct world_profile *profile =
 		find_profile(world, run->effect->dispatch.model, run->effect->dispatch.version);
-	int bad = is_bad(world, profile);
-	double failure = profile ? (bad ? profile->bad_failure : profile->failure) : 0;
-	double quality = find_quality(profile, bad, request->in.task);
+	int is_degraded = is_degraded_now(world, profile);
+	double failure = profile ? (is_degraded ? profile->bad_failure : profile->failure) : 0;
+	double quality = find_quality(profile, is_degraded, request->in.task);
 	struct event *next;
 
 	server->running--;
@@ -306,7 +306,8 @@
 			   double *first_ms)
 {
 	double batch_factor = 1 + BATCH_COST * (server->running - 1) / MAX(server->slots - 1, 1);
-	double slow = profile ? (is_bad(world, profile) ? profile->bad_slow : profile->slow) : 1;
+	double slow =
+		profile ? (is_degraded_now(world, profile) ? profile->bad_slow : profile->slow) : 1;
 
 	if (!profile) {
 		*first_ms = SERVICE_MS * (0.5 + world_random(world));
@@ -344,11 +345,11 @@
 	return NULL;
 }
 
-static double find_quality(const struct world_profile *profile, int bad, const char *task)
+static double find_quality(const struct world_profile *profile, int is_degraded, const char *task)
 {
 	if (!profile)
 		return 1;
-	if (bad)
+	if (is_degraded)
 		return profile->bad_quality;
 	for (int i = 0; i < TASKS; i++)
 		if (!strcmp(task, world_task_names[i]) && profile->task_quality[i] > 0)
@@ -368,7 +369,7 @@
 	return (int)g_ascii_strtoll(name + 1, NULL, 10);
 }
 
-static int is_bad(const struct world *world, const struct world_profile *profile)
+static int is_degraded_now(const struct world *world, const struct world_profile *profile)
 {
 	return profile && profile->bad_from_ms >= 0 && world->now_ms >= profile->bad_from_ms;
 }
--- a/tests/fake/world.h
+++ b/tests/fake/world.h
@@ -55,7 +55,7 @@
 	double cost_per_1k;
 	double first_ms; /* prefill of a prompt of 700 tokens on an idle server */
 	double token_ms;
-	int64_t bad_from_ms; /* the bad_ values replace those above from then on; -1: never */
+	int64_t bad_from_ms; /* when the values below replace those above, -1: never */
 	double bad_quality, bad_failure, bad_slow;
 };
 
