--- a/tests/fuzz/oracle.c
+++ b/tests/fuzz/oracle.c
@@ -33,7 +33,7 @@
 	return oracle.violation;
 }
 
-uint64_t schedule_requests(void)
+uint64_t schedule_request_count(void)
 {
 	return requests_sent;
 }
--- a/tests/fuzz/oracle.h
+++ b/tests/fuzz/oracle.h
@@ -10,6 +10,6 @@
 #include <stdint.h>
 
 const char *schedule_run(const uint8_t *data, size_t size); /* valid until the next call */
-uint64_t schedule_requests(void); /* requests sent in all schedules so far */
+uint64_t schedule_request_count(void); /* requests sent in all schedules so far */
 
 #endif
--- a/tests/fuzz/test_schedules.c
+++ b/tests/fuzz/test_schedules.c
@@ -83,7 +83,7 @@
 	}
 	if (!failed)
 		printf("%u schedules of seed %u, %lu requests: every promise held\n", count, seed,
-		       (unsigned long)schedule_requests());
+		       (unsigned long)schedule_request_count());
 	g_rand_free(random);
 	return failed;
 }
--- a/tests/tools/loadgen.c
+++ b/tests/tools/loadgen.c
@@ -1,8 +1,8 @@
 /*
  * loadgen: sends a limited number of chat requests and checks that each answer is complete and
  * belongs to its request. Prints one line with counts and latency percentiles. The exit status is 1
- * if an answer was invalid or another request's. --direct is accepted for calls
- * to a backend server itself, without a router, and has no effect.
+ * if an answer was invalid or another request's. --direct, meant for calls to a backend server
+ * itself, without a router, is accepted and has no effect.
  */
 #include "cw_hash.h"
 #include "cw_http_client.h"
