--- a/tests/bench/capacity.c
+++ b/tests/bench/capacity.c
@@ -71,7 +71,7 @@
 				      .slots = 8,
 				      .seed = 1,
 				      .latency_ms = 1,
-				      .platform_ms = 3,
+				      .store_latency_ms = 3,
 				      .report_lag_ms = 100,
 				      .tick_ms = 20,
 				      .node = *node};
@@ -101,14 +101,14 @@
 
 		cw_node_set_defaults(&node);
 		world = start_world(sizes[i], 0, &node);
-		world_key(world, "o");
-		world_run(world, 2000);
+		world_add_key(world, "o");
+		world_advance(world, 2000);
 		for (int j = 0; j < sizes[i]; j++) {
 			sent_messages -= (double)world_node(world, j)->messages;
 			sent_bytes -= (double)world_node(world, j)->bytes;
 		}
 		cpu_time = cpu_ms();
-		world_run(world, MEASURE_MS);
+		world_advance(world, MEASURE_MS);
 		cpu_time = cpu_ms() - cpu_time;
 		for (int j = 0; j < sizes[i]; j++) {
 			sent_messages += (double)world_node(world, j)->messages;
@@ -272,11 +272,11 @@
 		struct world_profile profile = {.model = "m",
 						.version = "1",
 						.quality = 0.9,
-						.slow = 1,
+						.slowdown = 1,
 						.cost_per_1k = 1,
 						.first_ms = 1,
 						.token_ms = 0.1,
-						.bad_from_ms = -1};
+						.degraded_from_ms = -1};
 		struct cw_node_config node;
 		struct world *world;
 		double cpu_time, idle_cpu_time;
@@ -285,12 +285,12 @@
 		cw_node_set_defaults(&node);
 		world = start_world(3, 4, &node);
 		world_profile(world, &profile);
-		world_load_everywhere(world, "m", "1");
+		world_load_on_all_servers(world, "m", "1");
 		world_publish(world, rows);
-		world_key(world, "o");
-		world_run(world, 2000);
+		world_add_key(world, "o");
+		world_advance(world, 2000);
 		idle_cpu_time = cpu_ms();
-		world_run(world, MEASURE_MS);
+		world_advance(world, MEASURE_MS);
 		idle_cpu_time = cpu_ms() - idle_cpu_time;
 		appends = world_node(world, 0)->appends;
 		cpu_time = cpu_ms();
@@ -299,7 +299,7 @@
 
 			world_request_init(&in, "o", "m", CW_REQUEST_IDEMPOTENT);
 			world_send(world, 0, &in, 10);
-			world_run(world, 1000 / sizes[i]);
+			world_advance(world, 1000 / sizes[i]);
 		}
 		cpu_time = cpu_ms() - cpu_time - idle_cpu_time;
 		appends = world_node(world, 0)->appends - appends;
@@ -329,10 +329,10 @@
 
 		cw_node_set_defaults(&node);
 		world = start_world(1, tracked[i], &node);
-		world_load_everywhere(world, "m", "1");
-		world_run(world, 2000);
+		world_load_on_all_servers(world, "m", "1");
+		world_advance(world, 2000);
 		cpu_time = cpu_ms();
-		world_run(world, MEASURE_MS);
+		world_advance(world, MEASURE_MS);
 		cpu_time = (cpu_ms() - cpu_time) / (MEASURE_MS / 1000.0);
 		printf("  servers %2d: processor %.3f ms/s, %.0f polls/s\n", tracked[i], cpu_time,
 		       tracked[i] * 5.0);
@@ -374,10 +374,10 @@
 
 		cw_node_set_defaults(&node);
 		world = start_world(sizes[i], 0, &node);
-		world_key(world, "o");
-		world_run(world, 2000);
+		world_add_key(world, "o");
+		world_advance(world, 2000);
 		idle_cpu_time = cpu_ms();
-		world_run(world, MEASURE_MS);
+		world_advance(world, MEASURE_MS);
 		idle_cpu_time = cpu_ms() - idle_cpu_time;
 		cpu_time = cpu_ms();
 		for (int edit = 0; edit < MEASURE_MS / 1000; edit++) {
@@ -385,10 +385,10 @@
 			uint64_t offset;
 			int applied_count = 0;
 
-			world_set(world, "o", "m", "1", "weight", edit % 2 ? "1" : "2");
+			world_set_cell(world, "o", "m", "1", "weight", edit % 2 ? "1" : "2");
 			offset = world_log(world, CW_STREAM_TABLE)->len;
 			while (applied_count < sizes[i]) {
-				world_run(world, 1);
+				world_advance(world, 1);
 				applied_count = 0;
 				for (int j = 0; j < sizes[i]; j++)
 					applied_count +=
@@ -396,7 +396,7 @@
 							world_node(world, j)->node)) >= offset;
 			}
 			max_ms = MAX(max_ms, (double)(world_now(world) - edited_ms));
-			world_run(world, 1000 - (world_now(world) - edited_ms));
+			world_advance(world, 1000 - (world_now(world) - edited_ms));
 		}
 		cpu_time = (cpu_ms() - cpu_time - idle_cpu_time) / (MEASURE_MS / 1000.0) / sizes[i];
 		printf("  nodes %3d: in force within %.0f ms, %.4f ms of processor a change and "
--- a/tests/bench/experiment.c
+++ b/tests/bench/experiment.c
@@ -18,38 +18,38 @@
 		{.model = "small",
 		 .version = "1",
 		 .quality_sigma = 0.05,
-		 .slow = 1,
+		 .slowdown = 1,
 		 .cost_per_1k = 0.2,
 		 .first_ms = 60,
 		 .token_ms = 4,
-		 .bad_from_ms = -1,
-		 .failure = 0.002,
+		 .degraded_from_ms = -1,
+		 .failure_rate = 0.002,
 		 .task_quality = {0.93, 0.80, 0.55, 0.50}},
 		{.model = "middle",
 		 .version = "1",
 		 .quality_sigma = 0.05,
-		 .slow = 1,
+		 .slowdown = 1,
 		 .cost_per_1k = 0.7,
 		 .first_ms = 120,
 		 .token_ms = 8,
-		 .bad_from_ms = -1,
-		 .failure = 0.002,
+		 .degraded_from_ms = -1,
+		 .failure_rate = 0.002,
 		 .task_quality = {0.95, 0.89, 0.78, 0.74}},
 		{.model = "large",
 		 .version = "1",
 		 .quality_sigma = 0.04,
-		 .slow = 1,
+		 .slowdown = 1,
 		 .cost_per_1k = 2.0,
 		 .first_ms = 250,
 		 .token_ms = 15,
-		 .bad_from_ms = -1,
-		 .failure = 0.002,
+		 .degraded_from_ms = -1,
+		 .failure_rate = 0.002,
 		 .task_quality = {0.97, 0.95, 0.93, 0.92}},
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(profiles); i++) {
 		world_profile(world, &profiles[i]);
-		world_load_everywhere(world, profiles[i].model, "1");
+		world_load_on_all_servers(world, profiles[i].model, "1");
 	}
 }
 
@@ -70,7 +70,7 @@
 	driver_create_world(seed, &node, &driver);
 	add_models(driver.world);
 	driver_publish_table(driver.world, rows, target);
-	world_run(driver.world, 2000);
+	world_advance(driver.world, 2000);
 	driver_run(&driver, 20, 400000);
 	requests = world_requests(driver.world);
 	for (guint i = 0; i < requests->len; i++) {
@@ -133,12 +133,12 @@
 	static const struct world_profile profile = {.model = "m",
 						     .version = "1",
 						     .quality = 0.9,
-						     .slow = 1,
+						     .slowdown = 1,
 						     .cost_per_1k = 1,
 						     .first_ms = 150,
 						     .token_ms = 4,
-						     .bad_from_ms = -1,
-						     .failure = 0.002};
+						     .degraded_from_ms = -1,
+						     .failure_rate = 0.002};
 	struct cw_node_config node;
 	struct driver driver = {.target = "m", .node_skew = -1, .stream = 1, .callers_retry = 1};
 	GArray *first_chunk_ms = g_array_new(FALSE, FALSE, sizeof(double));
@@ -152,9 +152,9 @@
 	node.choice = policy;
 	driver_create_world(seed, &node, &driver);
 	world_profile(driver.world, &profile);
-	world_load_everywhere(driver.world, "m", "1");
+	world_load_on_all_servers(driver.world, "m", "1");
 	driver_publish_table(driver.world, rows, 0.8);
-	world_run(driver.world, 2000);
+	world_advance(driver.world, 2000);
 	driver.measure_from_ms = world_now(driver.world) + WARM_UP_MS;
 	driver_run(&driver, load * driver_capacity_per_s(), 40000);
 	span_ms = world_now(driver.world) - driver.measure_from_ms;
@@ -235,19 +235,19 @@
 					.version = "1",
 					.quality = 0.88,
 					.quality_sigma = 0.06,
-					.slow = 1,
+					.slowdown = 1,
 					.cost_per_1k = 1,
 					.first_ms = 80,
 					.token_ms = 2,
-					.bad_from_ms = -1,
-					.failure = 0.01,
-					.bad_quality = 0.88,
-					.bad_failure = 0.01,
-					.bad_slow = 1};
+					.degraded_from_ms = -1,
+					.failure_rate = 0.01,
+					.degraded_quality = 0.88,
+					.degraded_failure_rate = 0.01,
+					.degraded_slowdown = 1};
 	struct cw_node_config node;
 	struct driver driver = {.target = "m", .node_skew = -1, .stream = 1};
 	const GPtrArray *requests;
-	int64_t bad_from_ms;
+	int64_t degraded_from_ms;
 	double exposed_requests = 0;
 	double trips = 0;
 
@@ -258,17 +258,17 @@
 		   100 - g_ascii_strtod(share, NULL));
 	g_snprintf(new_version_row, sizeof(new_version_row), "m,2,%s,1", share);
 	world_profile(driver.world, &profile);
-	world_load_everywhere(driver.world, "m", "1");
-	world_load_everywhere(driver.world, "m", "2");
-	bad_from_ms = world_now(driver.world) + 2000 + 60000;
+	world_load_on_all_servers(driver.world, "m", "1");
+	world_load_on_all_servers(driver.world, "m", "2");
+	degraded_from_ms = world_now(driver.world) + 2000 + 60000;
 	g_strlcpy(profile.version, "2", CW_NAME_MAX);
-	profile.bad_from_ms = fault == FAULT_NONE ? -1 : bad_from_ms;
-	profile.bad_failure = fault == FAULT_ERRORS ? 1.0 : 0.01;
-	profile.bad_quality = fault == FAULT_LOW_QUALITY ? 0.76 : 0.88;
-	profile.bad_slow = fault == FAULT_SLOWDOWN ? 8 : 1;
+	profile.degraded_from_ms = fault == FAULT_NONE ? -1 : degraded_from_ms;
+	profile.degraded_failure_rate = fault == FAULT_ERRORS ? 1.0 : 0.01;
+	profile.degraded_quality = fault == FAULT_LOW_QUALITY ? 0.76 : 0.88;
+	profile.degraded_slowdown = fault == FAULT_SLOWDOWN ? 8 : 1;
 	world_profile(driver.world, &profile);
 	driver_publish_table(driver.world, rows, 0.8);
-	world_run(driver.world, 2000);
+	world_advance(driver.world, 2000);
 	/* A tripped version gets no requests for 20 s: the run ends before the first probes. */
 	driver_run(&driver, 60, fault == FAULT_NONE ? 300000 : 60000 + 19000);
 	requests = world_requests(driver.world);
@@ -276,7 +276,7 @@
 		const struct world_request *request = g_ptr_array_index(requests, i);
 
 		exposed_requests +=
-			request->began_ms >= bad_from_ms && !strcmp(request->version, "2");
+			request->began_ms >= degraded_from_ms && !strcmp(request->version, "2");
 	}
 	for (guint i = 0; i < world_log(driver.world, CW_STREAM_NOTICES)->len; i++) {
 		const struct world_record *record =
@@ -326,11 +326,11 @@
 	static const struct world_profile profile = {.model = "m",
 						     .version = "1",
 						     .quality = 0.9,
-						     .slow = 1,
+						     .slowdown = 1,
 						     .cost_per_1k = 1,
 						     .first_ms = 10,
 						     .token_ms = 1,
-						     .bad_from_ms = -1};
+						     .degraded_from_ms = -1};
 	const double limit_per_s = 100;
 	struct cw_node_config node;
 	struct driver driver = {
@@ -346,21 +346,21 @@
 	cw_node_set_defaults(&node);
 	driver_create_world(seed, &node, &driver);
 	world_profile(driver.world, &profile);
-	world_load_everywhere(driver.world, "m", "1");
+	world_load_on_all_servers(driver.world, "m", "1");
 	driver_publish_table(driver.world, rows, 0.8);
 	for (int i = 0; i < ORGANISATION_COUNT; i++) {
 		char name[8];
 
 		g_snprintf(name, sizeof(name), "o%d", i);
-		world_set(driver.world, name, "m", "1", "requests_per_s", i ? "1000" : "100");
+		world_set_cell(driver.world, name, "m", "1", "requests_per_s", i ? "1000" : "100");
 	}
-	world_run(driver.world, 4000);
+	world_advance(driver.world, 4000);
 	/* The largest organisation sends 0.3 of 500 requests per second: 150, with a limit of 100.
 	 */
 	driver_run(&driver, 500, 10000);
 	from_ms = world_now(driver.world);
 	if (limits_case == LIMITS_PARTITION)
-		world_cut(driver.world, 1, 1);
+		world_set_domain_partition(driver.world, 1, 1);
 	if (limits_case == LIMITS_CRASH)
 		world_crash(driver.world, 1);
 	driver_run(&driver, 500, 20000);
@@ -369,7 +369,7 @@
 		const struct world_request *request = g_ptr_array_index(requests, i);
 		gpointer key = GINT_TO_POINTER((int)((request->began_ms - from_ms) / 1000) + 1);
 
-		if (request->began_ms < from_ms || request->user != driver.random ||
+		if (request->began_ms < from_ms || request->user_data != driver.random ||
 		    !request->dispatched)
 			continue;
 		g_hash_table_insert(
@@ -423,20 +423,20 @@
 	cw_node_set_defaults(&node);
 	driver_create_world(seed, &node, &driver);
 	driver_publish_table(driver.world, rows, 0.8);
-	world_run(driver.world, 3000);
+	world_advance(driver.world, 3000);
 	for (int i = 0; i < partitioned_count; i++)
-		world_cut_platform(driver.world, i, 1);
-	world_run(driver.world, 10000);
+		world_set_store_partition(driver.world, i, 1);
+	world_advance(driver.world, 10000);
 	for (int edit = 0; edit < 200; edit++) {
 		int64_t began_ms = world_now(driver.world);
 		uint64_t offset;
 		double took_ms;
 		int applied_count = 0;
 
-		world_set(driver.world, "o0", "m", "1", "weight", edit % 2 ? "50" : "60");
+		world_set_cell(driver.world, "o0", "m", "1", "weight", edit % 2 ? "50" : "60");
 		offset = world_log(driver.world, CW_STREAM_TABLE)->len;
 		while (applied_count < NODE_COUNT && world_now(driver.world) - began_ms < 30000) {
-			world_run(driver.world, 5);
+			world_advance(driver.world, 5);
 			applied_count = 0;
 			for (int i = 0; i < NODE_COUNT; i++)
 				applied_count +=
@@ -445,7 +445,7 @@
 		}
 		took_ms = (double)(world_now(driver.world) - began_ms);
 		g_array_append_val(apply_times_ms, took_ms);
-		world_run(driver.world, 100 + (int64_t)(world_random(driver.world) * 400));
+		world_advance(driver.world, 100 + (int64_t)(world_random(driver.world) * 400));
 	}
 	g_array_sort(apply_times_ms, driver_compare_doubles);
 	results->values[0][seed] = driver_percentile(apply_times_ms, 0.5);
--- a/tests/bench/experiment_driver.c
+++ b/tests/bench/experiment_driver.c
@@ -23,7 +23,7 @@
 		.slots = SLOTS_PER_SERVER,
 		.seed = seed + 1,
 		.latency_ms = 1,
-		.platform_ms = 3,
+		.store_latency_ms = 3,
 		.report_lag_ms = 200,
 		.tick_ms = 10,
 		.node = *node,
@@ -65,7 +65,8 @@
 			struct cw_node_request in = retry->request->in;
 			struct world_request *retried;
 
-			world_run(driver->world, MAX(retry->at_ms - world_now(driver->world), 0));
+			world_advance(driver->world,
+				      MAX(retry->at_ms - world_now(driver->world), 0));
 			in.request_id[0] = '\0';
 			retried = world_send(driver->world,
 					     g_rand_int_range(driver->random, 0, NODE_COUNT), &in,
@@ -75,7 +76,7 @@
 			g_sequence_remove(first);
 			continue;
 		}
-		world_run(driver->world, MAX(at_ms - world_now(driver->world), 0));
+		world_advance(driver->world, MAX(at_ms - world_now(driver->world), 0));
 		send_request(driver);
 		driver->next_arrival_ms += -log(1 - g_rand_double(driver->random)) / per_s * 1000;
 	}
@@ -120,7 +121,7 @@
 				     (unsigned int)g_rand_int_range(driver->random, 0,
 								    (gint32)task_tokens[task]));
 	/* Marks the largest organisation's requests, which the limits experiment counts. */
-	request->user = organisation ? NULL : driver->random;
+	request->user_data = organisation ? NULL : driver->random;
 }
 
 static void on_request_end(void *context, struct world *world, struct world_request *request)
@@ -151,7 +152,7 @@
 		for (size_t j = 0; model_rows[j]; j++)
 			rows[count++] =
 				g_strdup_printf("%s,%s,%.2f,allowed", name, model_rows[j], target);
-		world_key(world, name);
+		world_add_key(world, name);
 	}
 	world_publish(world, (const char *const *)rows);
 	for (size_t i = 0; i < count; i++)
--- a/tests/fake/controls.c
+++ b/tests/fake/controls.c
@@ -69,12 +69,12 @@
 	world->nodes[index].paused = paused;
 }
 
-void world_cut(struct world *world, int domain, int cut)
+void world_set_domain_partition(struct world *world, int domain, int cut)
 {
 	world->cut[domain] = cut;
 }
 
-void world_cut_platform(struct world *world, int node, int cut)
+void world_set_store_partition(struct world *world, int node, int cut)
 {
 	world->nodes[node].is_store_cut = cut;
 }
@@ -98,7 +98,7 @@
 
 void world_expire_records(struct world *world)
 {
-	for (int stream = 0; world->config.retention_ms && stream < CW_STREAMS; stream++) {
+	for (int stream = 0; world->config.retention_ms && stream < CW_STREAM_COUNT; stream++) {
 		while (world->first_offsets[stream] <= world->log[stream]->len) {
 			struct world_record *record = g_ptr_array_index(
 				world->log[stream], world->first_offsets[stream] - 1);
--- a/tests/fake/servers.c
+++ b/tests/fake/servers.c
@@ -85,7 +85,7 @@
 		g_ptr_array_add(world->profiles, g_memdup2(profile, sizeof(*profile)));
 }
 
-void world_load_everywhere(struct world *world, const char *model, const char *version)
+void world_load_on_all_servers(struct world *world, const char *model, const char *version)
 {
 	for (int i = 0; i < world->config.servers; i++)
 		g_ptr_array_add(world->servers[i].versions,
@@ -203,7 +203,7 @@
 	run->effect = g_steal_pointer(&event->effect);
 	run->offset = (uint64_t)world->now_ms;
 	if (server->down) {
-		post_attempt_end(world, run, CW_ATTEMPT_UNSENT, 0);
+		post_attempt_end(world, run, CW_ATTEMPT_NOT_SENT, 0);
 		event_destroy(run);
 	} else if (server->queued >= server->slots * QUEUE_FACTOR) {
 		post_attempt_end(world, run, CW_ATTEMPT_BUSY, 429);
@@ -247,7 +247,9 @@
 	const struct world_profile *profile =
 		find_profile(world, run->effect->dispatch.model, run->effect->dispatch.version);
 	int is_degraded = is_degraded_now(world, profile);
-	double failure = profile ? (is_degraded ? profile->bad_failure : profile->failure) : 0;
+	double failure_rate =
+		profile ? (is_degraded ? profile->degraded_failure_rate : profile->failure_rate)
+			: 0;
 	double quality = find_quality(profile, is_degraded, request->in.task);
 	struct event *next;
 
@@ -259,12 +261,12 @@
 		start_run(world, next);
 	}
 	if (server->down) {
-		post_attempt_end(world, run, CW_ATTEMPT_BROKEN, 0);
-	} else if (world_random(world) < failure) {
+		post_attempt_end(world, run, CW_ATTEMPT_INTERRUPTED, 0);
+	} else if (world_random(world) < failure_rate) {
 		if (request->in.flags & CW_REQUEST_STREAM && world_random(world) >= EARLY_FAILURE)
 			request->shown_chunks++;
 		post_attempt_end(world, run,
-				 request->shown_chunks ? CW_ATTEMPT_BROKEN : CW_ATTEMPT_FAILED,
+				 request->shown_chunks ? CW_ATTEMPT_INTERRUPTED : CW_ATTEMPT_FAILED,
 				 500);
 	} else {
 		request->shown_chunks +=
@@ -306,18 +308,19 @@
 			   double *first_ms)
 {
 	double batch_factor = 1 + BATCH_COST * (server->running - 1) / MAX(server->slots - 1, 1);
-	double slow =
-		profile ? (is_degraded_now(world, profile) ? profile->bad_slow : profile->slow) : 1;
+	double slowdown = profile ? (is_degraded_now(world, profile) ? profile->degraded_slowdown
+								     : profile->slowdown)
+				  : 1;
 
 	if (!profile) {
 		*first_ms = SERVICE_MS * (0.5 + world_random(world));
 		return *first_ms;
 	}
-	*first_ms = profile->first_ms * (0.3 + request->in.prompt_tokens / 1000.0) * slow *
+	*first_ms = profile->first_ms * (0.3 + request->in.prompt_tokens / 1000.0) * slowdown *
 		    batch_factor;
 	if (request->in.prefix && use_cached_prefix(server, request->in.prefix))
 		*first_ms *= CACHE_HIT_PART;
-	return *first_ms + request->tokens * profile->token_ms * slow * batch_factor;
+	return *first_ms + request->tokens * profile->token_ms * slowdown * batch_factor;
 }
 
 static int use_cached_prefix(struct world_server *server, uint64_t prefix)
@@ -350,7 +353,7 @@
 	if (!profile)
 		return 1;
 	if (is_degraded)
-		return profile->bad_quality;
+		return profile->degraded_quality;
 	for (int i = 0; i < TASKS; i++)
 		if (!strcmp(task, world_task_names[i]) && profile->task_quality[i] > 0)
 			return profile->task_quality[i];
@@ -371,7 +374,8 @@
 
 static int is_degraded_now(const struct world *world, const struct world_profile *profile)
 {
-	return profile && profile->bad_from_ms >= 0 && world->now_ms >= profile->bad_from_ms;
+	return profile && profile->degraded_from_ms >= 0 &&
+	       world->now_ms >= profile->degraded_from_ms;
 }
 
 void world_publish(struct world *world, const char *const *rows)
@@ -399,8 +403,8 @@
 	g_string_free(record, TRUE);
 }
 
-void world_set(struct world *world, const char *organisation, const char *model,
-	       const char *version, const char *column, const char *value)
+void world_set_cell(struct world *world, const char *organisation, const char *model,
+		    const char *version, const char *column, const char *value)
 {
 	char *record = g_strdup_printf("{\"edit\":\"s%u\",\"by\":\"test\",\"cells\":[{"
 				       "\"organisation\":\"%s\",\"model\":\"%s\","
@@ -412,7 +416,7 @@
 	g_free(record);
 }
 
-void world_key(struct world *world, const char *organisation)
+void world_add_key(struct world *world, const char *organisation)
 {
 	char digest[CW_SHA256_HEX];
 	char *record;
--- a/tests/fake/world.c
+++ b/tests/fake/world.c
@@ -35,7 +35,7 @@
 	world->requests_by_handle = g_hash_table_new(g_int64_hash, g_int64_equal);
 	world->profiles = g_ptr_array_new_with_free_func(g_free);
 	world->waiting_reads = g_ptr_array_new();
-	for (int stream = 0; stream < CW_STREAMS; stream++) {
+	for (int stream = 0; stream < CW_STREAM_COUNT; stream++) {
 		world->log[stream] = g_ptr_array_new();
 		world->first_offsets[stream] = 1;
 	}
@@ -116,7 +116,7 @@
 	return request;
 }
 
-void world_run(struct world *world, int64_t ms)
+void world_advance(struct world *world, int64_t ms)
 {
 	int64_t until_ms = world->now_ms + ms;
 
@@ -302,7 +302,8 @@
 
 static void do_read(struct world *world, int index, const struct cw_effect *effect)
 {
-	struct event *event = event_create(world, EVENT_READ, index, world->config.platform_ms);
+	struct event *event =
+		event_create(world, EVENT_READ, index, world->config.store_latency_ms);
 
 	world->nodes[index].reads++;
 	event->effect = (struct cw_effect *)effect;
@@ -366,7 +367,7 @@
 			continue;
 		}
 		g_ptr_array_remove_index_fast(world->waiting_reads, i);
-		waiting_read->at_ms = world->now_ms + world->config.platform_ms;
+		waiting_read->at_ms = world->now_ms + world->config.store_latency_ms;
 		waiting_read->is_wait_over = 1;
 		event_post(world, waiting_read);
 	}
@@ -375,7 +376,7 @@
 static void do_append(struct world *world, int index, struct cw_effect *effect)
 {
 	struct event *answer =
-		event_create(world, EVENT_APPENDED, index, 2 * world->config.platform_ms);
+		event_create(world, EVENT_APPENDED, index, 2 * world->config.store_latency_ms);
 
 	answer->ticket = effect->append.ticket;
 	if (is_store_unreachable(world, index)) {
@@ -425,7 +426,7 @@
 static void do_rate(struct world *world, int index, const struct cw_effect *effect)
 {
 	struct event *event =
-		event_create(world, EVENT_RATED, index, world->config.platform_ms + 20);
+		event_create(world, EVENT_RATED, index, world->config.store_latency_ms + 20);
 	struct world_request *request =
 		g_hash_table_lookup(world->requests_by_handle, &effect->handle);
 
--- a/tests/fake/world.h
+++ b/tests/fake/world.h
@@ -18,7 +18,7 @@
 struct world;
 
 struct world_request { /* a caller's view of its request; lives as long as the world */
-	struct cw_request_in in;
+	struct cw_node_request in;
 	int node;	   /* the instance that received the request */
 	unsigned int boot; /* the instance's incarnation at that time */
 	int64_t began_ms;
@@ -38,7 +38,7 @@
 	double cost;
 	unsigned int tokens;	   /* length of a complete answer */
 	unsigned int shown_chunks; /* chunks that the caller has got */
-	void *user;		   /* for the test's own use */
+	void *user_data;	   /* for the test's own use */
 };
 
 enum world_task { TASK_TAG, TASK_ENQUIRY, TASK_REPORT, TASK_CIRCULAR, TASKS };
@@ -50,13 +50,13 @@
 	char version[CW_NAME_MAX];
 	double quality, quality_sigma;
 	double task_quality[4]; /* indexed by enum world_task; 0: quality holds */
-	double failure;		/* share of requests that fail, 0 to 1 */
-	double slow;		/* factor on first_ms and token_ms */
+	double failure_rate;	/* share of requests that fail, 0 to 1 */
+	double slowdown;	/* factor on first_ms and token_ms */
 	double cost_per_1k;
 	double first_ms; /* prefill of a prompt of 700 tokens on an idle server */
 	double token_ms;
-	int64_t bad_from_ms; /* when the values below replace those above, -1: never */
-	double bad_quality, bad_failure, bad_slow;
+	int64_t degraded_from_ms; /* when the values below replace those above, -1: never */
+	double degraded_quality, degraded_failure_rate, degraded_slowdown;
 };
 
 struct world_server {
@@ -75,9 +75,9 @@
 struct world_config {
 	int nodes, domains, servers, slots, services;
 	uint64_t seed;
-	int64_t latency_ms;    /* one way, between instances and to backend servers */
-	int64_t platform_ms;   /* one way, to the shared store */
-	int64_t report_lag_ms; /* age of a load report when it is read */
+	int64_t latency_ms;	  /* one way, between instances and to backend servers */
+	int64_t store_latency_ms; /* one way, to the shared store */
+	int64_t report_lag_ms;	  /* age of a load report when it is read */
 	int64_t tick_ms;
 	int64_t retention_ms;	    /* of the log's records; 0: unlimited */
 	int trace;		    /* print the node's events; needs node.events */
@@ -115,9 +115,9 @@
 void world_crash(struct world *world, int node);
 void world_stop(struct world *world, int node);			  /* SIGTERM */
 void world_set_paused(struct world *world, int node, int paused); /* SIGSTOP, SIGCONT */
-void world_cut(struct world *world, int domain,
-	       int cut); /* between its instances and those of all other domains */
-void world_cut_platform(struct world *world, int node, int cut);
+void world_set_domain_partition(struct world *world, int domain,
+				int cut); /* between its instances and those of all other domains */
+void world_set_store_partition(struct world *world, int node, int cut);
 void world_set_outage(struct world *world, int outage);
 void world_lose_append_answers(struct world *world, int count,
 			       int is_late); /* stored, at once or late; the answer is lost */
@@ -127,10 +127,10 @@
 uint64_t world_append(struct world *world, enum cw_stream stream,
 		      const char *data); /* as an operator does; returns the record's offset */
 void world_profile(struct world *world, const struct world_profile *profile);
-void world_load_everywhere(struct world *world, const char *model, const char *version);
+void world_load_on_all_servers(struct world *world, const char *model, const char *version);
 struct world_request *world_send(struct world *world, int node, const struct cw_node_request *in,
 				 unsigned int tokens);
-void world_run(struct world *world, int64_t ms); /* advances virtual time, delivers events */
+void world_advance(struct world *world, int64_t ms); /* advances virtual time, delivers events */
 int64_t world_now(const struct world *world);
 struct world_node *world_node(struct world *world, int node);
 struct world_server *world_server(struct world *world, int server);
@@ -143,10 +143,10 @@
 
 /* Writes rows of the model table: "organisation,model,version,weight,cost,target,state". */
 void world_publish(struct world *world, const char *const *rows);
-void world_set(struct world *world, const char *organisation, const char *model,
-	       const char *version, const char *column, const char *value);
-void world_key(struct world *world, const char *organisation); /* the key is the name */
-void world_request_init(struct cw_request_in *in, const char *organisation, const char *target,
+void world_set_cell(struct world *world, const char *organisation, const char *model,
+		    const char *version, const char *column, const char *value);
+void world_add_key(struct world *world, const char *organisation); /* the key is the name */
+void world_request_init(struct cw_node_request *in, const char *organisation, const char *target,
 			unsigned int flags);
 
 #endif
--- a/tests/fake/world_internal.h
+++ b/tests/fake/world_internal.h
@@ -47,8 +47,8 @@
 	char names[WORLD_NODES_MAX][CW_NAME_MAX];
 	struct world_server servers[WORLD_SERVERS_MAX];
 	int server_count;
-	GPtrArray *log[CW_STREAMS];
-	uint64_t first_offsets[CW_STREAMS];
+	GPtrArray *log[CW_STREAM_COUNT];
+	uint64_t first_offsets[CW_STREAM_COUNT];
 	GPtrArray *waiting_reads;
 	GPtrArray *requests;
 	GHashTable *requests_by_handle;
--- a/tests/fuzz/oracle.c
+++ b/tests/fuzz/oracle.c
@@ -51,7 +51,7 @@
 		.slots = 4,
 		.seed = seed,
 		.latency_ms = 1,
-		.platform_ms = 2,
+		.store_latency_ms = 2,
 		.report_lag_ms = 50,
 		.tick_ms = 25,
 		.retention_ms = RETENTION_MS,
@@ -61,12 +61,12 @@
 	};
 	struct world_profile profile = {.model = "m",
 					.quality = 0.9,
-					.failure = 0.05,
-					.slow = 1,
+					.failure_rate = 0.05,
+					.slowdown = 1,
 					.cost_per_1k = 1,
 					.first_ms = 40,
 					.token_ms = 5,
-					.bad_from_ms = -1};
+					.degraded_from_ms = -1};
 
 	memset(&oracle, 0, sizeof(oracle));
 	cw_node_set_defaults(&config.node);
@@ -86,14 +86,14 @@
 	for (int version = 1; version <= VERSIONS; version++) {
 		g_snprintf(profile.version, CW_NAME_MAX, "%d", version);
 		world_profile(oracle.world, &profile);
-		world_load_everywhere(oracle.world, "m", profile.version);
+		world_load_on_all_servers(oracle.world, "m", profile.version);
 		oracle.edits[oracle.edit_count++] = (struct edit){1, 0, version, 1};
 	}
 	world_publish(oracle.world, rows);
-	world_key(oracle.world, "a");
+	world_add_key(oracle.world, "a");
 	for (int i = 0; i < NODES; i++)
 		world_start(oracle.world, i);
-	world_run(oracle.world, 2000);
+	world_advance(oracle.world, 2000);
 }
 
 static void oracle_tear_down(void)
@@ -137,12 +137,12 @@
 			world_start(world, node);
 		break;
 	case 7:
-		world_cut(world, node, argument & 0x80);
+		world_set_domain_partition(world, node, argument & 0x80);
 		break;
 	case 8:
 		if (argument & 0x80 && !state->is_store_cut)
 			oracle.cut_ms[node] = world_now(world);
-		world_cut_platform(world, node, argument & 0x80);
+		world_set_store_partition(world, node, argument & 0x80);
 		break;
 	case 9:
 		if (argument & 0x80 &&
@@ -175,7 +175,7 @@
 		break;
 	}
 	track_connectivity();
-	world_run(world, 10 + (int64_t)argument * (op & 0x40 ? 20 : 1));
+	world_advance(world, 10 + (int64_t)argument * (op & 0x40 ? 20 : 1));
 	for (int i = 0; i < NODES; i++)
 		if (!world_node(world, i)->node &&
 		    world_now(world) - oracle.crashed_ms[i] > REPLACEMENT_MS)
@@ -183,7 +183,7 @@
 	for (int i = 0; i < NODES; i++)
 		if (world_node(world, i)->is_store_cut &&
 		    world_now(world) - oracle.cut_ms[i] > OUTAGE_MAX_MS)
-			world_cut_platform(world, i, 0);
+			world_set_store_partition(world, i, 0);
 	if (oracle.is_store_out && world_now(world) - oracle.outage_ms > OUTAGE_MAX_MS) {
 		oracle.is_store_out = 0;
 		world_set_outage(world, 0);
@@ -191,7 +191,7 @@
 	/* A node that has completed its graceful stop is replaced, as an orchestrator would. */
 	for (int i = 0; i < NODES; i++) {
 		if (world_node(world, i)->node && world_node(world, i)->stopped) {
-			if (cw_node_running(world_node(world, i)->node) > 0)
+			if (cw_node_count_running(world_node(world, i)->node) > 0)
 				oracle_report_violation("graceful stop",
 							"e%d stopped with requests in progress", i);
 			world_crash(world, i);
@@ -257,8 +257,8 @@
 	if (!other_allowed)
 		return;
 	g_snprintf(version, sizeof(version), "%d", edit->version);
-	world_set(oracle.world, "a", "m", version, "state",
-		  edit->allowed ? "allowed" : "withdrawn");
+	world_set_cell(oracle.world, "a", "m", version, "state",
+		       edit->allowed ? "allowed" : "withdrawn");
 	edit->offset = world_log(oracle.world, CW_STREAM_TABLE)->len;
 	edit->at_ms = world_now(oracle.world);
 	oracle.edit_count++;
@@ -287,8 +287,8 @@
 	world_lose_append_answers(world, 0, 0);
 	world_set_message_faults(world, 0, 0);
 	for (int i = 0; i < NODES; i++) {
-		world_cut(world, i, 0);
-		world_cut_platform(world, i, 0);
+		world_set_domain_partition(world, i, 0);
+		world_set_store_partition(world, i, 0);
 		if (!world_node(world, i)->node)
 			world_start(world, i);
 		world_set_paused(world, i, 0);
@@ -297,6 +297,6 @@
 		world_server(world, i)->down = 0;
 	for (int64_t recovered_ms = 0; recovered_ms < RECOVERY_MS; recovered_ms += EXPIRE_STEP_MS) {
 		world_expire_records(world);
-		world_run(world, EXPIRE_STEP_MS);
+		world_advance(world, EXPIRE_STEP_MS);
 	}
 }
--- a/tests/fuzz/oracle_checks.c
+++ b/tests/fuzz/oracle_checks.c
@@ -80,7 +80,7 @@
 		    is_bill_due(request))
 			oracle_report_violation("billed once", "%s was answered but has no bill",
 						request->in.request_id);
-		if (is_billed && request->ended_ms >= 0 && request->end == CW_EFFECT_REFUSE)
+		if (is_billed && request->ended_ms >= 0 && request->end == CW_EFFECT_REJECT)
 			oracle_report_violation("billed once", "%s was rejected but has a bill",
 						request->in.request_id);
 		if (is_billed && request->ended_ms >= 0 && request->end == CW_EFFECT_REPLAY)
@@ -94,11 +94,11 @@
 
 		/* A mirror that never learns that a bill is in the log would bill the request a
 		 * second time when the instance of origin crashes. */
-		if (node->node && !node->stopped && cw_node_bills_held(node->node) > 0)
+		if (node->node && !node->stopped && cw_node_count_bills(node->node) > 0)
 			oracle_report_violation(
 				"billed once",
 				"e%d still has %zu bills that it has not seen in the log", i,
-				cw_node_bills_held(node->node));
+				cw_node_count_bills(node->node));
 	}
 }
 
@@ -133,8 +133,8 @@
 		if (alive && request->final_answers == 0)
 			oracle_report_violation("one whole answer", "%s never got a final answer",
 						request->in.request_id);
-		if (request->final_answers == 1 && request->end == CW_EFFECT_REFUSE &&
-		    request->run == CW_RUN_NOT && request->runs > 0)
+		if (request->final_answers == 1 && request->end == CW_EFFECT_REJECT &&
+		    request->run == CW_RUN_NOT_EXECUTED && request->runs > 0)
 			oracle_report_violation("not run",
 						"%s was rejected as not run but ran %u times",
 						request->in.request_id, request->runs);
@@ -159,7 +159,7 @@
 				g_ptr_array_index(oracle.orders[key].requests, i);
 
 			runs += request->runs;
-			answered |= request->ended_ms >= 0 && request->end != CW_EFFECT_REFUSE;
+			answered |= request->ended_ms >= 0 && request->end != CW_EFFECT_REJECT;
 		}
 		if (runs > 1)
 			oracle_report_violation("at most once", "orders with key k%d ran %u times",
@@ -251,7 +251,8 @@
 					"%s got its final answer %ld ms after its deadline",
 					request->in.request_id,
 					(long)(request->ended_ms - request->in.deadline_ms));
-	if (request->end == CW_EFFECT_REFUSE && request->run == CW_RUN_NOT && request->runs > 0)
+	if (request->end == CW_EFFECT_REJECT && request->run == CW_RUN_NOT_EXECUTED &&
+	    request->runs > 0)
 		oracle_report_violation("not run",
 					"%s was rejected as not run but had run %u times",
 					request->in.request_id, request->runs);
--- a/tests/fuzz/users_input.c
+++ b/tests/fuzz/users_input.c
@@ -356,7 +356,7 @@
 	harness->info.allowed_ms = choice * 20;
 	harness->info.last_event = CW_NO_EVENT;
 	harness->info.segment_count = choice % 3;
-	harness->info.read_tokens = choice * 10;
+	harness->info.prompt_tokens = choice * 10;
 	call_state->call = cw_call_open(harness->gate, &harness->info, harness->now_ms,
 					harness->now_ms, &harness->step);
 	call_state->route = cw_call_route(call_state->call);
@@ -398,7 +398,7 @@
 		      "a request was rejected after the caller got a part of its answer");
 		check((step->status != 503 && step->status != 429) || !call_state->may_have_run,
 		      "a request was rejected with status 503 or 429 though it may have run");
-		check(step->run != CW_RUN_NOT || !call_state->may_have_run,
+		check(step->run != CW_RUN_NOT_EXECUTED || !call_state->may_have_run,
 		      "a request was reported as not run though it may have run");
 		break;
 	case CW_STEP_ABORT:
--- a/tests/standins/backend.c
+++ b/tests/standins/backend.c
@@ -92,34 +92,36 @@
 	struct crash crash;
 };
 
-static void handle(void *context, const struct cw_http_in *in, struct cw_http_out *out);
-static void handle_completion(struct backend *backend, const struct cw_http_in *in,
-			      struct cw_http_out *out);
-static void handle_resume(struct backend *backend, const struct cw_http_in *in,
-			  struct cw_http_out *out);
-static void handle_cancel(struct backend *backend, const struct cw_http_in *in,
-			  struct cw_http_out *out);
-static void handle_load(struct backend *backend, struct cw_http_out *out);
-static void handle_order(struct backend *backend, const struct cw_http_in *in,
-			 struct cw_http_out *out);
-static void handle_service(struct backend *backend, const struct cw_http_in *in,
-			   struct cw_http_out *out);
-static void handle_control(struct backend *backend, const struct cw_http_in *in,
-			   struct cw_http_out *out);
-static int answer_with_fault(struct backend *backend, enum fault fault, struct cw_http_out *out);
+static void handle(void *context, const struct cw_http_request *in, struct cw_http_response *out);
+static void handle_completion(struct backend *backend, const struct cw_http_request *in,
+			      struct cw_http_response *out);
+static void handle_resume(struct backend *backend, const struct cw_http_request *in,
+			  struct cw_http_response *out);
+static void handle_cancel(struct backend *backend, const struct cw_http_request *in,
+			  struct cw_http_response *out);
+static void handle_load(struct backend *backend, struct cw_http_response *out);
+static void handle_order(struct backend *backend, const struct cw_http_request *in,
+			 struct cw_http_response *out);
+static void handle_service(struct backend *backend, const struct cw_http_request *in,
+			   struct cw_http_response *out);
+static void handle_control(struct backend *backend, const struct cw_http_request *in,
+			   struct cw_http_response *out);
+static int answer_with_fault(struct backend *backend, enum fault fault,
+			     struct cw_http_response *out);
 static enum fault consume_fault(struct backend *backend, const char *model);
 static void wait_while_hanging(struct backend *backend);
-static void record_run(struct backend *backend, const struct cw_http_in *in, const char *model);
+static void record_run(struct backend *backend, const struct cw_http_request *in,
+		       const char *model);
 static struct generation *start_generation(struct backend *backend, const char *id, int first,
 					   int tokens, enum fault fault);
 static void *run_generation(void *data);
 static void sleep_unlocked(struct backend *backend, int ms);
 static void answer_stream(struct generation *generation, size_t next, const char *id,
-			  struct cw_http_out *out);
+			  struct cw_http_response *out);
 static ssize_t pull_stream(void *context, char *buffer, size_t max);
 static void free_reader(void *context);
 static int count_continued_tokens(struct json_object *body);
-static const char *get_header(const struct cw_http_in *in, const char *name);
+static const char *get_header(const struct cw_http_request *in, const char *name);
 
 int main(int argc, char **argv)
 {
@@ -377,7 +379,7 @@
 	json_object_object_add(body, "request",
 			       json_object_new_string(get_header(in, "X-Request-Id")));
 	standin_reply(out, strcmp(in->method, "POST") ? 200 : 201, body);
-	cw_http_out_header(out, "X-Request-Id", get_header(in, "X-Request-Id"));
+	cw_http_response_add_header(out, "X-Request-Id", get_header(in, "X-Request-Id"));
 }
 
 static void handle_control(struct backend *backend, const struct cw_http_request *in,
@@ -403,7 +405,8 @@
 	cw_http_response_set_json(out, 200, g_strdup("{}"));
 }
 
-static int answer_with_fault(struct backend *backend, enum fault fault, struct cw_http_out *out)
+static int answer_with_fault(struct backend *backend, enum fault fault,
+			     struct cw_http_response *out)
 {
 	switch (fault) {
 	case FAULT_ERROR:
@@ -422,7 +425,7 @@
 		return 1;
 	case FAULT_HANG:
 		wait_while_hanging(backend);
-		cw_http_out_json(out, 500, g_strdup("{}"));
+		cw_http_response_set_json(out, 500, g_strdup("{}"));
 		return 1;
 	default:
 		return 0;
@@ -444,7 +447,7 @@
 		sleep_unlocked(backend, 100);
 }
 
-static void record_run(struct backend *backend, const struct cw_http_in *in, const char *model)
+static void record_run(struct backend *backend, const struct cw_http_request *in, const char *model)
 {
 	struct json_object *run = json_object_new_object();
 
@@ -534,7 +537,7 @@
 	reader->next = next;
 	out->status = 200;
 	g_strlcpy(out->content_type, "text/event-stream", sizeof(out->content_type));
-	cw_http_out_header(out, "X-Request-Id", id);
+	cw_http_response_add_header(out, "X-Request-Id", id);
 	out->pull = pull_stream;
 	out->on_end = free_reader;
 	out->context = reader;
@@ -600,7 +603,7 @@
 	return count;
 }
 
-static const char *get_header(const struct cw_http_in *in, const char *name)
+static const char *get_header(const struct cw_http_request *in, const char *name)
 {
 	const char *value = cw_http_request_header(in, name);
 
--- a/tests/standins/platform.c
+++ b/tests/standins/platform.c
@@ -44,21 +44,21 @@
 	uint64_t reads;
 };
 
-static void handle(void *context, const struct cw_http_in *in, struct cw_http_out *out);
-static void handle_append(struct platform *platform, const char *name, const struct cw_http_in *in,
-			  struct cw_http_out *out);
-static void handle_read(struct platform *platform, const char *name, const struct cw_http_in *in,
-			struct cw_http_out *out);
-static void handle_rating(struct platform *platform, const struct cw_http_in *in,
-			  struct cw_http_out *out);
-static void handle_control(struct platform *platform, const struct cw_http_in *in,
-			   struct cw_http_out *out);
+static void handle(void *context, const struct cw_http_request *in, struct cw_http_response *out);
+static void handle_append(struct platform *platform, const char *name,
+			  const struct cw_http_request *in, struct cw_http_response *out);
+static void handle_read(struct platform *platform, const char *name,
+			const struct cw_http_request *in, struct cw_http_response *out);
+static void handle_rating(struct platform *platform, const struct cw_http_request *in,
+			  struct cw_http_response *out);
+static void handle_control(struct platform *platform, const struct cw_http_request *in,
+			   struct cw_http_response *out);
 static struct stream *get_stream(struct platform *platform, const char *name);
 static void expire(struct platform *platform, struct stream *stream);
 static void remove_before(struct stream *stream, uint64_t first);
 static void wait_for_append(struct platform *platform, struct stream *stream, uint64_t from,
 			    int wait_ms);
-static void reply_error(struct cw_http_out *out, int status);
+static void reply_error(struct cw_http_response *out, int status);
 
 int main(int argc, char **argv)
 {
@@ -312,7 +312,7 @@
 			break;
 }
 
-static void reply_error(struct cw_http_out *out, int status)
+static void reply_error(struct cw_http_response *out, int status)
 {
 	cw_http_response_add_header(out, "Retry-After", "1");
 	cw_http_response_set_json(out, status, g_strdup("{\"error\":\"stand-in\"}"));
--- a/tests/standins/standin.h
+++ b/tests/standins/standin.h
@@ -14,9 +14,9 @@
 void standin_wait(void);			      /* blocks until SIGTERM or SIGINT */
 const char *standin_query(const char *path, const char *name, char *value,
 			  size_t size); /* copies into value; "" if absent */
-void standin_reply(struct cw_http_out *out, int status,
-		   struct json_object *body);			/* takes ownership of body */
-struct json_object *standin_parse(const struct cw_http_in *in); /* NULL: not JSON */
+void standin_reply(struct cw_http_response *out, int status,
+		   struct json_object *body);			     /* takes ownership of body */
+struct json_object *standin_parse(const struct cw_http_request *in); /* NULL: not JSON */
 const char *standin_text(struct json_object *object, const char *key, const char *fallback);
 int64_t standin_number(struct json_object *object, const char *key, int64_t fallback);
 int64_t standin_now_ms(void); /* wall clock */
--- a/tests/standins/users_runner.c
+++ b/tests/standins/users_runner.c
@@ -81,8 +81,8 @@
 		struct cw_caller *caller = run->caller;
 
 		/* The connection breaks within an event. */
-		cw_caller_data(caller, "id: 9", 5);
-		cw_caller_attach(caller, NULL);
+		cw_caller_send_body(caller, "id: 9", 5);
+		cw_caller_set_request(caller, NULL);
 		end_run(run);
 		cw_caller_abort(caller);
 		return;
@@ -128,7 +128,7 @@
 	run->timer.data = run;
 	TAILQ_INSERT_TAIL(&runs, run, link);
 	running++;
-	cw_caller_attach(caller, run);
+	cw_caller_set_request(caller, run);
 	send_head(caller, request, 200, "Content-Type: text/event-stream\r\n", CW_FLOW_CHUNKED);
 	uv_timer_start(&run->timer, on_event, 5, (uint64_t)gap_ms);
 }
@@ -173,14 +173,14 @@
 		on_admin(caller, request);
 	} else if (expected && strcmp(expected, name) != 0) {
 		send_head(caller, request, 421, "Instance-Id: other\r\n", 0);
-		cw_caller_end(caller);
+		cw_caller_end_answer(caller);
 	} else if (!strcmp(mode, "notrun")) {
 		send_head(caller, request, 503, "Not-Executed: 1\r\n", 0);
-		cw_caller_end(caller);
+		cw_caller_end_answer(caller);
 	} else if (!strcmp(mode, "garble")) {
 		record_run(request);
-		cw_caller_head(caller, 200, "\x01\x02 no field at all\r\n", 0);
-		cw_caller_end(caller);
+		cw_caller_send_head(caller, 200, "\x01\x02 no field at all\r\n", 0);
+		cw_caller_end_answer(caller);
 	} else if (accept && !strcmp(accept, "text/event-stream")) {
 		record_run(request);
 		start_stream(caller, request, events ? strtol(events + 1, NULL, 10) : 1);
@@ -189,13 +189,13 @@
 	} else if (!strcmp(mode, "short")) {
 		record_run(request);
 		send_head(caller, request, 200, "", 100);
-		cw_caller_data(caller, "half", 4);
+		cw_caller_send_body(caller, "half", 4);
 		cw_caller_abort(caller);
 	} else {
 		record_run(request);
 		send_head(caller, request, strcmp(mode, "error") ? 200 : 500, "", 5);
-		cw_caller_data(caller, "whole", 5);
-		cw_caller_end(caller);
+		cw_caller_send_body(caller, "whole", 5);
+		cw_caller_end_answer(caller);
 	}
 }
 
--- a/tests/standins/users_store.c
+++ b/tests/standins/users_store.c
@@ -184,7 +184,7 @@
 	waiting_read->not_before_ms = strcmp(mode, "slow") ? 0 : uv_now(&loop) + SLOW_MS;
 	waiting_read->is_never_answered = is_never_answered;
 	TAILQ_INSERT_TAIL(&waiting_reads, waiting_read, link);
-	cw_caller_attach(caller, waiting_read);
+	cw_caller_set_request(caller, waiting_read);
 }
 
 static void on_tick(uv_timer_t *timer)
--- a/tests/tools/loadgen.c
+++ b/tests/tools/loadgen.c
@@ -188,7 +188,7 @@
 		.body_size = strlen(body),
 		.connect_ms = 2000,
 		.total_ms = TIMEOUT_MS,
-		.once = 0,
+		.forbids_retry = 0,
 		.on_head = on_head,
 		.on_data = on_data,
 		.context = &exchange,
