--- a/apps/corianderwalk/job_attempt.c
+++ b/apps/corianderwalk/job_attempt.c
@@ -226,7 +226,7 @@
 	return status >= 500 || status == 408 ? CW_ATTEMPT_FAILED : CW_ATTEMPT_CLIENT_ERROR;
 }
 
-/* The caller's body with the dispatched model; a continuation adds the text already shown. */
+/* The caller's body with the dispatched model; a continuation adds the text already forwarded. */
 static char *build_engine_body(struct job *job, const struct cw_effect *effect)
 {
 	char *target = g_strdup_printf("%s/%s", effect->dispatch.model, effect->dispatch.version);
@@ -281,7 +281,7 @@
 
 /*
  * Answers may arrive late or swapped on a keep-alive connection. An answer with another request's
- * id must not be shown: it belongs to another caller.
+ * id must not be forwarded: it belongs to another caller.
  */
 static int on_head(void *context, int status, const char *request_id, const char *content_type)
 {
--- a/packages/limits/include/cw_limits.h
+++ b/packages/limits/include/cw_limits.h
@@ -13,7 +13,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_LIMIT_PARTS	  1000000 /* parts of a limit */
+#define CW_LIMIT_PARTS	  1000000 /* a share of a limit is counted in millionths */
 #define CW_LOAN_TERM_MS	  3000
 #define CW_LOAN_MARGIN_MS 500
 
--- a/packages/membership/include/cw_membership.h
+++ b/packages/membership/include/cw_membership.h
@@ -20,8 +20,8 @@
 	uint64_t boot;		      /* drawn at each start; 0: no heartbeat yet */
 	int64_t last_seen_ms;	      /* last sign of life, own or in a peer's report; -1: none */
 	int64_t listed_ms;	      /* last seen in the platform's list; -1: never */
-	int leaving;
-	int configured; /* named by the settings */
+	int is_leaving;
+	int is_configured; /* named by the settings */
 	uint64_t table_offset;
 };
 
@@ -41,8 +41,9 @@
 		     const char *address); /* adds or updates; NULL: own name, or full */
 struct cw_member *cw_membership_find(struct cw_membership *membership,
 				     const char *instance); /* NULL: unknown */
-void cw_membership_mark_seen(struct cw_member *member, uint64_t boot, int leaving, int64_t now_ms);
-void cw_membership_mark_listed(struct cw_member *member, int leaving, int64_t now_ms);
+void cw_membership_mark_seen(struct cw_member *member, uint64_t boot, int is_leaving,
+			     int64_t now_ms);
+void cw_membership_mark_listed(struct cw_member *member, int is_leaving, int64_t now_ms);
 void cw_membership_remove_stale(
 	struct cw_membership *membership, int64_t now_ms,
 	int64_t keep_ms); /* drops members neither seen nor listed for keep_ms */
@@ -67,16 +68,16 @@
 			  first, of those seen within the configured time-out:
 			  every message names them, so a failure shows at once */
 size_t cw_membership_rank(const struct cw_membership *membership, uint64_t key,
-			  int64_t now_ms); /* own rank among the same members; 0: first */
+			  int64_t now_ms); /* own rank among members seen in that time; 0: first */
 void cw_membership_start_settling(
 	struct cw_membership *membership, int64_t now_ms, int64_t settle_ms,
 	int is_only); /* own rank is unknown for settle_ms after now_ms and after
 			 each growth by a quarter; is_only: there are no others */
 size_t
 cw_membership_stable_rank(const struct cw_membership *membership, uint64_t key, int64_t now_ms,
-			  size_t *instances); /* as rank, but unreachable members are ranked too
-						 unless a majority is live: no instance in a
-						 network partition ranks itself alone; instances:
+			  size_t *instances); /* as cw_membership_rank, but unreachable members
+						 count too unless a majority is live: no instance in
+						 a network partition ranks itself alone; instances:
 						 ranked ones, 0: the rank is unknown */
 int cw_membership_is_stable(const struct cw_membership *membership, int64_t now_ms,
 			    int64_t calm_ms); /* 1: no growth by a quarter within calm_ms */
--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -95,18 +95,19 @@
 	return g_hash_table_lookup(membership->by_name, instance);
 }
 
-void cw_membership_mark_seen(struct cw_member *member, uint64_t boot, int leaving, int64_t now_ms)
+void cw_membership_mark_seen(struct cw_member *member, uint64_t boot, int is_leaving,
+			     int64_t now_ms)
 {
 	member->boot = boot;
-	member->leaving = leaving;
+	member->is_leaving = is_leaving;
 	member->last_seen_ms = now_ms;
 }
 
-void cw_membership_mark_listed(struct cw_member *member, int leaving, int64_t now_ms)
+void cw_membership_mark_listed(struct cw_member *member, int is_leaving, int64_t now_ms)
 {
 	member->listed_ms = now_ms;
-	if (leaving)
-		member->leaving = 1;
+	if (is_leaving)
+		member->is_leaving = 1;
 }
 
 void cw_membership_remove_stale(struct cw_membership *membership, int64_t now_ms, int64_t keep_ms)
@@ -118,7 +119,7 @@
 		struct cw_member *next = TAILQ_NEXT(member, link);
 		int64_t seen = MAX(member->last_seen_ms, member->listed_ms);
 
-		if (!member->configured && now_ms - seen > keep_ms) {
+		if (!member->is_configured && now_ms - seen > keep_ms) {
 			TAILQ_REMOVE(&membership->members, member, link);
 			g_hash_table_remove(membership->by_name, member->instance);
 			membership->size--;
@@ -144,7 +145,7 @@
 
 static int is_seen_within(const struct cw_member *member, int64_t limit_ms, int64_t now_ms)
 {
-	return !member->leaving && member->last_seen_ms >= 0 &&
+	return !member->is_leaving && member->last_seen_ms >= 0 &&
 	       now_ms - member->last_seen_ms <= limit_ms;
 }
 
@@ -256,10 +257,10 @@
 	size_t rank = 0;
 
 	TAILQ_FOREACH(member, &membership->members, link)
-		known += !member->leaving;
+		known += !member->is_leaving;
 	is_majority = 2 * live > known;
 	TAILQ_FOREACH(member, &membership->members, link) {
-		if (member->leaving ||
+		if (member->is_leaving ||
 		    (is_majority && !cw_membership_is_live(membership, member, now_ms)))
 			continue;
 		rank += cw_rendezvous(key, member->id, 1) > own;
--- a/packages/node/include/cw_node.h
+++ b/packages/node/include/cw_node.h
@@ -76,7 +76,7 @@
 
 enum cw_attempt_result {
 	CW_ATTEMPT_ANSWERED,	 /* complete and well-formed answer */
-	CW_ATTEMPT_CLIENT_ERROR, /* other 4xx of the server: forwarded to the caller, not billed */
+	CW_ATTEMPT_CLIENT_ERROR, /* 4xx but 408 and 429: forwarded to the caller, not billed */
 	CW_ATTEMPT_NOT_SENT,	 /* no byte reached the server */
 	CW_ATTEMPT_BUSY,	 /* 429 or 503 before anything ran */
 	CW_ATTEMPT_FAILED,	 /* 5xx or 408, malformed or too long answer */
@@ -126,8 +126,8 @@
 	char peer_address[CW_ADDRESS_MAX]; /* for peer messages; instances only */
 	char failure_domain[CW_NAME_MAX];
 	char service[CW_NAME_MAX];
-	int leaving;
-	int checks_fencing;
+	int is_leaving;
+	int checks_fencing; /* the server refuses orders with an outdated fencing number */
 };
 
 enum cw_event_kind {
@@ -156,7 +156,7 @@
 struct cw_event {
 	enum cw_event_kind kind;
 	int64_t now_ms;	 /* monotonic */
-	int64_t wall_ms; /* compared with record times, only to judge the age of records */
+	int64_t wall_ms; /* real time; only to judge the age of records by their times */
 	union {
 		const struct cw_node_request *request;
 		const struct cw_attempt_end *attempt;
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -196,7 +196,7 @@
 int cw_node_is_ready(const struct cw_node *node)
 {
 	/* An instance without a share of the limits would reject every request. */
-	return !node->stopping && cw_table_offset(node->table) > 0 &&
+	return !node->is_stopping && cw_table_offset(node->table) > 0 &&
 	       cw_limits_has_share(node->limits);
 }
 
@@ -262,7 +262,7 @@
 
 int node_rejects_requests(const struct cw_node *node)
 {
-	return node->stopping && node->now_ms - node->stop_ms >= node->config.stop_grace_ms;
+	return node->is_stopping && node->now_ms - node->stop_ms >= node->config.stop_grace_ms;
 }
 
 static void node_apply_settings(struct cw_node *node)
@@ -273,7 +273,7 @@
 			node->membership, peer->instance, peer->failure_domain, peer->address);
 
 		if (member)
-			member->configured = 1;
+			member->is_configured = 1;
 	}
 	for (size_t i = 0; i < node->config.server_count; i++) {
 		const struct cw_node_server *known = &node->config.servers[i];
@@ -304,7 +304,7 @@
 		node->membership, listed->name, listed->failure_domain, listed->peer_address);
 
 	if (member)
-		cw_membership_mark_listed(member, listed->leaving, node->now_ms);
+		cw_membership_mark_listed(member, listed->is_leaving, node->now_ms);
 }
 
 static void apply_listed_server(struct cw_node *node, const struct cw_list_entry *listed)
@@ -315,11 +315,11 @@
 
 	if (!server)
 		return;
-	if (server->leaving != listed->leaving)
+	if (server->leaving != listed->is_leaving)
 		node_log_event(node, "membership",
-			       listed->leaving ? "server_leaving" : "server_live", "server=%s",
+			       listed->is_leaving ? "server_leaving" : "server_live", "server=%s",
 			       listed->name);
-	server->leaving = listed->leaving;
+	server->leaving = listed->is_leaving;
 	server->listed_ms = node->now_ms;
 }
 
@@ -395,9 +395,9 @@
 
 static void node_begin_stop(struct cw_node *node)
 {
-	if (node->stopping)
+	if (node->is_stopping)
 		return;
-	node->stopping = 1;
+	node->is_stopping = 1;
 	node->stop_ms = node->now_ms;
 	node_log_event(node, "node", "leaving", "running=%zu", node->running);
 	gossip_send_heartbeats(node);
@@ -405,12 +405,12 @@
 
 static void node_finish_stop(struct cw_node *node)
 {
-	if (!node_rejects_requests(node) || node->stopped || node->running > 0 ||
+	if (!node_rejects_requests(node) || node->is_stopped || node->running > 0 ||
 	    !bills_allow_stop(node))
 		return;
 	if (!STAILQ_EMPTY(&node->claim_entries) || !STAILQ_EMPTY(&node->claim_entries_sent))
 		return;
-	node->stopped = 1;
+	node->is_stopped = 1;
 	node_log_event(node, "node", "stopped", "took_ms=%" G_GINT64_FORMAT,
 		       node->now_ms - node->stop_ms);
 	node_add_effect(node, CW_EFFECT_STOPPED, 0);
@@ -514,7 +514,7 @@
 		json_object_object_add(
 			item, "state",
 			json_object_new_string(
-				member->leaving ? "leaving"
+				member->is_leaving ? "leaving"
 				: cw_membership_is_live(node->membership, member, node->now_ms)
 					? "live"
 					: "silent"));
--- a/packages/node/src/node_bills.c
+++ b/packages/node/src/node_bills.c
@@ -93,7 +93,7 @@
 		struct cw_bill *bill = cw_ledger_find(node->ledger, bills->list.list_val[i].id);
 
 		if (bill)
-			bill->mirrored = 1;
+			bill->is_mirrored = 1;
 		else if (count < CW_BILL_BATCH)
 			settled[count++] = bills->list.list_val[i];
 		request_confirm_bill(node, bills->list.list_val[i].id);
@@ -189,11 +189,11 @@
 	}
 	if (node->bills_due_ms == 0 && cw_ledger_count(node->ledger, "") > 0)
 		node->bills_due_ms = node->now_ms + node->config.bill_flush_ms;
-	if (node->bills_due_ms == 0 || (node->now_ms < node->bills_due_ms && !node->stopping))
+	if (node->bills_due_ms == 0 || (node->now_ms < node->bills_due_ms && !node->is_stopping))
 		return;
 	/* A stopping instance does not wait until the bills are due, unless that time is more than
 	 * bill_flush_ms away. */
-	if (node->stopping && node->bills_due_ms > node->now_ms + node->config.bill_flush_ms)
+	if (node->is_stopping && node->bills_due_ms > node->now_ms + node->config.bill_flush_ms)
 		return;
 	g_free(node->bills_origin);
 	node->bills_origin = g_strdup("");
@@ -217,7 +217,7 @@
 	if (node->now_ms - node->stop_ms < node->config.stop_grace_ms + STOP_LOG_WAIT_MS)
 		return 0;
 	TAILQ_FOREACH(bill, cw_ledger_bills(node->ledger), link) {
-		if (!*bill->origin && !bill->mirrored)
+		if (!*bill->origin && !bill->is_mirrored)
 			return 0;
 	}
 	return 1;
--- a/packages/node/src/node_gossip.c
+++ b/packages/node/src/node_gossip.c
@@ -273,7 +273,7 @@
 	size_t count = cw_health_own_evidence(node->health, own, tripped, EVIDENCE_MAX);
 
 	message.body.kind = PEER_HEARTBEAT;
-	heartbeat->leaving = (u_int)node->stopping;
+	heartbeat->leaving = (u_int)node->is_stopping;
 	heartbeat->table_offset = cw_table_offset(node->table);
 	heartbeat->claims_offset = cw_claims_offset(node->claims);
 	for (size_t i = 0; i < count; i++) {
--- a/packages/node/src/node_internal.h
+++ b/packages/node/src/node_internal.h
@@ -46,7 +46,7 @@
 	int is_trial;	      /* a quarantined request that is sent once as a test */
 	double cost_per_1k;
 	double expected_tokens;
-	int admitted; /* counted against its limits until it ends */
+	int is_admitted; /* counted against its organisation's limits until it ends */
 	int64_t started_ms;
 	int64_t deadline_ms;
 	int64_t wait_until_ms; /* end of the wait in the current state */
@@ -54,7 +54,7 @@
 	struct cw_binding binding;	/* key 0: no session */
 	size_t pending_binding_answers; /* owners that have not answered the binding query */
 	uint64_t failed_version;	/* version id that failed this request, 0 none */
-	int rebound;			/* the version of its session was withdrawn */
+	int is_rebound;			/* the version of its session was withdrawn */
 
 	struct cw_claim claim; /* claim 0: none */
 
@@ -62,19 +62,19 @@
 	unsigned int attempt_count;
 	uint64_t tried[CW_MAX_ATTEMPTS];
 	size_t tried_count;
-	uint64_t server;    /* of the attempt in progress */
-	int sent;	    /* a byte may have reached a server: "not_run" is no longer reported */
-	unsigned int shown; /* chunks sent to the caller */
-	int resumed;	    /* the stream was resumed once on its current server */
+	uint64_t server;	       /* of the attempt in progress */
+	int may_have_run;	       /* on a server: "not_run" is no longer reported */
+	unsigned int forwarded_chunks; /* chunks sent to the caller */
+	int is_resumed; /* the last attempt was a resume; another server continues next */
 
 	struct cw_cascade_option options[CW_MAX_VERSIONS]; /* for the target "auto" */
 	char option_model[CW_MAX_VERSIONS][CW_NAME_MAX];
 	char option_version[CW_MAX_VERSIONS][CW_NAME_MAX];
 	struct cw_cascade_request choice;
 	struct cw_plan plan;
-	int planned;   /* plan is set */
-	int escalated; /* the answer of the first model was rated too low */
-	char *answer;  /* text that is stored as the outcome of the claim */
+	int has_plan;	  /* plan is set */
+	int is_escalated; /* the answer of the first model was rated too low */
+	char *answer;	  /* text that is stored as the outcome of the claim */
 	int http_status;
 };
 
@@ -89,7 +89,7 @@
 	int64_t next_read_ms;	 /* no read is sent before this time */
 	int64_t backoff_ms;	 /* 0 after a successful read */
 	int64_t last_success_ms; /* when a read was last answered, -1 never */
-	int caught_up;		 /* the end of the stream was reached once since the start */
+	int is_caught_up;	 /* the end of the stream was reached once since the start */
 	int needs_snapshot;	 /* records were missed: the table waits for a snapshot */
 };
 
@@ -203,19 +203,19 @@
 	int heartbeat_in_budget;   /* the last heartbeats fitted into gossip_bytes_per_s */
 	uint64_t gossip_bytes;	   /* sent since the start */
 	uint64_t heartbeat_cursor; /* next member to send a heartbeat to */
-	uint64_t sequence;
+	uint64_t sequence;	   /* of the newest message sent to a peer */
 	int64_t expire_due_ms;
 
 	struct lease lease;	     /* of this failure domain, for orders to engines */
 	uint64_t lease_token;	     /* of the newest claim of this instance */
 	uint64_t lease_ticket;	     /* of the append of a claim in progress, 0 none */
-	int64_t lease_claim_sent_ms; /* before the claim is sent; the own term begins here */
+	int64_t lease_claim_sent_ms; /* before its append: the own term counts from then */
 	int64_t lease_check_due_ms;
 	uint64_t order_ticket;
 
-	int stopping;
+	int is_stopping;
 	int64_t stop_ms; /* when the stop began */
-	int stopped;
+	int is_stopped;
 };
 
 /* node.c */
@@ -313,9 +313,9 @@
 		      struct request *request); /* 1: the request was quarantined and rejected */
 void quarantine_record_attempt(struct cw_node *node, const struct request *request,
 			       const struct cw_server *server, const struct cw_attempt_end *end);
-void quarantine_note_abandoned(
-	struct cw_node *node, const struct request *request,
-	const struct cw_server *server); /* given up; the server may still run it */
+void quarantine_note_incomplete(struct cw_node *node, const struct request *request,
+				const struct cw_server *server); /* no complete answer: the
+								    server may still run it */
 void quarantine_tick(struct cw_node *node);
 void quarantine_apply_notice(struct cw_node *node, struct json_object *notice, int64_t time_ms);
 void quarantine_handle_append(struct cw_node *node, const struct cw_append_result *appended);
--- a/packages/node/src/node_log.c
+++ b/packages/node/src/node_log.c
@@ -93,8 +93,8 @@
 	reader->oldest_offset = MAX(reader->oldest_offset, records->first);
 	for (size_t i = 0; i < records->count; i++)
 		apply_record(node, reader, &records->list[i]);
-	if (records->count == 0 && !reader->caught_up) {
-		reader->caught_up = 1;
+	if (records->count == 0 && !reader->is_caught_up) {
+		reader->is_caught_up = 1;
 		node_log_event(node, "log", "caught_up", "stream=%s next=%" G_GUINT64_FORMAT,
 			       cw_stream_name(reader->stream), reader->next_offset);
 	}
@@ -126,7 +126,7 @@
 		reader->read_ticket = node_new_ticket(node);
 		reader->read_sent_ms = node->now_ms;
 		log_read(node, reader->stream, reader->read_ticket, reader->next_offset,
-			 reader->caught_up ? LONG_POLL_MS : 0);
+			 reader->is_caught_up ? LONG_POLL_MS : 0);
 	}
 	schedule_snapshot(node);
 }
@@ -137,7 +137,7 @@
 {
 	const struct log_reader *reader = &node->log_readers[stream];
 
-	return reader->caught_up && reader->backoff_ms == 0 && reader->last_success_ms >= 0 &&
+	return reader->is_caught_up && reader->backoff_ms == 0 && reader->last_success_ms >= 0 &&
 	       node->now_ms - reader->last_success_ms <= LONG_POLL_MS + READ_TIMEOUT_MS;
 }
 
@@ -395,7 +395,7 @@
 	uint64_t covered = node->table_snapshot_covered;
 	int64_t half_retention_ms = node->config.log_retention_ms / 2;
 
-	if (!reader->caught_up || reader->needs_snapshot || cw_table_offset(node->table) == 0 ||
+	if (!reader->is_caught_up || reader->needs_snapshot || cw_table_offset(node->table) == 0 ||
 	    reader->backoff_ms)
 		return 0;
 	if (covered && reader->oldest_offset > node->table_snapshot_record_offset)
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -58,7 +58,7 @@
 	case CW_ATTEMPT_ANSWERED:
 	case CW_ATTEMPT_CLIENT_ERROR:
 		if (attempt->mode != CW_DISPATCH_FRESH) {
-			quarantine_note_abandoned(node, request, server);
+			quarantine_note_incomplete(node, request, server);
 			break;
 		}
 		cw_quarantine_note_answer(node->quarantine, request->fingerprint, server->id,
@@ -66,7 +66,7 @@
 		break;
 	case CW_ATTEMPT_INTERRUPTED:
 		if (!end->is_cut || server->leaving || server->is_removed) {
-			quarantine_note_abandoned(node, request, server);
+			quarantine_note_incomplete(node, request, server);
 			break;
 		}
 		cw_quarantine_note_break(node->quarantine, &quarantined, server->id,
@@ -77,7 +77,7 @@
 		break;
 	case CW_ATTEMPT_FAILED:
 	case CW_ATTEMPT_CANCELLED:
-		quarantine_note_abandoned(node, request, server);
+		quarantine_note_incomplete(node, request, server);
 		break;
 	case CW_ATTEMPT_NOT_SENT:
 	case CW_ATTEMPT_BUSY:
@@ -85,8 +85,8 @@
 	}
 }
 
-void quarantine_note_abandoned(struct cw_node *node, const struct request *request,
-			       const struct cw_server *server)
+void quarantine_note_incomplete(struct cw_node *node, const struct request *request,
+				const struct cw_server *server)
 {
 	cw_quarantine_note_finished(node->quarantine, request->fingerprint, server->id,
 				    attempt_run_ms(node, request), node->now_ms);
@@ -273,7 +273,7 @@
 		    cw_quarantine_contains(node->quarantine, request->fingerprint)) {
 			if (server)
 				cw_pool_record_end(server, node->now_ms, -1);
-			request->sent = 1;
+			request->may_have_run = 1;
 			quarantine_reject(node, request);
 		}
 		request = next;
--- a/packages/node/src/node_request.c
+++ b/packages/node/src/node_request.c
@@ -67,10 +67,10 @@
 		struct cw_server *server = cw_pool_find(node->pool, request->server);
 
 		if (server) {
-			quarantine_note_abandoned(node, request, server);
+			quarantine_note_incomplete(node, request, server);
 			cw_pool_record_end(server, node->now_ms, -1);
 		}
-		request->sent = 1;
+		request->may_have_run = 1;
 	}
 	request_abandon(node, request);
 }
@@ -169,7 +169,7 @@
 	for (unsigned int i = 0; i < request->attempt_count; i++)
 		tokens +=
 			request->attempts[i].prompt_tokens + request->attempts[i].completion_tokens;
-	if (request->admitted)
+	if (request->is_admitted)
 		cw_limits_release(node->limits, request->row, request->expected_tokens, tokens);
 	g_hash_table_remove(node->by_handle, &request->in.handle);
 	LIST_REMOVE(request, link);
@@ -194,12 +194,12 @@
 	va_list args;
 
 	effect->reject.code = code;
-	effect->reject.run = request->sent ? CW_RUN_UNKNOWN : CW_RUN_NOT;
+	effect->reject.run = request->may_have_run ? CW_RUN_UNKNOWN : CW_RUN_NOT;
 	effect->reject.retry_after_ms = retry_after_ms;
 	va_start(args, format);
 	g_vsnprintf(effect->reject.message, CW_MESSAGE_MAX, format, args);
 	va_end(args);
-	if (request->claim.claim && !request->sent)
+	if (request->claim.claim && !request->may_have_run)
 		claims_enqueue(node, &request->claim, CLAIM_ENTRY_RELEASE, 0, NULL);
 	node_log_event(node, "request", "refuse",
 		       "request=%s organisation=%s code=%s run=%s retry_after_ms=%" G_GINT64_FORMAT,
@@ -213,10 +213,10 @@
 void request_abandon(struct cw_node *node, struct request *request)
 {
 	node_log_event(node, "request", "caller_gone", "request=%s organisation=%s shown=%u",
-		       request->in.request_id, request->organisation, request->shown);
-	if (request->claim.claim && !request->sent)
+		       request->in.request_id, request->organisation, request->forwarded_chunks);
+	if (request->claim.claim && !request->may_have_run)
 		claims_enqueue(node, &request->claim, CLAIM_ENTRY_RELEASE, 0, NULL);
-	if (request->shown > 0 && request->state == REQUEST_RUNNING)
+	if (request->forwarded_chunks > 0 && request->state == REQUEST_RUNNING)
 		bills_add(node, request);
 	request_destroy(node, request);
 }
@@ -378,7 +378,7 @@
 	if (cw_limits_admit(node->limits, &limit, request->expected_tokens, node->now_ms,
 			    retry_after_ms) != CW_OK)
 		return 0;
-	request->admitted = 1;
+	request->is_admitted = 1;
 	return 1;
 }
 
@@ -437,7 +437,7 @@
 		return;
 	}
 	/* An earlier request with the key may have run, so "not_run" must not be reported. */
-	request->sent = 1;
+	request->may_have_run = 1;
 	if (view.state == CW_CLAIM_PENDING) {
 		request_reject(node, request, CW_CODE_DUPLICATE, DUPLICATE_RETRY_MS,
 			       "the same request was taken before and its outcome is not known");
--- a/packages/node/src/node_rollout.c
+++ b/packages/node/src/node_rollout.c
@@ -29,7 +29,7 @@
 	if (node->now_ms < node->lease_check_due_ms)
 		return;
 	node->lease_check_due_ms = node->now_ms + LEASE_CHECK_INTERVAL_MS;
-	if (node->stopping || node->order_ticket ||
+	if (node->is_stopping || node->order_ticket ||
 	    node->now_ms - node->started_ms < INITIAL_REPORTS_MS)
 		return;
 	row = find_missing_version(node);
@@ -223,7 +223,7 @@
 	struct json_object *value;
 	uint64_t version;
 
-	if (!node->config.health->pooled || !node->log_readers[CW_STREAM_NOTICES].caught_up ||
+	if (!node->config.health->pooled || !node->log_readers[CW_STREAM_NOTICES].is_caught_up ||
 	    !json_object_object_get_ex(trip, "version_id", &value))
 		return;
 	version = g_ascii_strtoull(json_object_get_string(value), NULL, 16);
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -31,7 +31,7 @@
 	if (!request || request->state != REQUEST_RUNNING || end->attempt != request->attempt_count)
 		return;
 	record_attempt(node, request, end);
-	request->shown = MAX(request->shown, end->shown);
+	request->forwarded_chunks = MAX(request->forwarded_chunks, end->shown);
 	switch (end->result) {
 	case CW_ATTEMPT_ANSWERED:
 		handle_answer(node, request, end);
@@ -65,7 +65,7 @@
 		return;
 	}
 	choice_apply_option(request, escalation);
-	request->escalated = 1;
+	request->is_escalated = 1;
 	request->tried_count = 0;
 	node_log_event(node, "cascade", "escalate", "request=%s score=%.3f model=%s version=%s",
 		       request->in.request_id, score, request->model, request->version);
@@ -95,7 +95,7 @@
 		return;
 	}
 	if (!choice_is_allowed(node, request)) {
-		if (request->shown || request->in.flags & CW_REQUEST_SERVICE ||
+		if (request->forwarded_chunks || request->in.flags & CW_REQUEST_SERVICE ||
 		    choice_select_version(node, request) != CHOICE_OK) {
 			request_reject(node, request, CW_CODE_NOT_ALLOWED, 0, "%s/%s was withdrawn",
 				       request->model, request->version);
@@ -163,7 +163,7 @@
 		       "fingerprint=%016" G_GINT64_MODIFIER "x%s",
 		       request->in.request_id, request->organisation, request->model,
 		       request->version, server->name, request->attempt_count, request->fingerprint,
-		       request->rebound ? " session=rebound" : "");
+		       request->is_rebound ? " session=rebound" : "");
 }
 
 static struct cw_server *choose_server(struct cw_node *node, struct request *request)
@@ -219,7 +219,7 @@
 	 */
 	if (end->result != CW_ATTEMPT_NOT_SENT &&
 	    !(end->result == CW_ATTEMPT_BUSY && end->http_status == 429))
-		request->sent = 1;
+		request->may_have_run = 1;
 	if (server)
 		quarantine_record_attempt(node, request, server, end);
 	if (server) {
@@ -265,7 +265,7 @@
 	}
 	cw_cascade_add_cost(node->cascade, task, cw_cascade_task_key("", request->in.task),
 			    request->version_id, end->prompt_tokens + end->completion_tokens);
-	if (request->planned && request->plan.check && !request->escalated) {
+	if (request->has_plan && request->plan.check && !request->is_escalated) {
 		request->state = REQUEST_RATING;
 		request->wait_until_ms =
 			MIN(node->now_ms + RATING_TIMEOUT_MS, request->deadline_ms);
@@ -284,7 +284,7 @@
 {
 	int is_service = request->in.flags & CW_REQUEST_SERVICE;
 
-	if (is_service && !(request->in.flags & CW_REQUEST_IDEMPOTENT) && request->sent) {
+	if (is_service && !(request->in.flags & CW_REQUEST_IDEMPOTENT) && request->may_have_run) {
 		/*
 		 * The server may have received a non-idempotent request. A retry could execute its
 		 * order twice, seen as two orders with one key, so the outcome is reported unknown.
@@ -295,7 +295,8 @@
 	}
 	if (request->attempt_count >= CW_MAX_ATTEMPTS) {
 		request_reject(node, request,
-			       request->sent ? CW_CODE_UPSTREAM_FAILED : CW_CODE_NO_BACKEND_SERVER,
+			       request->may_have_run ? CW_CODE_UPSTREAM_FAILED
+						     : CW_CODE_NO_BACKEND_SERVER,
 			       request_retry_after_ms(node, 500), "%u attempts failed",
 			       request->attempt_count);
 		return;
@@ -310,25 +311,26 @@
 
 	if (!cw_retry_budget_take(&node->retry_budget)) {
 		request_reject(node, request,
-			       request->sent ? CW_CODE_UPSTREAM_FAILED : CW_CODE_NO_BACKEND_SERVER,
+			       request->may_have_run ? CW_CODE_UPSTREAM_FAILED
+						     : CW_CODE_NO_BACKEND_SERVER,
 			       retry_ms, "the budget of retries is spent");
 		return;
 	}
-	if (end->shown == 0 && request->shown == 0) {
-		request->resumed = 0;
+	if (end->shown == 0 && request->forwarded_chunks == 0) {
+		request->is_resumed = 0;
 		choose_other_version(node, request, end);
 		request_dispatch(node, request, CW_DISPATCH_FRESH);
 		return;
 	}
 	/* A broken stream is resumed once on its server. If the resumed stream fails too, another
 	 * server continues from the text that was forwarded. */
-	if (end->result == CW_ATTEMPT_INTERRUPTED && !request->resumed) {
-		request->resumed = 1;
+	if (end->result == CW_ATTEMPT_INTERRUPTED && !request->is_resumed) {
+		request->is_resumed = 1;
 		request->tried_count--;
 		request_dispatch(node, request, CW_DISPATCH_RESUME);
 		return;
 	}
-	request->resumed = 0;
+	request->is_resumed = 0;
 	request_dispatch(node, request, CW_DISPATCH_CONTINUE);
 }
 
@@ -341,7 +343,7 @@
 				 const struct cw_attempt_end *end)
 {
 	if (end->result != CW_ATTEMPT_FAILED || !request->version_id || request->binding.key ||
-	    request->planned)
+	    request->has_plan)
 		return;
 	request->failed_version = request->version_id;
 	if (choice_select_version(node, request) == CHOICE_OK &&
--- a/packages/node/src/request_choice.c
+++ b/packages/node/src/request_choice.c
@@ -39,7 +39,7 @@
 		 * dispatch event reports session=rebound. */
 		cw_session_remove(node->sessions, request->binding.key);
 		*request->binding.model = '\0';
-		request->rebound = 1;
+		request->is_rebound = 1;
 	}
 	if (!strcmp(request->in.target, AUTO_MODEL))
 		return select_from_all_models(node, request);
@@ -135,7 +135,7 @@
 		!(request->in.flags & CW_REQUEST_STREAM) && !request->binding.key;
 	request->choice.random = node_random(node);
 	cw_cascade_plan(node->cascade, &request->choice, &request->plan);
-	request->planned = 1;
+	request->has_plan = 1;
 	choice_apply_option(request, request->plan.first);
 	row = cw_table_find_row(node->table, request->organisation, request->model,
 				request->version);
--- a/packages/request/include/cw_claims.h
+++ b/packages/request/include/cw_claims.h
@@ -23,7 +23,7 @@
 
 struct cw_claim {
 	uint64_t key;	/* hash of organisation, service and idempotency key */
-	uint64_t claim; /* unique id of one try by one instance, 0 none */
+	uint64_t claim; /* id of the claim: one attempt of one instance to claim the key; 0: none */
 	uint64_t body;	/* hash of the request, to detect a key that was used for another request */
 };
 
--- a/packages/request/include/cw_ledger.h
+++ b/packages/request/include/cw_ledger.h
@@ -15,12 +15,12 @@
 struct cw_bill {
 	TAILQ_ENTRY(cw_bill) link;
 	char *id;		   /* "organisation/request id" */
-	char *text;		   /* JSON object */
+	char *json;		   /* JSON object */
 	char *origin;		   /* "instance#boot" that ran the request; "" for own bills */
 	uint64_t read_back_offset; /* known end of the stream when the bill was made */
 	uint64_t append; /* ticket of the append in progress that contains the bill, 0 none */
 	int64_t created_ms;
-	int mirrored;		    /* a peer has confirmed its copy of the bill */
+	int is_mirrored;	    /* a peer has confirmed its copy of the bill */
 	uint64_t mirror_members[2]; /* ids of the members that the bill was sent to, 0 none */
 	int64_t origin_asked_ms; /* mirrored bills: when the origin was last asked about the bill */
 };
@@ -41,7 +41,7 @@
 			     const char *record); /* settles all bills of a record of the log */
 size_t cw_ledger_begin_append(
 	struct cw_ledger *ledger, uint64_t append_ticket, const char *origin, size_t max_bills,
-	char **record); /* marks up to max bills and builds their record; g_free(record) */
+	char **record); /* marks up to max_bills and builds their record; g_free(record) */
 void cw_ledger_fail_append(
 	struct cw_ledger *ledger,
 	uint64_t append_ticket); /* its bills may be appended again, after reading back */
--- a/packages/request/src/ledger.c
+++ b/packages/request/src/ledger.c
@@ -43,7 +43,7 @@
 		return bill;
 	bill = g_new0(struct cw_bill, 1);
 	bill->id = g_strdup(id);
-	bill->text = g_strdup(text);
+	bill->json = g_strdup(text);
 	bill->origin = g_strdup(origin);
 	bill->read_back_offset = read_back_offset;
 	bill->created_ms = now_ms;
@@ -103,7 +103,7 @@
 			break;
 		if (bill->append || strcmp(bill->origin, origin) != 0)
 			continue;
-		g_string_append_printf(text, "%s%s", count ? "," : "", bill->text);
+		g_string_append_printf(text, "%s%s", count ? "," : "", bill->json);
 		bill->append = append_ticket;
 		count++;
 	}
@@ -144,7 +144,7 @@
 void cw_bill_destroy(struct cw_bill *bill)
 {
 	g_free(bill->id);
-	g_free(bill->text);
+	g_free(bill->json);
 	g_free(bill->origin);
 	g_free(bill);
 }
