--- a/apps/corianderwalk/entry_feed.h
+++ b/apps/corianderwalk/entry_feed.h
@@ -29,13 +29,13 @@
 	GString *body;
 	unsigned int http_status;
 	int64_t call_began_ms;
-	int64_t last_answer_ms;	       /* when a valid answer came last, -1: never */
-	int64_t recovered_ms;	       /* when the store last answered again after failures */
-	unsigned int failures;	       /* in a row */
-	int is_complete;	       /* the state was read once, from the store or a peer */
-	int is_jitter_done;	       /* the one random wait for state from peers was used */
-	int is_down;		       /* the newest call failed */
-	int64_t last_warning_ms;       /* of the last log line on unreadable records */
+	int64_t last_answer_ms;	 /* when a valid answer came last, -1: never */
+	int64_t recovered_ms;	 /* when the store last answered again after failures */
+	unsigned int failures;	 /* in a row */
+	int is_complete;	 /* the state was read once, from the store or a peer */
+	int is_jitter_done;	 /* the startup jitter has passed, or this instance has none */
+	int is_down;		 /* the newest call failed */
+	int64_t last_warning_ms; /* of the last log line on unreadable records */
 	unsigned int unreadable_count; /* unreadable records since that line */
 	int is_rechecking; /* calls return at once until one succeeds: records may be missing */
 };
@@ -98,7 +98,8 @@
 /* entry_topic.c: reads one topic of the store */
 void topic_open(struct feed *feed, struct topic *topic, enum cw_up_topic which, const char *name);
 void topic_close(struct topic *topic);
-void topic_schedule(struct topic *topic, int64_t wait_ms); /* a call, if one is still due then */
+void topic_schedule(struct topic *topic,
+		    int64_t wait_ms);		/* a call after the wait, if one is still due */
 int topic_is_reader(const struct topic *topic); /* this instance reads the store for all others */
 uint64_t topic_next_offset(const struct topic *topic);
 void topic_reload(struct topic *topic);	     /* reads the newest records again */
--- a/apps/corianderwalk/entry_hear.c
+++ b/apps/corianderwalk/entry_hear.c
@@ -31,10 +31,10 @@
 }
 
 /*
- * Calls of the store are the largest cost of a large deployment: 66 instances that each read every
- * change make 7,300 calls a minute. So a few instances read and all forward the records; an
- * instance that finds a gap fetches the missing records, or the whole list, from the peer that
- * announced later ones.
+ * Calls of the store are the largest cost of a large deployment: with every instance reading every
+ * change itself, 7,300 calls a minute are made (noted with the number 66, without a unit). So a few
+ * instances read and all forward the records; an instance that finds a gap fetches the missing
+ * records, or the whole list, from the peer that announced later ones.
  */
 void feed_merge_announcement(struct feed *feed, const struct cw_gossip *gossip)
 {
--- a/apps/corianderwalk/entry_peers.c
+++ b/apps/corianderwalk/entry_peers.c
@@ -270,8 +270,9 @@
 	}
 	gossip->rollout_count = cw_rollouts_announce(cw_gate_rollouts(entry->gate), now_ms,
 						     gossip->rollouts, CW_GOSSIP_ROLLOUTS);
-	gossip->crash_count = cw_quarantine_announce_crashes(
-		cw_gate_quarantine(entry->gate), now_ms, gossip->ends, CW_QUARANTINE_CRASHES_MAX);
+	gossip->crash_count =
+		cw_quarantine_announce_crashes(cw_gate_quarantine(entry->gate), now_ms,
+					       gossip->crashes, CW_QUARANTINE_CRASHES_MAX);
 	gossip->quarantined_count =
 		cw_quarantine_announce_records(cw_gate_quarantine(entry->gate), now_ms,
 					       gossip->quarantined, CW_QUARANTINE_RECORDS_MAX);
@@ -343,7 +344,7 @@
 				 gossip->rollouts[i].target, gossip->rollouts[i].state,
 				 gossip->rollouts[i].is_written);
 	for (size_t i = 0; i < gossip->crash_count; i++)
-		cw_quarantine_merge_crash(cw_gate_quarantine(entry->gate), &gossip->ends[i],
+		cw_quarantine_merge_crash(cw_gate_quarantine(entry->gate), &gossip->crashes[i],
 					  now_ms);
 	for (size_t i = 0; i < gossip->quarantined_count; i++)
 		cw_quarantine_merge_record(cw_gate_quarantine(entry->gate), &gossip->quarantined[i],
--- a/apps/corianderwalk/entry_share.c
+++ b/apps/corianderwalk/entry_share.c
@@ -14,9 +14,9 @@
 
 #define PATH_CONFIG	    "/config"
 #define PATH_LIST	    "/servers"
-#define PATH_CHANGES	    "/changes/" /* followed by an offset: records of the list from there on */
-#define OFFSET_FIELD	    "X-Offset" /* next offset of the sender in the operator's topic */
-#define AGE_FIELD	    "X-Age-Ms" /* age of the encoded list */
+#define PATH_CHANGES	    "/changes/" /* then an offset: records of the list from there on */
+#define OFFSET_FIELD	    "X-Offset"	/* next offset of the sender in the operator's topic */
+#define AGE_FIELD	    "X-Age-Ms"	/* age of the encoded list */
 #define CONNECT_TIMEOUT_MS  150
 #define RESPONSE_TIMEOUT_MS 400 /* without a byte; then another peer or the store is asked */
 #define REUSE_IDLE_MS	    10000
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -11,7 +11,7 @@
 
 #include <string.h>
 
-#define POLL_WAIT_MS		 1200 /* long poll; a record it missed is known everywhere 0.5 s later */
+#define POLL_WAIT_MS		 1200 /* long poll; if it misses a record, all know the record 0.5 s later */
 #define POLL_STAGGER_MS		 300   /* by which the second reader's long poll is shorter */
 #define QUARANTINE_WAIT_MS	 20000 /* a reader's long poll; peers announce the records too */
 #define SERVERS_WAIT_MS		 700 /* a reader's long poll; its end proves that nothing is newer */
@@ -58,7 +58,7 @@
 	recheck(topic);
 }
 
-/* Continues after state from a peer as if the store had sent it: only later records are read. */
+/* State from a peer counts as if the store had sent it: only later records are read. */
 void topic_mark_synced(struct topic *topic)
 {
 	struct entry *entry = topic->feed->entry;
@@ -156,8 +156,8 @@
 }
 
 /*
- * The first instances by rank poll the store often; the others learn from their announcements that
- * there are new records. The readers are the same for every topic: when they are cut off from the
+ * The instances of the first ranks poll the store often; the others learn of new records from the
+ * announcements of these. The readers are the same for every topic: when they are cut off from the
  * store, the server list becomes stale, and that shows the fault for all topics. An instance that
  * has just started knows too few others to know its rank.
  */
@@ -184,7 +184,7 @@
 /*
  * After a failure the next call returns at once, to show whether the store has recovered. The waits
  * of the two readers differ: with equal waits, both polls ended just when a record was written,
- * both missed the record, and it was learned 3 s later.
+ * both missed the record, and the instances learned of the record 3 s later.
  */
 static int64_t poll_wait_ms(const struct topic *topic)
 {
@@ -217,8 +217,8 @@
 }
 
 /*
- * Whether other instances wait for this one's read of the snapshot: they do for the seeds, and by
- * rank for the readers and the instances that take over from them.
+ * Whether other instances wait for this one's read of the snapshot: they wait for the seeds, and by
+ * rank for the readers and the instances that take over from the readers.
  */
 static int is_awaited_reader(const struct topic *topic)
 {
@@ -340,7 +340,8 @@
 	handle_failure(topic, cw_flow_failure_name(failure));
 }
 
-/* Pages are not consistent: what changes meanwhile is read again from the first page's end. */
+/* Pages read one after another are no consistent snapshot: records that are appended meanwhile are
+ * read again, from the offset at which the first page was read. */
 static void apply_snapshot_page(struct topic *topic, struct cw_up_page *page)
 {
 	for (size_t i = 0; i < page->count; i++) {
@@ -356,7 +357,8 @@
 	finish_snapshot(topic);
 }
 
-/* The first readers send a long list to the others, which read on only if no peer sends it. */
+/* The instances that read first send a long list to the others. An instance that no other waits for
+ * reads the second page only if no peer sends the list during the startup jitter. */
 static void read_next_page(struct topic *topic, const char *after)
 {
 	int is_first_page = !*topic->after_key;
@@ -446,7 +448,8 @@
 	} else if (topic->topic == CW_UP_TOPIC_OPERATOR) {
 		restore_unseen_drains(topic);
 		topic_schedule(topic, CW_READERS_DISCOVERY_MS);
-		/* The status topic holds what became of orders: without an order it is not read. */
+		/* The status topic holds the outcomes of roll-outs: without a roll-out it is not
+		 * read. */
 		if (cw_rollouts_has_any(cw_gate_rollouts(entry->gate)) && !feed->status.is_complete)
 			send_call(&feed->status);
 	} else if (topic->topic == CW_UP_TOPIC_STATUS) {
@@ -458,7 +461,8 @@
 		relay_open_pending(entry);
 }
 
-/* A drain without a record was taken back, by a record that the store's history has dropped. */
+/* A drain that the snapshot does not contain was withdrawn, by a record that is no longer in the
+ * store's history: new requests are sent to the failure domain again. */
 static void restore_unseen_drains(struct topic *topic)
 {
 	struct cw_drains *drains = cw_pool_drains(cw_gate_pool(topic->feed->entry->gate));
--- a/packages/follow/include/cw_follow.h
+++ b/packages/follow/include/cw_follow.h
@@ -13,7 +13,7 @@
 
 #define CW_FOLLOW_CHANGES     24   /* newest records, kept for peers */
 #define CW_FOLLOW_ANNOUNCE_MS 1000 /* a record is announced for so long: seven gossip rounds */
-#define CW_FOLLOW_STALE_MS    1300 /* age at which others read the list; bound 2000 */
+#define CW_FOLLOW_STALE_MS    1300 /* age at which other ranks read the list too; bound 2000 */
 
 /* One record of the server list. */
 struct cw_change {
@@ -39,13 +39,13 @@
 
 struct cw_follow {
 	uint64_t self;			    /* unique number of this instance */
-	struct cw_follow_evidence evidence; /* of fresh_ms */
-	uint64_t answers;		    /* of the shared store to this instance */
-	struct cw_follow_evidence newest[CW_FOLLOW_READERS]; /* one per reader */
-	size_t newest_next;				     /* next slot to reuse */
-	uint64_t from;					     /* offset of the next record */
-	uint64_t read_from;				     /* of the own read in progress */
-	int64_t fresh_ms; /* when the list was last known to be current */
+	struct cw_follow_evidence evidence; /* on which fresh_ms rests */
+	uint64_t answer_count;		    /* of the shared store to this instance, so far */
+	struct cw_follow_evidence newest_evidence[CW_FOLLOW_READERS]; /* one per reader */
+	size_t next_evidence_slot;				      /* to reuse */
+	uint64_t from;	    /* offset of the next record */
+	uint64_t read_from; /* first offset of the own read in progress */
+	int64_t fresh_ms;   /* when the list was last known to be current */
 	size_t count;
 	struct cw_change changes[CW_FOLLOW_CHANGES]; /* consecutive; the last is from - 1 */
 	int64_t applied_ms[CW_FOLLOW_CHANGES];
--- a/packages/follow/include/cw_readers.h
+++ b/packages/follow/include/cw_readers.h
@@ -10,8 +10,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define CW_READERS		2    /* read for all; two, since one may lose the shared store */
-#define CW_READERS_STANDBY	10   /* ranks that take over at once, retry often; others rarely */
+#define CW_READERS		2  /* read for all; two, since one may lose the shared store */
+#define CW_READERS_STANDBY	10 /* ranks that take over soon and retry often; later ones rarely */
 #define CW_READERS_DISCOVERY_MS 1000 /* after a start, until gossip has named most others */
 
 /* Role of an instance that has just started. */
@@ -24,14 +24,14 @@
 /* First call to the shared store after a start. */
 struct cw_readers_first_call {
 	int64_t wait_ms; /* to the call, unless peers send the state before */
-	int is_early;	 /* no startup jitter follows; the others add it if they know peers */
+	int is_early;	 /* without startup jitter; the others add it if they know peers */
 };
 
 /* Circumstances of an instance that is due to read a topic for the first time. */
 struct cw_readers_view {
 	int is_awaited;	     /* other instances depend on this one's read */
 	int is_peer_sending; /* a peer sends the state, or soon will */
-	int is_jitter_done;  /* the startup jitter has passed */
+	int is_jitter_done;  /* the startup jitter has passed, or there is none */
 	int knows_peers;     /* at least one other instance */
 	int64_t running_ms;  /* since the start */
 };
--- a/packages/follow/src/follow.c
+++ b/packages/follow/src/follow.c
@@ -50,7 +50,7 @@
 {
 	follow->fresh_ms = now_ms;
 	follow->evidence.reader = follow->self;
-	follow->evidence.number = ++follow->answers;
+	follow->evidence.number = ++follow->answer_count;
 }
 
 size_t cw_follow_collect_changes(const struct cw_follow *follow, int64_t now_ms,
@@ -103,10 +103,10 @@
 	if (!evidence->number || evidence->reader == follow->self)
 		return 0;
 	for (size_t i = 0; i < CW_FOLLOW_READERS; i++)
-		if (follow->newest[i].reader == evidence->reader)
-			newest = &follow->newest[i];
+		if (follow->newest_evidence[i].reader == evidence->reader)
+			newest = &follow->newest_evidence[i];
 	if (!newest) {
-		newest = &follow->newest[follow->newest_next++ % CW_FOLLOW_READERS];
+		newest = &follow->newest_evidence[follow->next_evidence_slot++ % CW_FOLLOW_READERS];
 		*newest = (struct cw_follow_evidence){.reader = evidence->reader};
 	}
 	if (evidence->number <= newest->number)
--- a/packages/follow/src/readers.c
+++ b/packages/follow/src/readers.c
@@ -4,24 +4,24 @@
 #include <glib.h>
 #include <math.h>
 
-#define STANDBY_STEP_MS	      50 /* between standby ranks: a message in a failure domain takes less */
+#define STANDBY_STEP_MS	      50 /* between standby ranks: longer than a message in a failure domain */
 #define LATE_STEP_MS	      25  /* between two later ranks: at most 40 more calls per second */
 #define LATE_RANKS	      200 /* last of these ranks; then at most 10 calls per second */
 #define REMAINING_STEP_MS     100
 #define RETRY_MS	      150  /* after a lost answer */
 #define RETRY_MAX_MS	      1200 /* bounds the delay in detecting that the shared store is back */
-#define RETRY_OTHERS_MS	      5000 /* of later ranks: if all of the first ten fail, so do these */
+#define RETRY_OTHERS_MS	      5000 /* of later ranks: these fail too if all of the first ten fail */
 #define RETRY_BASE_RANKS      100  /* later ranks, up to a thousand, wait longer in proportion */
 #define PEER_ANSWER_MS	      30   /* a live peer's answer and its state take 20 ms; callers wait */
 #define EARLY_SPREAD_MS	      120  /* of early instances: one that starts alone is ready soon */
 #define EARLY_DIVISOR	      20   /* one instance in so many reads early */
 #define ALONE_WAIT_MS	      600 /* without a known peer by then: alone, or in a network partition */
 #define ALONE_SPREAD_MS	      400
-#define FIRST_START_WAIT_MS   500 /* the same at the system's first start, seconds before callers */
+#define FIRST_START_WAIT_MS   500 /* for ALONE_WAIT_MS at the first start, seconds before callers */
 #define FIRST_START_SPREAD_MS 1500
-#define PEER_STATE_TIMEOUT_MS 10000  /* after a start: peers may serve others first */
+#define PEER_STATE_TIMEOUT_MS 10000  /* after a start; peers may serve other instances first */
 #define JITTER_MAX_MS	      6000   /* longest startup jitter, for few instances */
-#define JITTER_INSTANCES      4096.0 /* one in so many skips the jitter */
+#define JITTER_INSTANCES      4096.0 /* one instance in so many draws no jitter */
 
 int cw_readers_is_reader(size_t rank)
 {
--- a/packages/gossip/include/cw_gossip.h
+++ b/packages/gossip/include/cw_gossip.h
@@ -24,7 +24,7 @@
 #define CW_GOSSIP_TRIMMED_SESSIONS 16 /* of a roll-out, in a trimmed message */
 #define CW_GOSSIP_REMOTE_FANOUT	   2  /* recipients in other domains per round, in a small domain */
 #define CW_GOSSIP_NO_AGE	   UINT32_MAX /* the sender has no server list, or leaves it out */
-#define CW_GOSSIP_SMALL_DOMAIN	   20	      /* instances; a larger domain sends no more */
+#define CW_GOSSIP_SMALL_DOMAIN	   20 /* instances; a larger domain sends as much as one so large */
 
 struct cw_gossip_member {
 	char instance[CW_NAME_MAX];
@@ -46,7 +46,7 @@
 	int is_leaving;
 	uint64_t config_version;
 	uint64_t operator_offset; /* the sender's read position in the operator's topic */
-	uint64_t servers_offset;  /* its position in the server list */
+	uint64_t servers_offset;  /* the sender's read position in the server list */
 	uint32_t servers_age_ms;  /* since the server list was known to be current */
 	struct cw_follow_evidence servers_evidence;
 	size_t change_count; /* all records from the first one's offset to servers_offset */
@@ -58,7 +58,7 @@
 	size_t rollout_count;
 	struct cw_rollout_announcement rollouts[CW_GOSSIP_ROLLOUTS];
 	size_t crash_count;
-	struct cw_quarantine_crash ends[CW_QUARANTINE_CRASHES_MAX];
+	struct cw_quarantine_crash crashes[CW_QUARANTINE_CRASHES_MAX];
 	size_t quarantined_count;
 	struct cw_quarantine_record quarantined[CW_QUARANTINE_RECORDS_MAX];
 	size_t drain_count;
@@ -92,7 +92,7 @@
 			size_t size); /* 0: it does not fit */
 enum cw_status cw_gossip_decode(const char *bytes, size_t size, struct cw_gossip *gossip);
 
-/* Recipients in other domains for one instance of own_domain instances; random: any number. */
+/* Recipients in other domains, for one of own_domain instances of a domain; random: any number. */
 size_t cw_gossip_remote_fanout(size_t own_domain, uint64_t random);
 
 #endif
--- a/packages/gossip/src/audience.c
+++ b/packages/gossip/src/audience.c
@@ -5,7 +5,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define OWN_FANOUT	  6 /* per round; a larger domain takes turns */
+#define OWN_FANOUT	  6 /* per round, in the own domain; more members are served in turn */
 #define NAMED_WHEN_STABLE 5
 #define GROWTH_WINDOW_MS  3000 /* after growth: other instances start too, and know few members */
 #define TRIMMED_FANOUT	  64   /* trimmed messages: two rounds reach a thousand instances */
@@ -13,7 +13,7 @@
 static void merge_member(struct cw_membership *membership, const struct cw_gossip_member *report,
 			 int64_t now_ms);
 
-/* In a large system some members get the full message in a round, some more the trimmed one. */
+/* In a large system only some members get the full message in a round; more get the trimmed one. */
 void cw_audience_choose(struct cw_audience *audience, const struct cw_membership *membership,
 			const char *own_domain, uint64_t random)
 {
@@ -28,7 +28,8 @@
 
 	for (size_t i = 0; i < count; i++)
 		own_size += !strcmp(members[i]->failure_domain, own_domain);
-	/* Not the bits that choose the sample: a part of the members would never get a message. */
+	/* Not the bits of the random number that begin the sample: with the same bits some members
+	 * would never get a message. */
 	other_left = cw_gossip_remote_fanout(own_size, random >> 32);
 	audience->members = members;
 	audience->full_count = 0;
--- a/packages/gossip/src/gossip.c
+++ b/packages/gossip/src/gossip.c
@@ -12,19 +12,20 @@
 static bool_t code_member(XDR *xdr, struct cw_gossip_member *member);
 static bool_t code_address(XDR *xdr, char *address);
 static bool_t code_load(XDR *xdr, struct cw_gossip_load *load);
-static bool_t code_rollout(XDR *xdr, struct cw_rollout_announcement *news);
+static bool_t code_rollout(XDR *xdr, struct cw_rollout_announcement *announcement);
 static bool_t code_crash(XDR *xdr, struct cw_quarantine_crash *end);
 static bool_t code_quarantined(XDR *xdr, struct cw_quarantine_record *record);
 static bool_t code_drain(XDR *xdr, struct cw_drain_order *order);
-static bool_t code_plan(XDR *xdr, struct cw_rollout_announcement *news);
+static bool_t code_plan(XDR *xdr, struct cw_rollout_announcement *announcement);
 static bool_t code_evidence(XDR *xdr, struct cw_rollout_evidence *evidence);
 static bool_t code_number(XDR *xdr, float *number);
 
 /*
  * Sixty instances that each sent the full message to all others filled links of 10 Mbit/s for half
  * a second: 2.5 kB to 65 peers every 150 ms. Sessions and loads take a tenth of that; reports of
- * server crashes took up to 4 kB more, just while servers crash. The offset is left out as well:
- * without the records before it, every recipient would see a gap and read the shared store.
+ * server crashes took up to 4 kB more, just while servers crash. A trimmed message therefore keeps
+ * neither members, records nor crashes. The list's offset is left out as well: without the records
+ * before it, every recipient would see a gap and read the shared store.
  */
 void cw_gossip_trim(struct cw_gossip *gossip)
 {
@@ -116,7 +117,7 @@
 	if (!gossip_code_count(xdr, &gossip->crash_count, CW_QUARANTINE_CRASHES_MAX))
 		return FALSE;
 	for (size_t i = 0; i < gossip->crash_count; i++)
-		if (!code_crash(xdr, &gossip->ends[i]))
+		if (!code_crash(xdr, &gossip->crashes[i]))
 			return FALSE;
 	if (!gossip_code_count(xdr, &gossip->quarantined_count, CW_QUARANTINE_RECORDS_MAX))
 		return FALSE;
@@ -211,45 +212,51 @@
 	       xdr_u_int(xdr, &load->work_ms);
 }
 
-static bool_t code_rollout(XDR *xdr, struct cw_rollout_announcement *news)
+static bool_t code_rollout(XDR *xdr, struct cw_rollout_announcement *announcement)
 {
-	int state = news->state;
-
-	if (!gossip_code_text(xdr, news->service, CW_NAME_MAX) ||
-	    !gossip_code_text(xdr, news->target, CW_NAME_MAX) ||
-	    !xdr_uint64_t(xdr, &news->offset) || !gossip_code_int64(xdr, &news->elapsed_ms) ||
-	    !gossip_code_int64(xdr, &news->duration_ms) || !xdr_int(xdr, &state) ||
-	    !xdr_int(xdr, &news->is_written) || !xdr_uint64_t(xdr, &news->sent) ||
-	    !xdr_uint64_t(xdr, &news->sent_target) || !code_plan(xdr, news))
+	int state = announcement->state;
+
+	if (!gossip_code_text(xdr, announcement->service, CW_NAME_MAX) ||
+	    !gossip_code_text(xdr, announcement->target, CW_NAME_MAX) ||
+	    !xdr_uint64_t(xdr, &announcement->offset) ||
+	    !gossip_code_int64(xdr, &announcement->elapsed_ms) ||
+	    !gossip_code_int64(xdr, &announcement->duration_ms) || !xdr_int(xdr, &state) ||
+	    !xdr_int(xdr, &announcement->is_written) || !xdr_uint64_t(xdr, &announcement->sent) ||
+	    !xdr_uint64_t(xdr, &announcement->sent_target) || !code_plan(xdr, announcement))
 		return FALSE;
 	if (state < CW_ROLLOUT_RUNNING || state > CW_ROLLOUT_ROLLED_BACK)
 		return FALSE;
-	news->state = (enum cw_rollout_state)state;
-	if (!gossip_code_count(xdr, &news->kind_count, CW_ROLLOUT_MAX_KINDS))
+	announcement->state = (enum cw_rollout_state)state;
+	if (!gossip_code_count(xdr, &announcement->kind_count, CW_ROLLOUT_MAX_KINDS))
 		return FALSE;
-	for (size_t i = 0; i < news->kind_count; i++)
-		if (!code_evidence(xdr, &news->kinds[i]))
+	for (size_t i = 0; i < announcement->kind_count; i++)
+		if (!code_evidence(xdr, &announcement->kinds[i]))
 			return FALSE;
-	if (!gossip_code_count(xdr, &news->session_count, CW_ROLLOUT_MAX_SESSIONS))
+	if (!gossip_code_count(xdr, &announcement->session_count, CW_ROLLOUT_MAX_SESSIONS))
 		return FALSE;
-	for (size_t i = 0; i < news->session_count; i++)
-		if (!xdr_uint64_t(xdr, &news->sessions[i].session) ||
-		    !xdr_u_int(xdr, &news->sessions[i].age_ms))
+	for (size_t i = 0; i < announcement->session_count; i++)
+		if (!xdr_uint64_t(xdr, &announcement->sessions[i].session) ||
+		    !xdr_u_int(xdr, &announcement->sessions[i].age_ms))
 			return FALSE;
 	return TRUE;
 }
 
-/* A step in force before its order would move sessions at once: no instance announces that. */
-static bool_t code_plan(XDR *xdr, struct cw_rollout_announcement *news)
+/*
+ * Rejects steps with a negative time: a step in force before its order would move sessions at once.
+ * No instance announces such a step.
+ */
+static bool_t code_plan(XDR *xdr, struct cw_rollout_announcement *announcement)
 {
 	for (size_t i = 0; i < CW_ROLLOUT_STEP_COUNT; i++)
-		if (!gossip_code_int64(xdr, &news->effective_ms[i]) || news->effective_ms[i] < 0)
+		if (!gossip_code_int64(xdr, &announcement->effective_ms[i]) ||
+		    announcement->effective_ms[i] < 0)
 			return FALSE;
-	if (!code_number(xdr, &news->trial_share) || !xdr_u_int(xdr, &news->counted_ms) ||
-	    !gossip_code_count(xdr, &news->route_count, CW_ROLLOUT_MAX_ROUTES))
+	if (!code_number(xdr, &announcement->trial_share) ||
+	    !xdr_u_int(xdr, &announcement->counted_ms) ||
+	    !gossip_code_count(xdr, &announcement->route_count, CW_ROLLOUT_MAX_ROUTES))
 		return FALSE;
-	for (size_t i = 0; i < news->route_count; i++) {
-		struct cw_rollout_route *route = &news->routes[i];
+	for (size_t i = 0; i < announcement->route_count; i++) {
+		struct cw_rollout_route *route = &announcement->routes[i];
 
 		if (!xdr_uint64_t(xdr, &route->route) || !xdr_u_int(xdr, &route->arrivals) ||
 		    !xdr_u_int(xdr, &route->long_running) ||
