--- a/apps/corianderwalk/entry_hear.c
+++ b/apps/corianderwalk/entry_hear.c
@@ -88,7 +88,8 @@
 
 /*
  * A peer in the same failure domain sends state without traffic between domains. Peers of other
- * domains are asked only when the lag has lasted REMOTE_FETCH_DELAY_MS.
+ * domains are asked only when the lag has lasted REMOTE_FETCH_DELAY_MS: by then a peer of the own
+ * domain may have received the state.
  */
 static int should_fetch_from(struct feed *feed, struct lag *lag, uint64_t next_offset,
 			     const struct cw_gossip *gossip, int64_t now_ms)
--- a/packages/gossip/src/audience.c
+++ b/packages/gossip/src/audience.c
@@ -5,7 +5,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define OWN_FANOUT	  6 /* per round, in the own domain; more members are served in turn */
+#define OWN_FANOUT	  6 /* per round, in the own domain; a larger one gets others each round */
 #define NAMED_WHEN_STABLE 5
 #define GROWTH_WINDOW_MS  3000 /* after growth: other instances start too, and know few members */
 #define TRIMMED_FANOUT	  64   /* trimmed messages: two rounds reach a thousand instances */
--- a/packages/node/src/node_rollout.c
+++ b/packages/node/src/node_rollout.c
@@ -12,7 +12,7 @@
 #define LEASE_MARGIN_DIVISOR	4    /* of the lease term: no order is sent in its last quarter */
 #define ORDER_TIMEOUT_MS	2000 /* for sending an order and waiting for its result */
 #define CLAIMANT_ROTATION_MS	30000
-#define INITIAL_REPORTS_MS	2000 /* after the start, for the load reports of the engines */
+#define INITIAL_REPORTS_MS	2000 /* after the start, before a version counts as loaded nowhere */
 
 static int lease_is_own(const struct cw_node *node);
 static int lease_is_free(const struct cw_node *node);
