--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -157,7 +157,7 @@
 
 /*
  * The instances of the first ranks poll the store often; the others learn of new records from the
- * announcements of these. The readers are the same for every topic: when they are cut off from the
+ * announcements of these. The readers are the same for every topic: when they can't reach the
  * store, the server list becomes stale, and that shows the fault for all topics. An instance that
  * has just started knows too few others to know its rank.
  */
--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -297,7 +297,8 @@
 }
 
 /*
- * Symptom this prevents: all instances send to one server that has room for few requests. An
+ * Whether the own rank is known: settle_ms have passed without significant growth. Symptom this
+ * prevents: all instances send to one server that has room for few requests. An
  * instance that has just started, or that started behind a network partition that has since healed,
  * knows few others and would rank itself among the first for every key.
  */
--- a/packages/node/include/cw_node.h
+++ b/packages/node/include/cw_node.h
@@ -89,7 +89,7 @@
 	unsigned int attempt;
 	enum cw_attempt_result result;
 	int http_status;
-	int is_cut; /* the server closed the connection; neither a time limit nor the caller did */
+	int is_closed_by_server; /* neither a time limit nor the caller ended the connection */
 	unsigned int prompt_tokens;
 	unsigned int completion_tokens;
 	unsigned int shown; /* chunks sent to the caller, of all attempts */
--- a/packages/request/include/cw_answer.h
+++ b/packages/request/include/cw_answer.h
@@ -24,7 +24,7 @@
 void cw_answer_destroy(struct cw_answer *answer);
 void cw_answer_begin_attempt(
 	struct cw_answer *answer,
-	int resumed); /* a new attempt; the chunk sequence continues if resumed, else restarts */
+	int is_resumed); /* a new attempt; the chunk sequence continues if resumed, else restarts */
 enum cw_answer_state cw_answer_feed(struct cw_answer *answer, const char *data, size_t size,
 				    void (*forward)(void *context, const char *event, size_t size),
 				    void *context);
--- a/packages/request/src/answer.c
+++ b/packages/request/src/answer.c
@@ -50,13 +50,13 @@
 	g_free(answer);
 }
 
-void cw_answer_begin_attempt(struct cw_answer *answer, int resumed)
+void cw_answer_begin_attempt(struct cw_answer *answer, int is_resumed)
 {
 	g_string_truncate(answer->pending, 0);
 	answer->tokens_before_resume =
-		resumed ? answer->tokens_before_resume + answer->attempt_tokens : 0;
+		is_resumed ? answer->tokens_before_resume + answer->attempt_tokens : 0;
 	answer->attempt_tokens = 0;
-	if (!resumed)
+	if (!is_resumed)
 		answer->last_sequence = -1;
 }
 
--- a/tests/unit/test_answer.c
+++ b/tests/unit/test_answer.c
@@ -81,7 +81,7 @@
 }
 
 /*
- * Guards against a missing second word of an answer: some engines number chunks from 0, others not
+ * Guards against an answer without its second chunk: some engines number chunks from 0, others not
  * at all. Sequence number 0 was read as "not numbered", so the next chunk, 1, looked like a repeat.
  */
 static void chunks_may_be_numbered_from_0_or_1_or_not_at_all(void **state)
--- a/tests/unit/test_limits.c
+++ b/tests/unit/test_limits.c
@@ -14,8 +14,8 @@
 				 .concurrent = concurrent};
 }
 
-static int admitted(struct cw_limits *limits, const struct cw_limit *limit, int attempts,
-		    int64_t now_ms)
+static int count_admitted(struct cw_limits *limits, const struct cw_limit *limit, int attempts,
+			  int64_t now_ms)
 {
 	int64_t retry_ms;
 	int count = 0;
@@ -35,7 +35,7 @@
 			struct cw_limits *limits = cw_limits_create();
 
 			cw_limits_divide(limits, INSTANCES, rank);
-			sum += admitted(limits, &limit, 50, 1000);
+			sum += count_admitted(limits, &limit, 50, 1000);
 			cw_limits_destroy(limits);
 		}
 		assert_int_equal(sum, slots);
@@ -54,8 +54,8 @@
 		cw_limits_divide(borrower, 2, 1);
 		granted = cw_limits_lend(lender, &limit, 9, wanted, 1000);
 		cw_limits_add_loan(borrower, 1, 8, granted, 1000);
-		assert_true(admitted(lender, &limit, 20, 1000) +
-				    admitted(borrower, &limit, 20, 1000) <=
+		assert_true(count_admitted(lender, &limit, 20, 1000) +
+				    count_admitted(borrower, &limit, 20, 1000) <=
 			    10);
 		cw_limits_destroy(lender);
 		cw_limits_destroy(borrower);
@@ -96,10 +96,10 @@
 	int64_t retry_ms = 0;
 
 	cw_limits_divide(limits, 1, 0);
-	assert_int_equal(admitted(limits, &limit, 30, 1000), 10);
+	assert_int_equal(count_admitted(limits, &limit, 30, 1000), 10);
 	assert_int_equal(cw_limits_admit(limits, &limit, 0, 1000, &retry_ms), CW_FULL);
 	assert_int_equal(retry_ms, 100);
-	assert_int_equal(admitted(limits, &limit, 30, 1500), 5);
+	assert_int_equal(count_admitted(limits, &limit, 30, 1500), 5);
 	cw_limits_destroy(limits);
 }
 
@@ -110,7 +110,7 @@
 
 	cw_limits_divide(limits, 0, 0);
 	assert_int_equal(cw_limits_share(limits, 1, 1000), 0);
-	assert_int_equal(admitted(limits, &limit, 30, 1000), 0);
+	assert_int_equal(count_admitted(limits, &limit, 30, 1000), 0);
 	cw_limits_destroy(limits);
 }
 
