--- a/packages/membership/src/membership.c
+++ b/packages/membership/src/membership.c
@@ -298,9 +298,9 @@
 
 /*
  * Whether the own rank is known: settle_ms have passed without significant growth. Symptom this
- * prevents: all instances send to one server that has room for few requests. An
- * instance that has just started, or that started behind a network partition that has since healed,
- * knows few others and would rank itself among the first for every key.
+ * prevents: all instances send to one server that has room for few requests. An instance that has
+ * just started, or that started behind a network partition that has since healed, knows few others
+ * and would rank itself among the first for every key.
  */
 static int is_settled(const struct cw_membership *membership, int64_t now_ms)
 {
