--- a/packages/node/include/cw_node.h
+++ b/packages/node/include/cw_node.h
@@ -78,7 +78,7 @@
 	CW_ATTEMPT_ANSWERED,	 /* complete and well-formed answer */
 	CW_ATTEMPT_CLIENT_ERROR, /* 4xx but 408 and 429: forwarded to the caller, not billed */
 	CW_ATTEMPT_NOT_SENT,	 /* no byte reached the server */
-	CW_ATTEMPT_BUSY,	 /* 429 or 503 before anything ran */
+	CW_ATTEMPT_BUSY,	 /* 429, so that nothing ran, or 503 */
 	CW_ATTEMPT_FAILED,	 /* 5xx or 408, malformed or too long answer */
 	CW_ATTEMPT_INTERRUPTED,	 /* connection lost, answer stalled or timed out */
 	CW_ATTEMPT_CANCELLED,	 /* the caller disconnected */
