--- a/apps/corianderwalk/entry_quarantine.c
+++ b/apps/corianderwalk/entry_quarantine.c
@@ -1,5 +1,5 @@
 /*
- * Connects the quarantine with the rest of the instance: passes the time, logs changes, aborts
+ * Connects the quarantine with the rest of the instance: advances its clock, logs changes, aborts
  * requests in progress that were quarantined, and writes records to the shared store, where they
  * outlive all instances. Instances try to write one after another, by rank; the others learn from
  * the first one's announcement that the record was written.
