--- a/packages/follow/src/readers.c
+++ b/packages/follow/src/readers.c
@@ -4,7 +4,7 @@
 #include <glib.h>
 #include <math.h>
 
-#define STANDBY_STEP_MS	      50 /* between standby ranks: longer than a message in a failure domain */
+#define STANDBY_STEP_MS	      50 /* between standby ranks; a message in a failure domain takes less */
 #define LATE_STEP_MS	      25  /* between two later ranks: at most 40 more calls per second */
 #define LATE_RANKS	      200 /* last of these ranks; then at most 10 calls per second */
 #define REMAINING_STEP_MS     100
