--- a/apps/corianderwalk/job_attempt.c
+++ b/apps/corianderwalk/job_attempt.c
@@ -156,7 +156,7 @@
 	message->attempt.attempt = effect->dispatch.attempt;
 	message->attempt.result = job->result;
 	message->attempt.http_status = answer->status;
-	message->attempt.is_cut = answer->is_cut;
+	message->attempt.is_closed_by_server = answer->is_cut;
 	message->attempt.prompt_tokens = prompt;
 	message->attempt.completion_tokens = completion;
 	message->attempt.shown = cw_answer_forwarded_chunks(job->answer);
@@ -226,7 +226,7 @@
 	return status >= 500 || status == 408 ? CW_ATTEMPT_FAILED : CW_ATTEMPT_CLIENT_ERROR;
 }
 
-/* The caller's body with the dispatched model; a continuation adds the text already shown. */
+/* The caller's body with the dispatched model; a continuation adds the text already forwarded. */
 static char *build_engine_body(struct job *job, const struct cw_effect *effect)
 {
 	char *target = g_strdup_printf("%s/%s", effect->dispatch.model, effect->dispatch.version);
@@ -281,7 +281,7 @@
 
 /*
  * Answers may arrive late or swapped on a keep-alive connection. An answer with another request's
- * id must not be shown: it belongs to another caller.
+ * id must not be forwarded: it belongs to another caller.
  */
 static int on_head(void *context, int status, const char *request_id, const char *content_type)
 {
--- a/packages/node/src/node_rollout.c
+++ b/packages/node/src/node_rollout.c
@@ -12,7 +12,7 @@
 #define LEASE_MARGIN_DIVISOR	4    /* of the lease term: no order is sent in its last quarter */
 #define ORDER_TIMEOUT_MS	2000 /* for sending an order and waiting for its result */
 #define CLAIMANT_ROTATION_MS	30000
-#define INITIAL_REPORTS_MS	2000 /* after the start, for the load reports of the engines */
+#define INITIAL_REPORTS_MS	2000 /* after the start, before a version counts as loaded nowhere */
 
 static int lease_is_own(const struct cw_node *node);
 static int lease_is_free(const struct cw_node *node);
@@ -29,7 +29,7 @@
 	if (node->now_ms < node->lease_check_due_ms)
 		return;
 	node->lease_check_due_ms = node->now_ms + LEASE_CHECK_INTERVAL_MS;
-	if (node->stopping || node->order_ticket ||
+	if (node->is_stopping || node->order_ticket ||
 	    node->now_ms - node->started_ms < INITIAL_REPORTS_MS)
 		return;
 	row = find_missing_version(node);
@@ -223,7 +223,7 @@
 	struct json_object *value;
 	uint64_t version;
 
-	if (!node->config.health->pooled || !node->log_readers[CW_STREAM_NOTICES].caught_up ||
+	if (!node->config.health->pooled || !node->log_readers[CW_STREAM_NOTICES].is_caught_up ||
 	    !json_object_object_get_ex(trip, "version_id", &value))
 		return;
 	version = g_ascii_strtoull(json_object_get_string(value), NULL, 16);
