--- a/apps/corianderwalk/duties.c
+++ b/apps/corianderwalk/duties.c
@@ -301,7 +301,7 @@
 
 	if (cw_rating_http.rate(daemon->settings->platform, &request, &score, NULL) != CW_OK)
 		score = -1;
-	message->event.rated.handle = effect->rate.checked ? effect->handle : 0;
+	message->event.rated.handle = effect->rate.is_awaited ? effect->handle : 0;
 	message->event.rated.task = effect->rate.task;
 	message->event.rated.common = effect->rate.common;
 	message->event.rated.version = effect->rate.version_id;
--- a/packages/http/src/client.c
+++ b/packages/http/src/client.c
@@ -43,7 +43,7 @@
 static int report_head(struct transfer *transfer);
 static enum cw_status classify_result(const struct transfer *transfer, CURLcode code,
 				      struct cw_error *error);
-static int is_cut(CURLcode code);
+static int is_closed_by_peer(CURLcode code);
 
 const struct cw_http_transport cw_http_pooled = {"pooled", pooled_perform};
 
@@ -101,7 +101,7 @@
 	answer->status = (int)http_status;
 	answer->total_ms = (double)(g_get_monotonic_time() - transfer.start_us) / 1000;
 	status = classify_result(&transfer, code, error);
-	answer->is_cut = status == CW_UNKNOWN && is_cut(code);
+	answer->is_closed_by_peer = status == CW_UNKNOWN && is_closed_by_peer(code);
 	if (transfer.body) {
 		answer->size = transfer.body->len;
 		answer->body = g_string_free(transfer.body, FALSE);
@@ -289,7 +289,7 @@
 }
 
 /* CURLE_COULDNT_CONNECT: libcurl reconnects after a reused connection broke, and may be refused. */
-static int is_cut(CURLcode code)
+static int is_closed_by_peer(CURLcode code)
 {
 	return code == CURLE_GOT_NOTHING || code == CURLE_RECV_ERROR || code == CURLE_SEND_ERROR ||
 	       code == CURLE_PARTIAL_FILE || code == CURLE_COULDNT_CONNECT;
--- a/packages/node/include/cw_node.h
+++ b/packages/node/include/cw_node.h
@@ -267,7 +267,7 @@
 			uint64_t common; /* hash of the task alone, shared by all organisations */
 			uint64_t version_id;
 			unsigned int tokens;
-			int checked; /* the request waits for the rating */
+			int is_awaited; /* the request waits for the rating */
 			char *answer;
 		} rate;
 		struct {
--- a/packages/node/src/node_request.c
+++ b/packages/node/src/node_request.c
@@ -194,7 +194,7 @@
 	va_list args;
 
 	effect->reject.code = code;
-	effect->reject.run = request->may_have_run ? CW_RUN_UNKNOWN : CW_RUN_NOT;
+	effect->reject.run = request->may_have_run ? CW_RUN_UNKNOWN : CW_RUN_NOT_EXECUTED;
 	effect->reject.retry_after_ms = retry_after_ms;
 	va_start(args, format);
 	g_vsnprintf(effect->reject.message, CW_MESSAGE_MAX, format, args);
--- a/packages/node/src/request_attempt.c
+++ b/packages/node/src/request_attempt.c
@@ -21,7 +21,7 @@
 static void choose_other_version(struct cw_node *node, struct request *request,
 				 const struct cw_attempt_end *end);
 static void start_rating(struct cw_node *node, struct request *request, const char *answer,
-			 int checked);
+			 int is_awaited);
 
 void request_handle_attempt_end(struct cw_node *node, const struct cw_attempt_end *end)
 {
@@ -265,7 +265,7 @@
 	}
 	cw_cascade_add_cost(node->cascade, task, cw_cascade_task_key("", request->in.task),
 			    request->version_id, end->prompt_tokens + end->completion_tokens);
-	if (request->has_plan && request->plan.check && !request->is_escalated) {
+	if (request->has_plan && request->plan.is_checked && !request->is_escalated) {
 		request->state = REQUEST_RATING;
 		request->wait_until_ms =
 			MIN(node->now_ms + RATING_TIMEOUT_MS, request->deadline_ms);
@@ -352,7 +352,7 @@
 }
 
 static void start_rating(struct cw_node *node, struct request *request, const char *answer,
-			 int checked)
+			 int is_awaited)
 {
 	const struct attempt *last = &request->attempts[request->attempt_count - 1];
 	struct cw_effect *effect = node_add_effect(node, CW_EFFECT_RATE, request->in.handle);
@@ -366,7 +366,7 @@
 	effect->rate.common = cw_cascade_task_key("", request->in.task);
 	effect->rate.version_id = request->version_id;
 	effect->rate.tokens = last->prompt_tokens + last->completion_tokens;
-	effect->rate.checked = checked;
+	effect->rate.is_awaited = is_awaited;
 	effect->rate.answer = g_strdup(answer ? answer : "");
 }
 
--- a/tests/fake/world.c
+++ b/tests/fake/world.c
@@ -430,7 +430,7 @@
 	struct world_request *request =
 		g_hash_table_lookup(world->requests_by_handle, &effect->handle);
 
-	event->ticket = effect->rate.checked ? effect->handle : 0;
+	event->ticket = effect->rate.is_awaited ? effect->handle : 0;
 	event->task = effect->rate.task;
 	event->common = effect->rate.common;
 	event->version = effect->rate.version_id;
