--- a/apps/corianderwalk/duties.c
+++ b/apps/corianderwalk/duties.c
@@ -364,7 +364,7 @@
 		g_strlcpy(listed->failure_domain, members[i].failure_domain, CW_NAME_MAX);
 		g_strlcpy(listed->service, members[i].service, CW_NAME_MAX);
 		listed->is_instance = members[i].is_instance;
-		listed->is_leaving = members[i].leaving;
+		listed->is_leaving = members[i].is_leaving;
 		listed->checks_fencing = members[i].checks_fencing;
 	}
 	g_free(members);
--- a/apps/corianderwalk/entry_news.c
+++ b/apps/corianderwalk/entry_news.c
@@ -126,7 +126,7 @@
 			 "software=%s leaving=%d cold_ms=%ld",
 			 entry->name, (long)entry->process_start_ms, listing_names[listing],
 			 entry->service, entry->address, entry->failure_domain, entry->software,
-			 entry->leaving, (long)entry->cold_ms);
+			 entry->is_leaving, (long)entry->cold_ms);
 }
 
 /*
--- a/packages/gossip/src/gossip.c
+++ b/packages/gossip/src/gossip.c
@@ -202,7 +202,7 @@
 	       gossip_code_text(xdr, entry->address, CW_ADDRESS_MAX) &&
 	       gossip_code_text(xdr, entry->failure_domain, CW_NAME_MAX) &&
 	       gossip_code_text(xdr, entry->software, CW_NAME_MAX) &&
-	       xdr_u_int(xdr, &entry->slots) && xdr_int(xdr, &entry->leaving) &&
+	       xdr_u_int(xdr, &entry->slots) && xdr_int(xdr, &entry->is_leaving) &&
 	       gossip_code_int64(xdr, &entry->cold_ms) && entry->cold_ms >= 0;
 }
 
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -282,7 +282,7 @@
 				    known->failure_domain, known->checks_fencing);
 
 		if (server)
-			server->configured = 1;
+			server->is_configured = 1;
 	}
 	cw_pool_select_tracked(node->pool, node->id, node->failure_domain);
 }
@@ -315,11 +315,11 @@
 
 	if (!server)
 		return;
-	if (server->leaving != listed->is_leaving)
+	if (server->is_leaving != listed->is_leaving)
 		node_log_event(node, "membership",
 			       listed->is_leaving ? "server_leaving" : "server_live", "server=%s",
 			       listed->name);
-	server->leaving = listed->is_leaving;
+	server->is_leaving = listed->is_leaving;
 	server->listed_ms = node->now_ms;
 }
 
@@ -386,7 +386,7 @@
 	while (server) {
 		struct cw_server *next = TAILQ_NEXT(server, link);
 
-		if (!server->configured && server->own_running == 0 && server->listed_ms >= 0 &&
+		if (!server->is_configured && server->own_running == 0 && server->listed_ms >= 0 &&
 		    node->now_ms - server->listed_ms > MEMBER_RETENTION_MS)
 			cw_pool_remove(node->pool, server);
 		server = next;
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -65,7 +65,7 @@
 					  attempt_run_ms(node, request), node->now_ms);
 		break;
 	case CW_ATTEMPT_INTERRUPTED:
-		if (!end->is_closed_by_server || server->leaving || server->is_removed) {
+		if (!end->is_closed_by_server || server->is_leaving || server->is_removed) {
 			quarantine_note_incomplete(node, request, server);
 			break;
 		}
--- a/packages/node/src/node_rollout.c
+++ b/packages/node/src/node_rollout.c
@@ -161,7 +161,7 @@
 		TAILQ_FOREACH(server, cw_pool_servers(node->pool), link) {
 			if (strcmp(server->service, "llm") != 0 ||
 			    strcmp(server->failure_domain, node->failure_domain) != 0 ||
-			    server->leaving)
+			    server->is_leaving)
 				continue;
 			/* Only engines that have reported their versions count. */
 			engines += server->versions_known;
--- a/packages/platform/include/cw_platform.h
+++ b/packages/platform/include/cw_platform.h
@@ -30,7 +30,7 @@
 	char peer_address[CW_ADDRESS_MAX];
 	char failure_domain[CW_NAME_MAX];
 	char service[CW_NAME_MAX];
-	int leaving;
+	int is_leaving;
 	int checks_fencing;
 };
 
--- a/packages/platform/src/platform_http.c
+++ b/packages/platform/src/platform_http.c
@@ -215,7 +215,7 @@
 	copy_string(source, "failure_domain", member->failure_domain, CW_NAME_MAX);
 	copy_string(source, "service", member->service, CW_NAME_MAX);
 	member->is_instance = !strcmp(kind, "instance");
-	member->leaving = !strcmp(state, "leaving");
+	member->is_leaving = !strcmp(state, "leaving");
 	member->checks_fencing = json_object_object_get_ex(source, "checks_fencing", &value) &&
 				 json_object_get_boolean(value);
 	return *member->name && (member->is_instance || !strcmp(kind, "backend_server"));
--- a/packages/pool/include/cw_pool.h
+++ b/packages/pool/include/cw_pool.h
@@ -37,7 +37,7 @@
 	char failure_domain[CW_NAME_MAX];
 	char software[CW_NAME_MAX]; /* version of the server's software */
 	unsigned int slots;
-	int leaving;
+	int is_leaving;
 	int64_t cold_ms; /* remaining warm-up time, counted from when the entry was written */
 };
 
@@ -75,8 +75,8 @@
 	char region[CW_NAME_MAX]; /* region of the failure domain; empty: unknown */
 	uint64_t id;		  /* hash of name and process_start_ms */
 	int checks_fencing;
-	int configured;
-	int leaving;
+	int is_configured;
+	int is_leaving;
 	int is_drained; /* the failure domain is drained: no new requests */
 	struct cw_warmup warmup;
 	int is_removed;		    /* no longer listed: freed once its last request ends */
--- a/packages/pool/src/pool.c
+++ b/packages/pool/src/pool.c
@@ -147,7 +147,7 @@
 		listing = CW_LISTING_RESTARTED;
 	} else if (!server) {
 		listing = CW_LISTING_NEW;
-	} else if (server->leaving != entry->leaving || server->is_removed ||
+	} else if (server->is_leaving != entry->is_leaving || server->is_removed ||
 		   cw_warmup_is_cold(&server->warmup, now_ms) != (entry->cold_ms > 0)) {
 		listing = CW_LISTING_CHANGED;
 	}
@@ -162,7 +162,7 @@
 	record_software(pool, entry, now_ms);
 	if (server->sampled_ms < 0)
 		server->slots = entry->slots;
-	server->leaving = entry->leaving;
+	server->is_leaving = entry->is_leaving;
 	server->is_removed = 0;
 	set_removed_ms(server, 0);
 	server->listed_ms = now_ms;
@@ -179,7 +179,7 @@
 	g_strlcpy(entry->failure_domain, server->failure_domain, CW_NAME_MAX);
 	g_strlcpy(entry->software, server->software, CW_NAME_MAX);
 	entry->slots = server->slots;
-	entry->leaving = server->leaving;
+	entry->is_leaving = server->is_leaving;
 	entry->cold_ms = MAX(server->warmup.cold_until_ms - now_ms, 0);
 }
 
@@ -192,7 +192,7 @@
 	if (until_ms <= now_ms)
 		server->is_removed = 1;
 	if (server->is_removed)
-		server->leaving = 1;
+		server->is_leaving = 1;
 }
 
 void cw_pool_delist_unlisted(struct cw_pool *pool, int64_t since_ms, int64_t until_ms,
@@ -233,7 +233,7 @@
 
 		if (server->removed_ms && now_ms >= server->removed_ms) {
 			server->is_removed = 1;
-			server->leaving = 1;
+			server->is_leaving = 1;
 			if (server->own_running == 0)
 				cw_pool_remove(pool, server);
 		}
@@ -431,7 +431,7 @@
 
 int cw_pool_is_usable(const struct cw_server *server, int64_t now_ms)
 {
-	if (server->leaving || server->is_unreachable || server->is_suspect)
+	if (server->is_leaving || server->is_unreachable || server->is_suspect)
 		return 0;
 	if (!server->breaker_open_until_ms)
 		return 1;
@@ -551,7 +551,7 @@
 static void retire_start(struct cw_pool *pool, struct cw_server *server, int64_t now_ms)
 {
 	server->is_superseded = 1;
-	server->leaving = 1;
+	server->is_leaving = 1;
 	server->is_removed = 1;
 	set_removed_ms(server, MAX(now_ms, 1));
 	g_hash_table_remove(pool->by_name, server->name);
--- a/tests/fuzz/users_input.c
+++ b/tests/fuzz/users_input.c
@@ -265,7 +265,7 @@
 	int choice = next_byte(harness);
 	struct cw_server_entry entry = {
 		.slots = 4,
-		.leaving = choice / SERVERS % 4 == 3,
+		.is_leaving = choice / SERVERS % 4 == 3,
 		.process_start_ms = 1 + choice / 16 % 4,
 	};
 
@@ -378,7 +378,7 @@
 	case CW_STEP_SEND:
 		call_state->sends++;
 		call_state->is_head_forwarded = 0;
-		check(!step->server->leaving, "a leaving server got a request");
+		check(!step->server->is_leaving, "a leaving server got a request");
 		check(!step->server->is_superseded,
 		      "a superseded incarnation of a server got a request");
 		check(call_state->route->retry_policy != CW_RETRY_NEVER ||
--- a/tests/unit/test_gate.c
+++ b/tests/unit/test_gate.c
@@ -182,12 +182,12 @@
 
 	fixture_open(&fixture);
 	server = cw_pool_find_name(cw_gate_pool(fixture.gate), "s1");
-	server->leaving = 1;
+	server->is_leaving = 1;
 	for (int i = 0; i < 20; i++) {
 		fixture_open_call(&fixture, "/read/x");
 		assert_string_equal(fixture.step.server->name, "s2");
 	}
-	cw_pool_find_name(cw_gate_pool(fixture.gate), "s2")->leaving = 1;
+	cw_pool_find_name(cw_gate_pool(fixture.gate), "s2")->is_leaving = 1;
 	fixture_open_call(&fixture, "/read/x");
 	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	fixture_close(&fixture);
@@ -256,7 +256,7 @@
 	cw_call_handle_head(fixture.call, &sure, FIXTURE_NOW_MS + 20, &fixture.step);
 	cw_call_add_event(fixture.call, 1, FIXTURE_NOW_MS + 30);
 	cw_pool_find_name(cw_gate_pool(fixture.gate), strcmp(first->name, "e1") ? "e1" : "e2")
-		->leaving = 1;
+		->is_leaving = 1;
 	entry.process_start_ms = 900;
 	first->process_start_ms = 800;
 	assert_int_equal(
--- a/tests/unit/test_gate_drain.c
+++ b/tests/unit/test_gate_drain.c
@@ -139,7 +139,7 @@
 
 	fixture_open(&fixture);
 	set_warmup_rate(&fixture, 6, 4);
-	cw_pool_find_name(cw_gate_pool(fixture.gate), "s2")->leaving = 1;
+	cw_pool_find_name(cw_gate_pool(fixture.gate), "s2")->is_leaving = 1;
 	fixture_open_call(&fixture, "/read/x");
 	cw_call_handle_head(fixture.call, &cold, FIXTURE_NOW_MS, &fixture.step);
 	cw_call_complete(fixture.call, FIXTURE_NOW_MS);
@@ -190,7 +190,7 @@
 	fixture_open_call(&fixture, "/once/x");
 	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	set_homes(&fixture, 9, "south", NULL);
-	cw_pool_find_name(cw_gate_pool(fixture.gate), "s3")->leaving = 1;
+	cw_pool_find_name(cw_gate_pool(fixture.gate), "s3")->is_leaving = 1;
 	fixture_open_call(&fixture, "/once/x");
 	fixture_assert_rejected(&fixture, 503, CW_RUN_NOT_EXECUTED);
 	fixture_close(&fixture);
--- a/tests/unit/test_gate_quarantine.c
+++ b/tests/unit/test_gate_quarantine.c
@@ -105,10 +105,10 @@
 		fixture_open_call(&fixture, "/once/x");
 		assert_int_equal(fixture.step.kind, CW_STEP_SEND);
 		server = fixture.step.server;
-		server->leaving = 1;
+		server->is_leaving = 1;
 		cw_call_handle_failure(fixture.call, CW_ATTEMPT_CONNECTION_LOST,
 				       FIXTURE_NOW_MS + i * 2000, &fixture.step);
-		server->leaving = 0;
+		server->is_leaving = 0;
 		server->breaker_open_until_ms = 0;
 	}
 	assert_false(cw_call_is_quarantined(fixture.call));
--- a/tests/unit/test_gossip.c
+++ b/tests/unit/test_gossip.c
@@ -23,7 +23,7 @@
 	gossip->changes[0].offset = 41;
 	strcpy(gossip->changes[0].entry.name, "s1");
 	strcpy(gossip->changes[0].entry.address, "10.0.0.9:80");
-	gossip->changes[0].entry.leaving = 1;
+	gossip->changes[0].entry.is_leaving = 1;
 	gossip->changes[0].entry.process_start_ms = 1790651616045;
 	gossip->changes[1].offset = 42;
 	gossip->changes[1].is_removed = 1;
--- a/tests/unit/test_pool.c
+++ b/tests/unit/test_pool.c
@@ -91,8 +91,8 @@
 	for (int i = 0; i < 20; i++)
 		cw_pool_record_dispatch(local, 1000);
 	assert_ptr_equal(cw_pool_choose(pool, &choice), remote);
-	local->leaving = 1;
-	remote->leaving = 1;
+	local->is_leaving = 1;
+	remote->is_leaving = 1;
 	assert_null(cw_pool_choose(pool, &choice));
 	cw_pool_destroy(pool);
 }
@@ -201,7 +201,7 @@
 					.software = "v1",
 					.slots = 64,
 					.process_start_ms = process_start_ms,
-					.leaving = leaving};
+					.is_leaving = leaving};
 
 	return cw_pool_apply_entry(pool, &entry, now_ms);
 }
@@ -270,14 +270,14 @@
 	server = cw_pool_find_name(pool, "s1");
 	assert_int_equal(list_entry(pool, 5000, 1, 2000), CW_LISTING_STALE);
 	assert_ptr_equal(cw_pool_find_name(pool, "s1"), server);
-	assert_false(server->leaving);
+	assert_false(server->is_leaving);
 	/* The late entry keeps the server listed, although a newer entry is known. */
 	cw_pool_delist_unlisted(pool, 1500, 2000, 2000);
 	cw_pool_sweep(pool, 2100);
 	assert_false(server->is_removed);
 	/* Entries of the same start, or without start times, are applied in order of arrival. */
 	assert_int_equal(list_entry(pool, 7000, 1, 2200), CW_LISTING_CHANGED);
-	assert_true(server->leaving);
+	assert_true(server->is_leaving);
 	assert_int_equal(list_entry(pool, 7000, 1, 2300), CW_LISTING_SAME);
 	cw_pool_destroy(pool);
 	pool = cw_pool_create(&cw_choice_cost);
--- a/tests/unit/test_up_store.c
+++ b/tests/unit/test_up_store.c
@@ -76,7 +76,7 @@
 	assert_string_equal(record->server.failure_domain, "z1");
 	assert_string_equal(record->server.software, "v1");
 	assert_int_equal(record->server.slots, 64);
-	assert_int_equal(record->server.leaving, 0);
+	assert_int_equal(record->server.is_leaving, 0);
 	assert_true(record->server.process_start_ms == 1790651616045);
 	cw_up_page_clear(&page);
 	record = parse_as_log_newest(&page, "s1", VALID_ENTRY, strlen(VALID_ENTRY));
@@ -160,7 +160,7 @@
 	const struct cw_up_record *record = parse_as_log_read(&page, "s1", entry, strlen(entry));
 
 	assert_int_equal(record->kind, CW_UP_RECORD_SERVER);
-	assert_int_equal(record->server.leaving, 1);
+	assert_int_equal(record->server.is_leaving, 1);
 	assert_true(record->server.process_start_ms == 0);
 	cw_up_page_clear(&page);
 }
