--- a/apps/corianderwalk/entry_quarantine.c
+++ b/apps/corianderwalk/entry_quarantine.c
@@ -70,7 +70,7 @@
 		 "source=%s",
 		 (unsigned long)record->fingerprint,
 		 *record->organisation ? record->organisation : "-",
-		 *record->target ? record->target : "-", record->ends, change->alternatives,
+		 *record->target ? record->target : "-", record->crash_count, change->alternatives,
 		 record->age_ms, cw_quarantine_source_name(change->source));
 }
 
--- a/packages/gossip/src/gossip.c
+++ b/packages/gossip/src/gossip.c
@@ -145,7 +145,7 @@
 	return xdr_uint64_t(xdr, &record->fingerprint) &&
 	       gossip_code_text(xdr, record->organisation, CW_NAME_MAX) &&
 	       gossip_code_text(xdr, record->target, CW_NAME_MAX) &&
-	       xdr_u_int(xdr, &record->ends) && xdr_u_int(xdr, &record->age_ms) &&
+	       xdr_u_int(xdr, &record->crash_count) && xdr_u_int(xdr, &record->age_ms) &&
 	       xdr_int(xdr, &record->is_released) && xdr_int(xdr, &record->is_written);
 }
 
--- a/packages/node/src/node_quarantine.c
+++ b/packages/node/src/node_quarantine.c
@@ -135,7 +135,7 @@
 	g_strlcpy(record.organisation, get_text(notice, "organisation"), CW_NAME_MAX);
 	g_strlcpy(record.target, get_text(notice, "target"), CW_NAME_MAX);
 	if (json_object_object_get_ex(notice, "ends", &value))
-		record.ends = (uint32_t)json_object_get_int64(value);
+		record.crash_count = (uint32_t)json_object_get_int64(value);
 	if (json_object_object_get_ex(notice, "released", &value))
 		record.is_released = json_object_get_boolean(value);
 	record.age_ms = (uint32_t)CLAMP(node->wall_ms - time_ms, 0, UINT32_MAX - 1);
@@ -178,7 +178,7 @@
 		quarantined[i].fingerprint = records[i].fingerprint;
 		quarantined[i].organisation = records[i].organisation;
 		quarantined[i].target = records[i].target;
-		quarantined[i].ends = records[i].ends;
+		quarantined[i].ends = records[i].crash_count;
 		quarantined[i].age_ms = records[i].age_ms;
 		quarantined[i].released = (u_int)records[i].is_released;
 		quarantined[i].written = (u_int)records[i].is_written;
@@ -208,7 +208,7 @@
 		const struct peer_held *peer = &heartbeat->held.held_val[i];
 		struct cw_quarantine_record record = {
 			.fingerprint = peer->fingerprint,
-			.ends = peer->ends,
+			.crash_count = peer->ends,
 			.age_ms = peer->age_ms,
 			.is_released = peer->released != 0,
 			.is_written = peer->written != 0,
@@ -255,8 +255,9 @@
 		       "fingerprint=%016" G_GINT64_MODIFIER
 		       "x organisation=%s target=%s ends=%u rivals=%u age_ms=%u source=%s",
 		       record->fingerprint, *record->organisation ? record->organisation : "-",
-		       *record->target ? record->target : "-", record->ends, change->alternatives,
-		       record->age_ms, cw_quarantine_source_name(change->source));
+		       *record->target ? record->target : "-", record->crash_count,
+		       change->alternatives, record->age_ms,
+		       cw_quarantine_source_name(change->source));
 }
 
 /* A quarantined request that still waits in the queue of an engine would crash that engine too,
@@ -315,7 +316,7 @@
 	json_object_object_add(object, "organisation",
 			       json_object_new_string(record->organisation));
 	json_object_object_add(object, "target", json_object_new_string(record->target));
-	json_object_object_add(object, "ends", json_object_new_int64(record->ends));
+	json_object_object_add(object, "ends", json_object_new_int64(record->crash_count));
 	json_object_object_add(object, "age_ms", json_object_new_int64(record->age_ms));
 	json_object_object_add(object, "released", json_object_new_boolean(record->is_released));
 	return object;
--- a/packages/quarantine/include/cw_quarantine.h
+++ b/packages/quarantine/include/cw_quarantine.h
@@ -48,10 +48,10 @@
 	uint64_t fingerprint;
 	char organisation[CW_NAME_MAX];
 	char target[CW_NAME_MAX];
-	uint32_t ends;	 /* server crashes while the request ran, as far as known */
-	uint32_t age_ms; /* since the quarantine or the release */
-	int is_released; /* 0: quarantined */
-	int is_written;	 /* published in the shared store */
+	uint32_t crash_count; /* server crashes while the request ran, as far as known */
+	uint32_t age_ms;      /* since the quarantine or the release */
+	int is_released;      /* 0: quarantined */
+	int is_written;	      /* published in the shared store */
 };
 
 /* Where a decision came from. */
--- a/packages/quarantine/src/quarantine.c
+++ b/packages/quarantine/src/quarantine.c
@@ -361,7 +361,7 @@
 	record->fingerprint = suspect->fingerprint;
 	g_strlcpy(record->organisation, suspect->organisation, CW_NAME_MAX);
 	g_strlcpy(record->target, suspect->target, CW_NAME_MAX);
-	record->ends = suspect->crashes_seen;
+	record->crash_count = suspect->crashes_seen;
 	record->age_ms = (uint32_t)CLAMP(now_ms - since_ms, 0, QUARANTINE_MS);
 	record->is_released = !suspect->quarantined_ms;
 	record->is_written = suspect->is_written;
--- a/packages/quarantine/src/share.c
+++ b/packages/quarantine/src/share.c
@@ -115,7 +115,7 @@
 		return;
 	suspect = suspect_find_or_add(quarantine, record->fingerprint, record->organisation,
 				      record->target, now_ms);
-	suspect->crashes_seen = MAX(suspect->crashes_seen, record->ends);
+	suspect->crashes_seen = MAX(suspect->crashes_seen, record->crash_count);
 	if (record->is_released && suspect->quarantined_ms && since_ms > suspect->quarantined_ms) {
 		suspect_release(quarantine, suspect, source, now_ms);
 		suspect->is_written = record->is_written || source == CW_QUARANTINE_STORE;
--- a/tests/unit/test_gate_quarantine.c
+++ b/tests/unit/test_gate_quarantine.c
@@ -29,7 +29,7 @@
 /* A peer announces the quarantine of the request while its answer is awaited. */
 static void quarantine_in_flight(struct fixture *fixture)
 {
-	struct cw_quarantine_record record = {.ends = 3};
+	struct cw_quarantine_record record = {.crash_count = 3};
 
 	fixture->info.body = BODY;
 	fixture_open_call(fixture, "/chat/x");
--- a/tests/unit/test_quarantine.c
+++ b/tests/unit/test_quarantine.c
@@ -18,7 +18,7 @@
 	assert_true(cw_quarantine_next_change(quarantine, &change));
 	assert_int_equal(change.record.fingerprint, POISON);
 	assert_string_equal(change.record.organisation, "museo");
-	assert_int_equal(change.record.ends, 3);
+	assert_int_equal(change.record.crash_count, 3);
 	assert_false(cw_quarantine_next_change(quarantine, &change));
 	cw_quarantine_destroy(quarantine);
 }
