--- a/tests/lib_fatal.sh
+++ b/tests/lib_fatal.sh
@@ -1,12 +1,12 @@
 # Shared by the runs on poison requests. Reads the log lines of the stand-in engines: "fatal MS" when a poison
 # request began to run, "ended MS" when the server crashed under it; times in ms of uptime. Source this file after the
 # other libraries.
-# ends: the times of all crashes.
-ends() { cat "$DIR"/e[0-9]*.log | sed -n 's/^ended //p' | sort -n; }
-third_end() { ends | sed -n 3p; }
-# late_runs MS [FROM]: how many poison requests began later than MS after FROM, or after the third crash.
-late_runs() {
-	local since=${2:-$(third_end)}
+# crash_times: the times of all crashes.
+crash_times() { cat "$DIR"/e[0-9]*.log | sed -n 's/^ended //p' | sort -n; }
+third_crash_ms() { crash_times | sed -n 3p; }
+# count_late_runs MS [FROM]: how many poison requests began later than MS after FROM, or after the third crash.
+count_late_runs() {
+	local since=${2:-$(third_crash_ms)}
 	[ -n "$since" ] || { echo 0; return; }
 	cat "$DIR"/e[0-9]*.log | awk -v t="$((since + $1))" '$1 == "fatal" && $2 > t' | wc -l
 }
--- a/tests/lib_users.sh
+++ b/tests/lib_users.sh
@@ -46,15 +46,15 @@
 		\"tenants\":[{\"name\":\"museo\",\"api_keys\":[\"$2\"],\"priority\":1}]}"
 }
 
-# entry NAME: starts an entry instance at its own address, in failure domain ZONE. entry_again NAME: restarts it there.
+# entry NAME: starts an entry instance at its own address, in failure domain ZONE. restart_entry NAME restarts it there.
 entry() {
 	local host=$NET.$NEXT_HOST
 	NEXT_HOST=$((NEXT_HOST + 1))
 	eval "HOST_$1=$host ZONE_$1=${ZONE:-z1}"
 	SEED=${SEED:-$host}
-	entry_again "$1"
+	restart_entry "$1"
 }
-entry_again() {
+restart_entry() {
 	eval "local host=\$HOST_$1 zone=\$ZONE_$1"
 	cat >"$DIR/$1.json" <<-SETTINGS
 		{"node_name":"$1","zone":"$zone","ip":"$host","zones":{"z1":"r","z2":"r"},
@@ -68,7 +68,7 @@
 }
 ready() { eval "local host=\$HOST_$1"; [ "$(curl -s -o /dev/null -w '%{http_code}' "http://$host:$P_READY/v1/readyz")" = 200 ]; }
 metric() { eval "local host=\$HOST_$1"; curl -s "http://$host:$P_METRICS/metrics" | sed -n "s/^corianderwalk_$2 //p"; }
-knows() { grep -q "event=configured version=$2 " "$DIR/$1.log"; }
+has_config() { grep -q "event=configured version=$2 " "$DIR/$1.log"; }
 
 # ask ENTRY METHOD PATH ID [CURL ARGS...]: sends a request; prints the HTTP status, then the body.
 ask() {
--- a/tests/runs/fatal.sh
+++ b/tests/runs/fatal.sh
@@ -30,15 +30,15 @@
 	sleep 0.3
 done
 wait $OTHERS
-echo "runs begun later than 4 s after the third crash, $(at_most 3 "$(late_runs $KNOWN_MS)")"
-echo "server crashes, $(at_most 6 "$(ends | wc -l)")"
+echo "runs begun later than 4 s after the third crash, $(at_most 3 "$(count_late_runs $KNOWN_MS)")"
+echo "server crashes, $(at_most 6 "$(crash_times | wc -l)")"
 echo "others' requests with a complete answer, of 60: $(at_least 54 "$(grep -c ok "$DIR/others")")"
 echo "-- the same as a stream, which is another body: its servers crash after eight events"
 for i in $(seq 12); do
 	send_poison "n$((i % 2 + 1))" true "$KEY" >/dev/null
 	sleep 0.3
 done
-echo "server crashes by both, $(at_most 12 "$(ends | wc -l)")"
+echo "server crashes by both, $(at_most 12 "$(crash_times | wc -l)")"
 echo "-- the caller's answer: not run, and no hint to retry"
 send_poison n1 false "$KEY" -o "$DIR/answer" -D "$DIR/head" -w '%{http_code}\n'
 echo "$(json_field code <"$DIR/answer") $(json_field run <"$DIR/answer") retry-after lines: $(grep -ic '^retry-after' "$DIR/head")"
@@ -51,7 +51,7 @@
 for n in n1 n2; do wait_for "$n has the quarantine" has_quarantine $n; done
 RESTARTED=$(uptime_ms)
 for i in 1 2 3 4; do send_poison "n$((i % 2 + 1))" false "$KEY" >/dev/null; done
-echo "runs begun after the restart, $(at_most 0 "$(late_runs 0 "$RESTARTED")")"
+echo "runs begun after the restart, $(at_most 0 "$(count_late_runs 0 "$RESTARTED")")"
 echo "-- an operator releases the request"
 FINGERPRINT=$(cwctl quarantine list --json | json_field fingerprint)
 cwctl quarantine release 12ab 2>&1; echo "exit $?"
--- a/tests/runs/fatal_shared.sh
+++ b/tests/runs/fatal_shared.sh
@@ -39,7 +39,7 @@
 	cat "$DIR"/others.* | awk -v s="$SETTLED_S" -v shared="$1" '$1 >= s && $2 == shared { n++; ok += $3 == 200 }
 		END { print n ? int(100 * ok / n) : 0 }'
 }
-echo "runs begun later than 4 s after the third crash, $(at_most 3 "$(late_runs $KNOWN_MS)")"
+echo "runs begun later than 4 s after the third crash, $(at_most 3 "$(count_late_runs $KNOWN_MS)")"
 echo "percent of the shared body's requests answered once the engines have restarted: $(at_least 99 "$(percent_answered 1)")"
 echo "percent of the requests with other harmless bodies: $(at_least 99 "$(percent_answered 0)")"
 echo "quarantined: $(cwctl quarantine list --json | wc -l)"
--- a/tests/runs/users_calm.sh
+++ b/tests/runs/users_calm.sh
@@ -24,11 +24,11 @@
 runs a1
 echo "-- a key is removed and a route is added"
 config 2 k2 ',{"name":"new","host":"h","path_prefix":"/new/","route_kind":"idempotent","timeout_ms":2000,"service":"app","max_attempts":1,"public":true}'
-wait_for "the configuration is in force" eval "knows n1 2 && knows n2 2"
+wait_for "the configuration is in force" eval "has_config n1 2 && has_config n2 2"
 for n in n1 n2; do ask $n GET /read/9 x$n | head -1; ask $n GET /new/1 y$n | head -1; done
 echo "-- an older configuration is ignored"
 config 1 k1
 config 3 k3
-wait_for "the configuration is in force" eval "knows n1 3 && knows n2 3"
+wait_for "the configuration is in force" eval "has_config n1 3 && has_config n2 3"
 KEY=k3 ask n1 GET /read/9 z1 | head -1
 KEY=k1 ask n2 GET /read/9 z2 | head -1
--- a/tests/runs/users_drain.sh
+++ b/tests/runs/users_drain.sh
@@ -54,7 +54,7 @@
 check_use
 echo "-- all instances are killed at once and restarted"
 for n in $ALL; do stop_now $n; : >"$DIR/$n.log"; done
-for n in $ALL; do entry_again $n; done
+for n in $ALL; do restart_entry $n; done
 wait_for "all ready after the restart" on_all ready
 wait_for "z2 is still drained" is_logged domain_drained z2 1
 check_use
--- a/tests/runs/users_fatal.sh
+++ b/tests/runs/users_fatal.sh
@@ -30,8 +30,8 @@
 	sleep 0.25
 done
 wait $OTHERS
-echo "poison runs begun later than 3 s after the third crash, $(at_most 3 "$(late_runs $KNOWN_MS)")"
-echo "servers that crashed, $(at_most 9 "$(ends | wc -l)")"
+echo "poison runs begun later than 3 s after the third crash, $(at_most 3 "$(count_late_runs $KNOWN_MS)")"
+echo "servers that crashed, $(at_most 9 "$(crash_times | wc -l)")"
 echo "harmless requests with a complete answer, of 60: $(at_least 54 "$(grep -c ok "$DIR/others")")"
 echo "-- its caller is rejected at once: not run, and without a time to retry"
 send_poison n2 last -D "$DIR/head"
@@ -42,14 +42,14 @@
 stream n1 3 other -d 'a question'
 echo "-- all instances are killed at once and restarted: the request is still quarantined"
 for n in n1 n2 n3; do kill -KILL "$(pid_of $n)"; done
-for n in n1 n2 n3; do wait "$(pid_of $n)" 2>/dev/null; entry_again $n; done
+for n in n1 n2 n3; do wait "$(pid_of $n)" 2>/dev/null; restart_entry $n; done
 for n in n1 n2 n3; do wait_for "$n ready" ready $n; done
 has_quarantined() { [ "$(metric "$1" quarantined)" = 1 ]; }
 for n in n1 n2 n3; do wait_for "$n knows the quarantine" has_quarantined $n; done
 RESTORED_MS=$(uptime_ms)
 sleep 0.5
 for i in 1 2 3 4 5 6; do send_poison "n$((i % 3 + 1))" "r$i" >/dev/null; done
-echo "poison runs begun after that, $(at_most 0 "$(late_runs 500 "$RESTORED_MS")")"
+echo "poison runs begun after that, $(at_most 0 "$(count_late_runs 500 "$RESTORED_MS")")"
 echo "-- a new instance"
 entry n4
 wait_for "n4 ready" ready n4
--- a/tests/runs/users_store.sh
+++ b/tests/runs/users_store.sh
@@ -21,7 +21,7 @@
 echo "-- a change made during the outage is in force after it"
 config 2 k2
 store_mode ok
-wait_for "the configuration is in force" eval "knows n1 2 && knows n2 2"
+wait_for "the configuration is in force" eval "has_config n1 2 && has_config n2 2"
 KEY=k2 ask n1 GET /read/1 r3 | head -1
 ask n2 GET /read/1 r4 | head -1
 echo "-- the history is dropped: the newest records are read"
@@ -32,7 +32,7 @@
 config 3 k3
 store "expire?topic=keyed.op"
 store_mode ok
-wait_for "the configuration is in force" eval "knows n1 3 && knows n2 3"
+wait_for "the configuration is in force" eval "has_config n1 3 && has_config n2 3"
 KEY=k3 ask n2 GET /read/1 r5 | head -1
 echo "-- a removed server is not used"
 put keyed.servers a1 ""
@@ -50,7 +50,7 @@
 	store "miss?topic=keyed.op"
 	config $version k3
 	published_ms=$(now_ms)
-	wait_for "the configuration is in force" knows n1 $version
+	wait_for "the configuration is in force" has_config n1 $version
 	took_ms=$(($(now_ms) - published_ms))
 	[ $took_ms -le 2000 ] && echo "in time" || echo "late: $took_ms ms"
 done
--- a/tests/soak/soak.sh
+++ b/tests/soak/soak.sh
@@ -78,7 +78,7 @@
 restart_instance() { # NAME: waits until the instance has terminated, and starts it again
 	wait "$(pid_of "$1")" 2>/dev/null
 	eval "STARTS_$1=$(grep -c 'event=started' "$DIR/$1.log")"
-	STORE=$PROXY_store entry_again "$1"
+	STORE=$PROXY_store restart_entry "$1"
 }
 # True once a restarted instance runs its own code: a sanitizer build spends some time in the loader before, in which
 # SIGHUP would kill the process.
@@ -124,7 +124,7 @@
 for n in $NAMES; do wait_for "$n serves again" serves_request "$n"; done
 serves_stream() { stream "$1" 5 "again$RANDOM" | grep -q 'id: 5 '; }
 for n in $NAMES; do wait_for "$n streams again" serves_stream "$n"; done
-all_have_newest() { for n in $NAMES; do knows "$n" "$VERSION" || return 1; done; }
+all_have_newest() { for n in $NAMES; do has_config "$n" "$VERSION" || return 1; done; }
 wait_for "all instances have configuration $VERSION" all_have_newest
 cat "$DIR"/e*g*.log "$DIR"/a*g*.log | sed -n 's/^run //p' >"$DIR/ran"
 bad=0
@@ -142,9 +142,9 @@
 		echo "$id $kind $host"
 done | grep . && report_violation "a request got no answer, and no fault was injected into the instance"
 [ -s "$DIR/undrained" ] && report_violation "a drained failure domain got requests (domain, runs before, runs after): $(head -n 1 "$DIR/undrained")"
-late=$(late_runs $QUARANTINE_MS)
+late=$(count_late_runs $QUARANTINE_MS)
 [ "$late" -le 3 ] || report_violation "a poison request ran $late times later than $QUARANTINE_MS ms after the third server crash under it"
-echo "$(ends | wc -l) server crashes under one poison request, $late runs of it later than $QUARANTINE_MS ms after the third"
+echo "$(crash_times | wc -l) server crashes under one poison request, $late runs of it later than $QUARANTINE_MS ms after the third"
 echo "seed $SEED_NUMBER: $(wc -l <"$DIR/callers") requests, $(grep -c ' ok ' "$DIR/callers") ok, $(wc -l <"$FAULTS") faults"
 [ $bad -eq 0 ] || { cat "$FAULTS"; KEEP=${KEEP_BAD:-}; echo "verdict: broken"; exit 1; }
 echo "verdict: kept"
