--- a/apps/corianderwalk/duties.c
+++ b/apps/corianderwalk/duties.c
@@ -197,13 +197,13 @@
 	message->records.status = cw_log_http.read(
 		daemon->settings->platform, cw_stream_name(effect->read.stream), effect->read.from,
 		READ_RECORDS_MAX, effect->read.wait_ms, read, &error);
-	message->records.first = read->first;
+	message->records.first = read->first_offset;
 	message->records.count = read->count;
 	message->record_list = g_new0(struct cw_log_record, read->count + 1);
 	for (size_t i = 0; i < read->count; i++) {
-		message->record_list[i].offset = read->list[i].offset;
-		message->record_list[i].time_ms = read->list[i].time_ms;
-		message->record_list[i].data = read->list[i].data;
+		message->record_list[i].offset = read->records[i].offset;
+		message->record_list[i].time_ms = read->records[i].time_ms;
+		message->record_list[i].data = read->records[i].data;
 	}
 	message->records.list = message->record_list;
 	message->event.records = &message->records;
--- a/apps/corianderwalk/entry_feed.h
+++ b/apps/corianderwalk/entry_feed.h
@@ -20,7 +20,8 @@
 	enum cw_up_topic topic;
 	const char *name;
 	enum feed_phase phase;
-	uint64_t next_offset; /* of the next record; for the servers see feed->server_list.from */
+	uint64_t next_offset; /* of the next record; for the servers see
+				 feed->server_list.next_offset */
 	uint64_t read_from;   /* of the pending call; records from peers may move next_offset on */
 	char after_key[CW_UP_KEY_MAX]; /* last key of the snapshot's pages so far; empty: none */
 	int64_t snapshot_began_ms; /* servers that the snapshot has not listed since are removed */
--- a/apps/corianderwalk/entry_hear.c
+++ b/apps/corianderwalk/entry_hear.c
@@ -22,7 +22,7 @@
 	gossip->servers_age_ms = CW_GOSSIP_NO_AGE;
 	if (!feed->servers.is_complete)
 		return;
-	gossip->servers_offset = feed->server_list.from;
+	gossip->servers_offset = feed->server_list.next_offset;
 	/* The age counts from the last answer: the pending call may never be answered. */
 	gossip->servers_age_ms = (uint32_t)(now_ms - feed->server_list.fresh_ms);
 	gossip->servers_evidence = feed->server_list.evidence;
@@ -72,7 +72,7 @@
 	}
 	if (servers->phase != PHASE_FOLLOW) {
 		if (gossip->servers_age_ms != CW_GOSSIP_NO_AGE && is_idle(servers) &&
-		    gossip->servers_offset > feed->server_list.from)
+		    gossip->servers_offset > feed->server_list.next_offset)
 			share_fetch_list(feed->share, gossip->sender.address);
 		return;
 	}
@@ -81,8 +81,8 @@
 		return;
 	if (topic_is_reader(servers))
 		recheck_if_behind(servers, gossip->servers_offset);
-	else if (should_fetch_from(feed, &feed->server_list_lag, feed->server_list.from, gossip,
-				   now_ms))
+	else if (should_fetch_from(feed, &feed->server_list_lag, feed->server_list.next_offset,
+				   gossip, now_ms))
 		share_fetch_changes(feed->share, gossip->sender.address);
 }
 
--- a/apps/corianderwalk/entry_share.c
+++ b/apps/corianderwalk/entry_share.c
@@ -193,7 +193,7 @@
 		decline(caller, HTTP_STATUS_SERVICE_UNAVAILABLE);
 		return;
 	}
-	if (!snapshot->bytes || snapshot->next_offset != share->feed->server_list.from ||
+	if (!snapshot->bytes || snapshot->next_offset != share->feed->server_list.next_offset ||
 	    now_ms - snapshot->encoded_ms > SNAPSHOT_MAX_AGE_MS)
 		encode_snapshot(share, now_ms);
 	snprintf(fields, sizeof(fields), AGE_FIELD ": %ld\r\n",
@@ -210,7 +210,7 @@
 	const struct feed *feed = share->feed;
 	const struct cw_server_list *servers = cw_pool_servers(cw_gate_pool(feed->entry->gate));
 	struct cw_gossip_list list = {
-		.from = feed->server_list.from,
+		.next_offset = feed->server_list.next_offset,
 		.age_ms = (uint32_t)(now_ms - feed->server_list.fresh_ms),
 	};
 	const struct cw_server *server;
@@ -224,7 +224,7 @@
 			cw_pool_get_entry(server, &list.entries[list.count++], now_ms);
 	g_free(share->snapshot.bytes);
 	share->snapshot.bytes = cw_gossip_list_encode(&list, &share->snapshot.size);
-	share->snapshot.next_offset = list.from;
+	share->snapshot.next_offset = list.next_offset;
 	share->snapshot.encoded_ms = now_ms;
 	g_free(list.entries);
 }
@@ -238,7 +238,7 @@
 	const struct feed *feed = share->feed;
 	int64_t now_ms = entry_now_ms(feed->entry);
 	struct cw_gossip_changes changes = {.peer_report = {
-						    .from = feed->server_list.from,
+						    .from = feed->server_list.next_offset,
 						    .age_ms = now_ms - feed->server_list.fresh_ms,
 						    .evidence = feed->server_list.evidence,
 					    }};
@@ -307,7 +307,7 @@
 	g_string_printf(request.bytes, "GET %s", fetch->path);
 	if (fetch == &fetch->share->changes)
 		g_string_append_printf(request.bytes, "%lu",
-				       (unsigned long)fetch->share->feed->server_list.from);
+				       (unsigned long)fetch->share->feed->server_list.next_offset);
 	g_string_append_printf(request.bytes, " HTTP/1.1\r\nHost: %s\r\n\r\n", peer);
 	cw_counter_add("peer_fetches", "", 1);
 	fetch->exchange = cw_client_send(fetch->share->client, &request, &exchange_ops, fetch);
@@ -396,7 +396,7 @@
 	}
 	list.age_ms += fetch->age_ms;
 	/* Records that were read during the transfer may be newer than the list. */
-	if (!feed->servers.is_complete || list.from > feed->server_list.from)
+	if (!feed->servers.is_complete || list.next_offset > feed->server_list.next_offset)
 		apply_list(feed, &list);
 	g_free(list.entries);
 }
@@ -429,9 +429,9 @@
 	cw_pool_delist_unlisted(cw_gate_pool(feed->entry->gate), now_ms,
 				feed_expiry_grace_until_ms(feed), now_ms);
 	cw_event("share", "list_taken", "from=%lu before=%lu servers=%zu age_ms=%u",
-		 (unsigned long)list->from, (unsigned long)feed->server_list.from, list->count,
-		 list->age_ms);
-	cw_follow_reset(&feed->server_list, list->from);
+		 (unsigned long)list->next_offset, (unsigned long)feed->server_list.next_offset,
+		 list->count, list->age_ms);
+	cw_follow_reset(&feed->server_list, list->next_offset);
 	feed->server_list.fresh_ms = MAX(feed->server_list.fresh_ms, now_ms - list->age_ms);
 	topic_mark_synced(&feed->servers);
 }
--- a/apps/corianderwalk/entry_topic.c
+++ b/apps/corianderwalk/entry_topic.c
@@ -151,7 +151,7 @@
 
 uint64_t topic_next_offset(const struct topic *topic)
 {
-	return topic->topic == CW_UP_TOPIC_SERVERS ? topic->feed->server_list.from
+	return topic->topic == CW_UP_TOPIC_SERVERS ? topic->feed->server_list.next_offset
 						   : topic->next_offset;
 }
 
@@ -292,7 +292,7 @@
 			apply_followed_page(topic, &page);
 	} else if (status == CW_EXPIRED) {
 		cw_event("feed", "expired", "topic=%s from=%lu first=%lu", topic->name,
-			 (unsigned long)topic_next_offset(topic), (unsigned long)page.first);
+			 (unsigned long)topic_next_offset(topic), (unsigned long)page.first_offset);
 		reload_expired(topic);
 	} else {
 		handle_failure(topic, error.message);
@@ -349,7 +349,7 @@
 		record_apply(topic, &page->log_record[i]);
 	}
 	if (!*topic->after_key)
-		topic->next_offset = page->end;
+		topic->next_offset = page->end_offset;
 	if (page->has_more) {
 		read_next_page(topic, page->after);
 		return;
@@ -378,7 +378,7 @@
 		    page->log_record[i].offset >= topic->next_offset)
 			apply_record(topic, &page->log_record[i]);
 	if (topic->topic != CW_UP_TOPIC_SERVERS) {
-		topic->next_offset = MAX(topic->next_offset, page->end);
+		topic->next_offset = MAX(topic->next_offset, page->end_offset);
 		topic_schedule(topic, topic_is_reader(topic) ? 0 : STALE_CHECK_MS);
 		return;
 	}
--- a/apps/cwctl/log.c
+++ b/apps/cwctl/log.c
@@ -35,15 +35,16 @@
 							 READ_RECORDS_MAX, 0, &read, error);
 		size_t count = read.count;
 
-		if (status == CW_EXPIRED && read.first > next_offset) {
-			next_offset = read.first;
+		if (status == CW_EXPIRED && read.first_offset > next_offset) {
+			next_offset = read.first_offset;
 			continue;
 		}
 		if (status != CW_OK)
 			return status;
 		for (size_t i = 0; i < count; i++) {
-			visitor->record(visitor->context, read.list[i].offset, read.list[i].data);
-			next_offset = read.list[i].offset + 1;
+			visitor->record(visitor->context, read.records[i].offset,
+					read.records[i].data);
+			next_offset = read.records[i].offset + 1;
 		}
 		cw_platform_read_result_clear(&read);
 		if (count == 0)
--- a/packages/follow/include/cw_follow.h
+++ b/packages/follow/include/cw_follow.h
@@ -43,16 +43,16 @@
 	uint64_t answer_count;		    /* of the shared store to this instance, so far */
 	struct cw_follow_evidence newest_evidence[CW_FOLLOW_READERS]; /* one per reader */
 	size_t next_evidence_slot;				      /* to reuse */
-	uint64_t from;	    /* offset of the next record */
-	uint64_t read_from; /* first offset of the own read in progress */
-	int64_t fresh_ms;   /* when the list was last known to be current */
+	uint64_t next_offset; /* offset of the next record */
+	uint64_t read_from;   /* first offset of the own read in progress */
+	int64_t fresh_ms;     /* when the list was last known to be current */
 	size_t count;
-	struct cw_change changes[CW_FOLLOW_CHANGES]; /* consecutive; the last is from - 1 */
+	struct cw_change changes[CW_FOLLOW_CHANGES]; /* consecutive; the last is next_offset - 1 */
 	int64_t applied_ms[CW_FOLLOW_CHANGES];
 };
 
 void cw_follow_reset(struct cw_follow *follow, uint64_t from); /* a snapshot was applied */
-void cw_follow_begin_read(struct cw_follow *follow);	       /* a read from follow->from begins */
+void cw_follow_begin_read(struct cw_follow *follow); /* a read from follow->next_offset begins */
 int cw_follow_apply_record(struct cw_follow *follow, const struct cw_change *change,
 			   int64_t now_ms); /* 1: the next record, to be applied */
 void cw_follow_skip(struct cw_follow *follow,
--- a/packages/follow/src/follow.c
+++ b/packages/follow/src/follow.c
@@ -15,13 +15,13 @@
  */
 void cw_follow_reset(struct cw_follow *follow, uint64_t from)
 {
-	follow->from = from;
+	follow->next_offset = from;
 	follow->count = 0;
 }
 
 void cw_follow_begin_read(struct cw_follow *follow)
 {
-	follow->read_from = follow->from;
+	follow->read_from = follow->next_offset;
 }
 
 /*
@@ -31,18 +31,18 @@
  */
 int cw_follow_apply_record(struct cw_follow *follow, const struct cw_change *change, int64_t now_ms)
 {
-	if (change->offset != follow->from)
+	if (change->offset != follow->next_offset)
 		return 0;
-	follow->from++;
+	follow->next_offset++;
 	append_change(follow, change, now_ms);
 	return 1;
 }
 
 void cw_follow_skip(struct cw_follow *follow, uint64_t offset)
 {
-	if (offset != follow->from)
+	if (offset != follow->next_offset)
 		return;
-	follow->from++;
+	follow->next_offset++;
 	follow->count = 0;
 }
 
@@ -72,7 +72,7 @@
 	for (size_t i = 0; i < count; i++)
 		if (cw_follow_apply_record(follow, &changes[i], now_ms))
 			apply(context, &changes[i]);
-	if (follow->from < peer_report->from)
+	if (follow->next_offset < peer_report->from)
 		return 0;
 	/* A peer's list is as old as the last answer of the shared store that it rests on. */
 	if (is_new_evidence(follow, &peer_report->evidence) &&
--- a/packages/gossip/include/cw_gossip.h
+++ b/packages/gossip/include/cw_gossip.h
@@ -67,7 +67,7 @@
 
 /* Snapshot of the server list, for an instance that can't read it from the shared store. */
 struct cw_gossip_list {
-	uint64_t from; /* offset of the next record */
+	uint64_t next_offset; /* offset of the next record */
 	uint32_t age_ms;
 	size_t count;
 	struct cw_server_entry *entries;
--- a/packages/gossip/src/list.c
+++ b/packages/gossip/src/list.c
@@ -95,8 +95,9 @@
 {
 	u_int magic = LIST_MAGIC;
 
-	if (!xdr_u_int(xdr, &magic) || magic != LIST_MAGIC || !xdr_uint64_t(xdr, &list->from) ||
-	    !xdr_u_int(xdr, &list->age_ms) || !gossip_code_count(xdr, &list->count, CW_MAX_SERVERS))
+	if (!xdr_u_int(xdr, &magic) || magic != LIST_MAGIC ||
+	    !xdr_uint64_t(xdr, &list->next_offset) || !xdr_u_int(xdr, &list->age_ms) ||
+	    !gossip_code_count(xdr, &list->count, CW_MAX_SERVERS))
 		return FALSE;
 	if (xdr->x_op == XDR_DECODE)
 		list->entries = g_new0(struct cw_server_entry, list->count + 1);
--- a/packages/platform/include/cw_platform.h
+++ b/packages/platform/include/cw_platform.h
@@ -17,8 +17,8 @@
 };
 
 struct cw_platform_read_result {
-	uint64_t first; /* oldest offset kept by the log; 0: not reported */
-	struct cw_platform_record *list;
+	uint64_t first_offset; /* oldest offset kept by the log; 0: not reported */
+	struct cw_platform_record *records;
 	size_t count;
 };
 
@@ -48,7 +48,7 @@
 	/* CW_REFUSED, CW_UNREACHABLE: not appended. CW_UNKNOWN: may have been appended. */
 	enum cw_status (*append)(const char *platform, const char *stream, const char *data,
 				 uint64_t *offset, struct cw_error *error);
-	/* CW_EXPIRED: from is older than read->first. */
+	/* CW_EXPIRED: from is older than read->first_offset. */
 	enum cw_status (*read)(const char *platform, const char *stream, uint64_t from, size_t max,
 			       int wait_ms, struct cw_platform_read_result *read,
 			       struct cw_error *error);
--- a/packages/platform/src/platform_http.c
+++ b/packages/platform/src/platform_http.c
@@ -36,8 +36,8 @@
 void cw_platform_read_result_clear(struct cw_platform_read_result *read)
 {
 	for (size_t i = 0; i < read->count; i++)
-		g_free(read->list[i].data);
-	g_clear_pointer(&read->list, g_free);
+		g_free(read->records[i].data);
+	g_clear_pointer(&read->records, g_free);
 	read->count = 0;
 }
 
@@ -78,7 +78,7 @@
 	g_free(path);
 	memset(read, 0, sizeof(*read));
 	if (status == CW_OK) {
-		read->first = get_uint64(answer, "first");
+		read->first_offset = get_uint64(answer, "first");
 		if (http_status == 410)
 			status = CW_EXPIRED;
 		else if (http_status != 200)
@@ -180,10 +180,10 @@
 	if (!json_object_object_get_ex(answer, "records", &records) ||
 	    !json_object_is_type(records, json_type_array))
 		return;
-	read->list = g_new0(struct cw_platform_record, json_object_array_length(records) + 1);
+	read->records = g_new0(struct cw_platform_record, json_object_array_length(records) + 1);
 	for (size_t i = 0; i < json_object_array_length(records); i++) {
 		struct json_object *record = json_object_array_get_idx(records, i);
-		struct cw_platform_record *out = &read->list[read->count];
+		struct cw_platform_record *out = &read->records[read->count];
 		struct json_object *data;
 
 		if (!json_object_object_get_ex(record, "data", &data))
--- a/tests/bench/fleet/fleet_world.c
+++ b/tests/bench/fleet/fleet_world.c
@@ -269,7 +269,7 @@
 	if (!omits_state)
 		gossip->operator_offset = instance->topics[TOPIC_CONFIG].version;
 	if (!omits_state && instance->topics[TOPIC_SERVERS].version) {
-		gossip->servers_offset = instance->follow.from;
+		gossip->servers_offset = instance->follow.next_offset;
 		gossip->servers_age_ms = (uint32_t)(fleet->now_ms - instance->follow.fresh_ms);
 		gossip->servers_evidence = instance->follow.evidence;
 	}
--- a/tests/unit/test_follow.c
+++ b/tests/unit/test_follow.c
@@ -52,7 +52,7 @@
 		change = record(offset);
 		assert_int_equal(cw_follow_apply_record(&follow, &change, NOW), offset == 7);
 	}
-	assert_int_equal(follow.from, 8);
+	assert_int_equal(follow.next_offset, 8);
 	change = record(8);
 	assert_int_equal(cw_follow_apply_record(&follow, &change, NOW), 1);
 }
@@ -69,7 +69,7 @@
 						 &applied),
 			 0);
 	assert_int_equal(applied.count, 0);
-	assert_int_equal(follow.from, 5);
+	assert_int_equal(follow.next_offset, 5);
 	assert_int_equal(cw_follow_is_reader(&follow, CW_READERS, NOW), 1);
 }
 
@@ -77,8 +77,9 @@
 static void deliver(const struct cw_follow *from, struct cw_follow *to, int64_t sent_ms,
 		    int64_t now_ms)
 {
-	struct cw_follow_report peer_report = {
-		.from = from->from, .age_ms = sent_ms - from->fresh_ms, .evidence = from->evidence};
+	struct cw_follow_report peer_report = {.from = from->next_offset,
+					       .age_ms = sent_ms - from->fresh_ms,
+					       .evidence = from->evidence};
 
 	cw_follow_merge_changes(to, NULL, 0, &peer_report, now_ms, apply, NULL);
 }
@@ -153,7 +154,7 @@
 		applied += cw_follow_apply_record(&follow, &change, NOW);
 	}
 	assert_int_equal(applied, 0);
-	assert_int_equal(follow.from, 283);
+	assert_int_equal(follow.next_offset, 283);
 	/* The next read begins at the new position, and its records are new. */
 	cw_follow_begin_read(&follow);
 	assert_int_equal(cw_follow_apply_record(
--- a/tests/unit/test_gossip.c
+++ b/tests/unit/test_gossip.c
@@ -150,7 +150,8 @@
 static void a_list_snapshot_is_decoded_as_it_was_encoded(void **state)
 {
 	struct cw_server_entry entries[300] = {0};
-	struct cw_gossip_list sent = {.from = 9, .age_ms = 70, .count = 300, .entries = entries};
+	struct cw_gossip_list sent = {
+		.next_offset = 9, .age_ms = 70, .count = 300, .entries = entries};
 	struct cw_gossip_list read;
 	size_t size;
 	char *bytes;
@@ -166,7 +167,7 @@
 	}
 	bytes = cw_gossip_list_encode(&sent, &size);
 	assert_int_equal(cw_gossip_list_decode(bytes, size, &read), CW_OK);
-	assert_int_equal(read.from, 9);
+	assert_int_equal(read.next_offset, 9);
 	assert_int_equal(read.count, 300);
 	assert_memory_equal(read.entries, entries, sizeof(entries));
 	g_free(read.entries);
--- a/tests/unit/test_up_store.c
+++ b/tests/unit/test_up_store.c
@@ -253,7 +253,7 @@
 	assert_int_equal(cw_up_parse_log_read(CW_UP_TOPIC_SERVERS, 200, body, 6, &page, &error),
 			 CW_OK);
 	assert_int_equal(page.count, 6);
-	assert_int_equal(page.end, 12);
+	assert_int_equal(page.end_offset, 12);
 	assert_int_equal(page.log_record[0].kind, CW_UP_RECORD_SERVER);
 	assert_int_equal(page.log_record[1].kind, CW_UP_RECORD_SERVER_REMOVED);
 	assert_int_equal(page.log_record[2].kind, CW_UP_RECORD_OTHER);
