--- a/packages/base/include/cw_config.h
+++ b/packages/base/include/cw_config.h
@@ -23,7 +23,7 @@
 #define CW_RING_CORE	      8192    /* events queued for the core thread */
 #define CW_RING_STREAM	      64      /* chunks queued for one caller */
 #define CW_RING_WORKER	      1024    /* jobs queued for one worker thread */
-#define CW_TIMELINE_LINES_MAX 16384   /* events of the time line kept in memory */
+#define CW_TIMELINE_LINES_MAX 16384   /* events of the timeline kept in memory */
 #define CW_RECORD_MAX	      (1024 * 1024) /* bytes of one record of the log */
 
 #endif
--- a/packages/base/include/cw_timeline.h
+++ b/packages/base/include/cw_timeline.h
@@ -1,4 +1,4 @@
-/* Time line: one key=value line per event, kept in a bounded buffer and written to the log. */
+/* Timeline: one key=value line per event, kept in a bounded buffer and written to the log. */
 #ifndef CW_TIMELINE_H
 #define CW_TIMELINE_H
 
--- a/packages/gate/src/call.c
+++ b/packages/gate/src/call.c
@@ -350,7 +350,7 @@
 	call->is_output_heavy = call_work_is_output_heavy(call);
 	if (call->is_output_heavy)
 		kinds |= CW_ROLLOUT_LONG_RUNNING;
-	if (call_work_is_light(call))
+	if (call_work_has_short_prompt(call))
 		kinds |= CW_ROLLOUT_SHORT_PROMPT;
 	cw_rollouts_record_arrival(call->gate->rollouts, &request, kinds,
 				   call->service ? call->service->slots : 0);
--- a/packages/gate/src/call_choice.c
+++ b/packages/gate/src/call_choice.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #define TRIAL_FILL_TARGET 0.7  /* of a trial server's slots: above half, with room for others */
-#define TRIAL_FULL_TARGET 0.95 /* of its slots, for light requests: just short of queueing */
+#define TRIAL_FULL_TARGET 0.95 /* of its slots, for short prompts: just short of queueing */
 
 static struct cw_server *choose_same_version(const struct cw_call *call,
 					     const struct cw_choice *choice);
@@ -45,9 +45,9 @@
 		choice.required_software = target;
 		choice.server_share = call->assignment.share;
 		if (cw_rollouts_needs_load_trial(gate->rollouts, call->service_name, now_ms))
-			choice.fill_part = call->is_output_heavy      ? TRIAL_FILL_TARGET
-					   : call_work_is_light(call) ? TRIAL_FULL_TARGET
-								      : 0;
+			choice.fill_part = call->is_output_heavy	      ? TRIAL_FILL_TARGET
+					   : call_work_has_short_prompt(call) ? TRIAL_FULL_TARGET
+									      : 0;
 		break;
 	case CW_ROLLOUT_VARIANT_ANY:
 		break;
--- a/packages/gate/src/call_work.c
+++ b/packages/gate/src/call_work.c
@@ -26,7 +26,7 @@
 #define LOADED_FRACTION		 0.5  /* of a server's slots taken: it is under load */
 #define LOAD_REPORT_MAX_AGE_MS	 2000 /* a server's load report is stale afterwards */
 #define QUICK_ANSWER_MS		 80   /* to the response head: the load is as it was at the send */
-#define LIGHT_PREFILL_MS	 25.0 /* prompt processing no longer than a step of a full engine */
+#define SHORT_PREFILL_MS	 25.0 /* prompt processing no longer than a step of a full engine */
 #define STREAM_BYTES		 4500 /* of a usual stream back to the caller */
 #define PLAIN_BYTES		 800  /* of a usual plain answer */
 static int is_under_load(unsigned int running, unsigned int slots);
@@ -105,11 +105,11 @@
 	       gate_update_output_ratio(call->gate, call->service_name, ratio);
 }
 
-int call_work_is_light(const struct cw_call *call)
+int call_work_has_short_prompt(const struct cw_call *call)
 {
 	return call->info.segment_count > 0 && call->model_index == 0 &&
 	       call->route->model_count > 1 &&
-	       call->info.prompt_tokens * SMALL_MODEL_TOKEN_MS <= LIGHT_PREFILL_MS;
+	       call->info.prompt_tokens * SMALL_MODEL_TOKEN_MS <= SHORT_PREFILL_MS;
 }
 
 /*
--- a/packages/gate/src/gate_internal.h
+++ b/packages/gate/src/gate_internal.h
@@ -140,8 +140,8 @@
 			  int64_t now_ms); /* the part of it for prompts queued before */
 int call_work_fits_deadline(const struct cw_call *call,
 			    int64_t now_ms); /* the largest model's whole stream does */
-int call_work_is_output_heavy(const struct cw_call *call); /* holds a slot for long */
-int call_work_is_light(const struct cw_call *call);	   /* short prompt for the smallest model */
+int call_work_is_output_heavy(const struct cw_call *call);  /* holds a slot for long */
+int call_work_has_short_prompt(const struct cw_call *call); /* for the smallest model */
 void call_work_record_load(struct cw_call *call, const struct cw_load *load,
 			   int64_t now_ms); /* load that came with the answer */
 void call_work_begin(struct cw_call *call, int is_affinity_server, int64_t now_ms);
--- a/tests/unit/test_pool.c
+++ b/tests/unit/test_pool.c
@@ -153,7 +153,7 @@
  * Guards against a new version that is never tested on a full server, because its share of the
  * requests is spread over all of its servers by least cost.
  */
-static void filling_uses_one_server_before_the_next(void **state)
+static void a_load_trial_fills_one_server_before_the_next(void **state)
 {
 	struct cw_pool *pool = cw_pool_create(&cw_choice_cost);
 	struct cw_choice choice = {
@@ -297,7 +297,7 @@
 		cmocka_unit_test(a_prefix_keeps_its_affinity_server_within_the_load_bound),
 		cmocka_unit_test(requests_leave_their_domain_only_for_a_shorter_wait),
 		cmocka_unit_test(a_backlog_falls_while_prompts_are_processed),
-		cmocka_unit_test(filling_uses_one_server_before_the_next),
+		cmocka_unit_test(a_load_trial_fills_one_server_before_the_next),
 		cmocka_unit_test(a_crash_counts_once_however_many_requests_it_breaks),
 		cmocka_unit_test(few_servers_are_tracked_and_every_local_one_by_some_instance),
 	};
