--- a/packages/gossip/src/gossip.c
+++ b/packages/gossip/src/gossip.c
@@ -145,7 +145,7 @@
 	return xdr_uint64_t(xdr, &record->fingerprint) &&
 	       gossip_code_text(xdr, record->organisation, CW_NAME_MAX) &&
 	       gossip_code_text(xdr, record->target, CW_NAME_MAX) &&
-	       xdr_u_int(xdr, &record->ends) && xdr_u_int(xdr, &record->age_ms) &&
+	       xdr_u_int(xdr, &record->crash_count) && xdr_u_int(xdr, &record->age_ms) &&
 	       xdr_int(xdr, &record->is_released) && xdr_int(xdr, &record->is_written);
 }
 
@@ -202,7 +202,7 @@
 	       gossip_code_text(xdr, entry->address, CW_ADDRESS_MAX) &&
 	       gossip_code_text(xdr, entry->failure_domain, CW_NAME_MAX) &&
 	       gossip_code_text(xdr, entry->software, CW_NAME_MAX) &&
-	       xdr_u_int(xdr, &entry->slots) && xdr_int(xdr, &entry->leaving) &&
+	       xdr_u_int(xdr, &entry->slots) && xdr_int(xdr, &entry->is_leaving) &&
 	       gossip_code_int64(xdr, &entry->cold_ms) && entry->cold_ms >= 0;
 }
 
